--- a/features/steps/platform_adapter_codec_steps.py
+++ b/features/steps/platform_adapter_codec_steps.py
@@ -13,7 +13,7 @@
 
 from trefoilpulley_core.failure import catalogue
 from trefoilpulley_core.failure import RunState
-from trefoilpulley_core.proxy.commands import Unreadable
+from trefoilpulley_core.proxy.commands import InvalidCommand
 from trefoilpulley_core.proxy.upstream_session import AskStatus
 from trefoilpulley_core.proxy.upstream_session import CommitTransaction
 from trefoilpulley_platform.documents import KvDocuments
@@ -117,7 +117,7 @@
         for mark in '\n\r':
             for text in ('READ a{}QUERY 2 WRITE b c', 'SET n{}v x'):
                 command = parse_command('QUERY 1 ' + text.format(mark))
-                assert isinstance(command, Unreadable), command
+                assert isinstance(command, InvalidCommand), command
 
     @staticmethod
     @then(
@@ -242,4 +242,4 @@
 
     @staticmethod
     def _read(context: Any) -> Any:
-        return KvDocuments().read_member('servers/i-1', context.entry)
+        return KvDocuments().decode_member('servers/i-1', context.entry)
--- a/features/steps/proxy_hedge_steps.py
+++ b/features/steps/proxy_hedge_steps.py
@@ -99,7 +99,7 @@
             context.group.pools[name] = MemberAccess(pool)
         now = clock.now()
         context.group.state.members['second'].latency_s = 0.04
-        context.group.state.members['second'].served_at = now
+        context.group.state.members['second'].last_served_at = now
         context.group.state.evidence.record(now - 1.0, Position(1, 5))
         context.session = SessionState({'tz': 'utc'})
         route = Route('db', 'ledger', ReadFreshness.BOUNDED, 9.0, 0.2, 1, 8.0)
@@ -202,7 +202,7 @@
             context.clock,
             metrics,
         )
-        context.group.state.hopeless_until = context.clock.now() + 1000.0
+        context.group.state.no_failover_until = context.clock.now() + 1000.0
         done = runner.write(PrimaryWaitSteps.make_work(context))
         assert done.failure().run_state is RunState.NOT_RUN, done
 
@@ -224,8 +224,8 @@
             ]
         )
         health = context.group.state.members['p']
-        health.note_leaving(context.clock.now() - since)
-        health.note_leaving(context.clock.now())
+        health.update_leaving(context.clock.now() - since)
+        health.update_leaving(context.clock.now())
 
     @staticmethod
     @then('its primary still takes work')
@@ -256,7 +256,7 @@
     def pause(context: Any) -> None:
         """Note that no change is coming for a long while."""
         until = context.clock.now() + 1000.0
-        context.group.state.hopeless_until = until
+        context.group.state.no_failover_until = until
 
     @staticmethod
     @then('the write is refused without a wait')
@@ -268,8 +268,8 @@
     @when('another host claims the change')
     def claim(context: Any) -> None:
         """Note that a change is on its way."""
-        context.group.state.hopeless_until = float('-inf')
-        context.group.state.change_due_at = context.clock.now() + 0.5
+        context.group.state.no_failover_until = float('-inf')
+        context.group.state.failover_due_at = context.clock.now() + 0.5
 
     @staticmethod
     @when('the new primary proves itself')
--- a/features/steps/proxy_overload_steps.py
+++ b/features/steps/proxy_overload_steps.py
@@ -22,7 +22,7 @@
 from trefoilpulley_core.position import Position
 from trefoilpulley_core.proxy.commands import Run
 from trefoilpulley_core.proxy.evidence import SessionFloor
-from trefoilpulley_core.proxy.flight_limit import FlightLimit
+from trefoilpulley_core.proxy.flight_limit import ConcurrencyLimit
 from trefoilpulley_core.proxy.group_state import MemberHealth
 from trefoilpulley_core.proxy.group_state import MemberRecord
 from trefoilpulley_core.proxy.routes import ReadFreshness
@@ -57,7 +57,7 @@
     @given('a limit of statements at a member of {most:d} connections')
     def make(context: Any, most: int) -> None:
         """Make the limit of one host."""
-        context.flight = FlightLimit()
+        context.flight = ConcurrencyLimit()
         context.flight.update(most)
         context.now = 100.0
 
@@ -145,7 +145,7 @@
         context.gates = {}
         pool = MemberPool(MemberHealth(record), _Dialer(context), clock)
         pool.share.update(16, 2)
-        pool.flight.update(pool.share.most)
+        pool.flight.update(pool.share.max_open)
         pool.flight.on_busy(1, clock.now())
         context.access = MemberAccess(pool)
         context.exchanger = Exchanger(clock, ProxyMetrics())
--- a/features/steps/proxy_reads_steps.py
+++ b/features/steps/proxy_reads_steps.py
@@ -17,12 +17,12 @@
 from trefoilpulley_core.proxy.evidence import SessionFloor
 from trefoilpulley_core.proxy.group_state import GroupState
 from trefoilpulley_core.proxy.group_state import MemberRecord
-from trefoilpulley_core.proxy.isolation import Isolation
-from trefoilpulley_core.proxy.isolation import Surroundings
+from trefoilpulley_core.proxy.isolation import IsolationDetector
+from trefoilpulley_core.proxy.isolation import Reachability
 from trefoilpulley_core.proxy.placement import place_read
 from trefoilpulley_core.proxy.routes import ReadFreshness
 from trefoilpulley_core.proxy.routes import Route
-from trefoilpulley_core.proxy.waiting_line import WaitingLine
+from trefoilpulley_core.proxy.waiting_line import ConnectionQueue
 
 NOW = 100.0
 """Virtual time of the placements, in seconds."""
@@ -60,7 +60,7 @@
         context: Any, kind: str, age: float, now: float, floor: str
     ) -> None:
         """Check what a replica must hold."""
-        found = context.log.floor_of(_route(kind, age), context.session, now)
+        found = context.log.read_floor(_route(kind, age), context.session, now)
         assert found is not None
         assert found.position == _position(floor), found
 
@@ -68,7 +68,7 @@
     @then('a "{kind}" read of at most {age:f} s at {now:f} s has no floor')
     def check_none(context: Any, kind: str, age: float, now: float) -> None:
         """Check that only a primary may serve."""
-        found = context.log.floor_of(_route(kind, age), context.session, now)
+        found = context.log.read_floor(_route(kind, age), context.session, now)
         assert found is None, found
 
     @staticmethod
@@ -105,7 +105,7 @@
         for name, took_ms in ((one, first), (other, second)):
             health = context.state.members[name]
             health.latency_s = took_ms / 1000
-            health.served_at = NOW
+            health.last_served_at = NOW
 
     @staticmethod
     @when('{count:d} statements are in flight at "{name}"')
@@ -136,7 +136,7 @@
     @when('"{name}" was behind a floor of {age:d} ms')
     def lag(context: Any, name: str, age: int) -> None:
         """Let a member refuse a floor."""
-        context.state.members[name].on_behind(age / 1000, NOW)
+        context.state.members[name].on_floor_missing(age / 1000, NOW)
 
     @staticmethod
     @when('"{name}" refuses a read')
@@ -150,7 +150,7 @@
         """Look at the group later; the speeds are seen anew."""
         context.now = NOW + passed
         for health in context.state.members.values():
-            health.served_at = context.now
+            health.last_served_at = context.now
 
     @staticmethod
     @then('a bounded read goes to "{name}"')
@@ -195,8 +195,8 @@
     @given('a line for {connections:d} connections held {hold:d} ms each')
     def make_line(context: Any, connections: int, hold: int) -> None:
         """Make an empty line."""
-        context.line = WaitingLine()
-        context.line.hold_s = hold / 1000
+        context.line = ConnectionQueue()
+        context.line.mean_hold_s = hold / 1000
         context.connections = connections
 
     @staticmethod
@@ -216,7 +216,7 @@
     def check_order(context: Any, names: str) -> None:
         """Check the order of service."""
         served = []
-        while (work := context.line.take(NOW)) is not None:
+        while (work := context.line.pop(NOW)) is not None:
             served.append(work.handle)
         assert served == names.split(), served
 
@@ -241,12 +241,12 @@
 
     @staticmethod
     def _join(context: Any, priority: int, left_s: float, name: Any) -> bool:
-        work = context.line.join(
+        work = context.line.enqueue(
             priority,
             NOW + left_s,
             NOW,
             context.connections,
-            context.line.hold_s,
+            context.line.mean_hold_s,
             name,
         )
         return work is not None
@@ -273,7 +273,7 @@
     def check_share(context: Any, most: int, kept: int) -> None:
         """Check both limits."""
         assert context.share.limit(NOW) == most, context.share.limit(NOW)
-        assert context.share.kept == kept, context.share.kept
+        assert context.share.min_idle == kept, context.share.min_idle
 
 
 class IsolationSteps:
@@ -288,8 +288,8 @@
         context: Any, hosts: int, all_hosts: int, lost: int, groups: int
     ) -> None:
         """Note what the host reaches."""
-        context.isolation = Isolation()
-        seen = Surroundings(groups, lost, all_hosts, hosts)
+        context.isolation = IsolationDetector()
+        seen = Reachability(groups, lost, all_hosts, hosts)
         context.isolation.update(seen, NOW)
 
     @staticmethod
--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -21,14 +21,14 @@
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_core.peer import PooledFailure
 from trefoilpulley_core.proxy.connection_holders import choose_holders
-from trefoilpulley_core.proxy.connection_holders import order_holders
+from trefoilpulley_core.proxy.connection_holders import rank_holders
 from trefoilpulley_core.proxy.group_state import MemberRecord
 from trefoilpulley_core.proxy.relay_messages import EndLease
 from trefoilpulley_core.proxy.relay_messages import RelayedCalls
 from trefoilpulley_core.proxy.relay_messages import RelayRefused
 from trefoilpulley_core.proxy.session_state import SessionState
-from trefoilpulley_core.proxy.succession import act_delay_s
-from trefoilpulley_core.proxy.succession import choose_jury
+from trefoilpulley_core.proxy.succession import choose_voters
+from trefoilpulley_core.proxy.succession import failover_delay_s
 from trefoilpulley_core.proxy.upstream_session import Call
 from trefoilpulley_core.proxy.upstream_session import OpenTransaction
 from trefoilpulley_core.proxy.upstream_session import Reply
@@ -87,7 +87,7 @@
         """Check the holders of each group."""
         for group in GROUPS:
             found = HolderSteps._choose(context, group)
-            assert len(found.hosts) == found.sharing == count, found
+            assert len(found.hosts) == found.sharing_hosts == count, found
             assert set(found.hosts) <= set(context.live['a']), found
 
     @staticmethod
@@ -106,7 +106,7 @@
         """Check that nobody relays."""
         found = HolderSteps._choose(context, 'ledger')
         assert found.hosts == (), found
-        assert found.sharing == len(context.registered), found
+        assert found.sharing_hosts == len(context.registered), found
 
     @staticmethod
     @then('each holder is the first choice of {least:d} to {most:d} hosts')
@@ -115,7 +115,7 @@
         for group in GROUPS:
             holders = HolderSteps._choose(context, group)
             counts = Counter(
-                order_holders(group, host, holders)[0]
+                rank_holders(group, host, holders)[0]
                 for host in context.registered
             )
             assert set(counts) == set(holders.hosts), counts
@@ -129,7 +129,7 @@
         for group in GROUPS:
             holders = HolderSteps._choose(context, group)
             orders = [
-                order_holders(group, host, holders)
+                rank_holders(group, host, holders)
                 for host in context.registered
             ]
             gone = Counter(o[0] for o in orders).most_common(1)[0][0]
@@ -150,7 +150,7 @@
     def check_jury(context: Any, count: int, each: int) -> None:
         """Check the jury of each group."""
         for group in GROUPS:
-            jury = choose_jury(group, context.registered)
+            jury = choose_voters(group, context.registered)
             assert len(jury) == count, jury
             assert set(Counter(jury.values()).values()) == {each}, jury
 
@@ -159,7 +159,7 @@
     def check_jury_holds(context: Any) -> None:
         """Check that each juror uses a member all the time."""
         for group in GROUPS:
-            for host, zone in choose_jury(group, context.registered).items():
+            for host, zone in choose_voters(group, context.registered).items():
                 holders = choose_holders(
                     group, zone, context.live, context.connections
                 )
@@ -171,9 +171,10 @@
         """Check the head starts."""
         registered = context.registered
         for group in GROUPS:
-            jury = choose_jury(group, registered)
+            jury = choose_voters(group, registered)
             delays = {
-                h: act_delay_s(group, h, registered, False) for h in registered
+                h: failover_delay_s(group, h, registered, False)
+                for h in registered
             }
             last = max(delays[h] for h in jury)
             others = [delays[h] for h in registered if h not in jury]
--- a/features/steps/proxy_succession_steps.py
+++ b/features/steps/proxy_succession_steps.py
@@ -15,13 +15,13 @@
 from trefoilpulley_core.position import Position
 from trefoilpulley_core.proxy.group_state import GroupState
 from trefoilpulley_core.proxy.group_state import MemberRecord
+from trefoilpulley_core.proxy.succession import can_choose_target
 from trefoilpulley_core.proxy.succession import choose_target
 from trefoilpulley_core.proxy.succession import Claim
 from trefoilpulley_core.proxy.succession import fencing_token
-from trefoilpulley_core.proxy.succession import holds_every_commit
-from trefoilpulley_core.proxy.succession import is_lost_to_most
+from trefoilpulley_core.proxy.succession import has_every_commit
+from trefoilpulley_core.proxy.succession import has_loss_quorum
 from trefoilpulley_core.proxy.succession import ReachReport
-from trefoilpulley_core.proxy.succession import sees_enough
 from trefoilpulley_core.proxy.upstream_session import LogStatus
 from trefoilpulley_node.proxy.claims import claim_key
 from trefoilpulley_node.proxy.claims import ClaimBook
@@ -98,7 +98,7 @@
         context: Any, answering: int, members: int, hosts: str, verdict: str
     ) -> None:
         """Check whether a side may choose."""
-        found = sees_enough(
+        found = can_choose_target(
             members, answering, _reports(hosts), context.registered
         )
         assert found is (verdict == 'may'), found
@@ -118,7 +118,7 @@
     def _judge(
         context: Any, zone: str, reports: tuple[ReachReport, ...]
     ) -> None:
-        context.is_lost = is_lost_to_most(
+        context.is_lost = has_loss_quorum(
             reports, context.registered, zone, context.is_claimed
         )
 
@@ -135,7 +135,7 @@
         context: Any, sync: int, replicas: int, answering: int, verdict: str
     ) -> None:
         """Check whether one of them has every commit."""
-        found = holds_every_commit(replicas, answering, sync)
+        found = has_every_commit(replicas, answering, sync)
         assert found is (verdict == 'are enough'), found
 
 
--- a/packages/core/src/trefoilpulley_core/proxy/commands.py
+++ b/packages/core/src/trefoilpulley_core/proxy/commands.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Assign:
+class SetValue:
     """Set a value of the session."""
 
     name: str
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
+class Deallocate:
     """Forget a prepared statement."""
 
     name: str
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class InvalidCommand:
     """A command that can't be understood."""
 
     reason: str
@@ -85,6 +85,13 @@
 
 
 Command = (
-    Begin | Commit | Rollback | Run | Assign | Prepare | Forget | Unreadable
+    Begin
+    | Commit
+    | Rollback
+    | Run
+    | SetValue
+    | Prepare
+    | Deallocate
+    | InvalidCommand
 )
 """Any command of a caller."""
--- a/packages/core/src/trefoilpulley_core/proxy/connection_holders.py
+++ b/packages/core/src/trefoilpulley_core/proxy/connection_holders.py
@@ -18,20 +18,20 @@
     from collections.abc import Mapping
     from collections.abc import Sequence
 
-CROWD_HOSTS = 24
+MAX_DIRECT_HOSTS = 24
 """Hosts above which not every host connects to every member."""
 
-SMALLEST_SHARE = 2
+MIN_CONNECTIONS_PER_HOST = 2
 """Connections that a host needs for its own: one may rest in a transaction
 while another serves.
 """
 
-HOLDER_CONNECTIONS = 5
+CONNECTIONS_PER_HOLDER = 5
 """Connections of one holder: the slots of a member and some that pause
 inside transactions.
 """
 
-MOST_HOLDERS = 8
+MAX_HOLDERS = 8
 """Hosts that hold connections to one member at most.
 
 More would spread the idle connections without taking more work off each.
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holders:
+class ConnectionHolders:
     """Hosts that hold the connections to one member."""
 
     hosts: tuple[str, ...]
@@ -47,7 +47,7 @@
     holds connections of its own.
     """
 
-    sharing: int
+    sharing_hosts: int
     """Hosts among which the member's connections are shared."""
 
 
@@ -56,7 +56,7 @@
     zone: str,
     live: Mapping[str, Sequence[str]],
     max_connections: int,
-) -> Holders:
+) -> ConnectionHolders:
     """Return the hosts that hold the connections to a member.
 
     Parameters
@@ -72,16 +72,18 @@
         Connections that the member takes.
     """
     total = sum(len(hosts) for hosts in live.values())
-    has_share = max_connections >= SMALLEST_SHARE * total
-    if total <= CROWD_HOSTS and has_share:
-        return Holders((), max(1, total))
+    has_share = max_connections >= MIN_CONNECTIONS_PER_HOST * total
+    if total <= MAX_DIRECT_HOSTS and has_share:
+        return ConnectionHolders((), max(1, total))
     near = live.get(zone) or [h for hosts in live.values() for h in hosts]
-    count = max(1, min(MOST_HOLDERS, max_connections // HOLDER_CONNECTIONS))
+    count = max(1, min(MAX_HOLDERS, max_connections // CONNECTIONS_PER_HOLDER))
     chosen = rank_hosts(group, sorted(near))[:count]
-    return Holders(chosen, len(chosen))
+    return ConnectionHolders(chosen, len(chosen))
 
 
-def order_holders(member: str, host: str, holders: Holders) -> tuple[str, ...]:
+def rank_holders(
+    member: str, host: str, holders: ConnectionHolders
+) -> tuple[str, ...]:
     """Return the holders in the order in which a host should use them.
 
     Each host has an order of its own, so that the hosts spread over the
--- a/packages/core/src/trefoilpulley_core/proxy/connection_share.py
+++ b/packages/core/src/trefoilpulley_core/proxy/connection_share.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-GROWTH_FACTOR = 2
+MAX_SHARE_FACTOR = 2
 """Connections that a host may hold at most, in shares."""
 
-LIMIT_PAUSE_S = 0.5
+REFUSAL_BACKOFF_S = 0.5
 """Time without growth after the member refused a connection."""
 
-SURPLUS_IDLE_S = 0.4
+EXCESS_IDLE_TIMEOUT_S = 0.4
 """Time after which an idle connection above the share is closed."""
 
 
@@ -27,19 +27,19 @@
         self._refused_until = float('-inf')
 
     @property
-    def equal(self) -> int:
+    def equal_share(self) -> int:
         """Connections that fall to this host."""
         return self._share
 
     @property
-    def kept(self) -> int:
+    def min_idle(self) -> int:
         """Connections that stay open while idle."""
         return max(1, self._share // 2)
 
     @property
-    def most(self) -> int:
+    def max_open(self) -> int:
         """Connections that may ever be open at once."""
-        return self._share * GROWTH_FACTOR
+        return self._share * MAX_SHARE_FACTOR
 
     def update(self, max_connections: int, hosts: int) -> None:
         """Take the member's limit and the number of live hosts."""
@@ -47,10 +47,10 @@
 
     def on_refused(self, now: float) -> None:
         """Note that the member has as many connections as it allows."""
-        self._refused_until = now + LIMIT_PAUSE_S
+        self._refused_until = now + REFUSAL_BACKOFF_S
 
     def limit(self, now: float) -> int:
         """Return the connections that may be open now."""
         if now < self._refused_until:
             return self._share
-        return self.most
+        return self.max_open
--- a/packages/core/src/trefoilpulley_core/proxy/evidence.py
+++ b/packages/core/src/trefoilpulley_core/proxy/evidence.py
@@ -19,10 +19,10 @@
 Covers a connection's set-up and a queued request at the client's link.
 """
 
-KEPT_S = 10.0
+EVIDENCE_RETENTION_S = 10.0
 """Time for which evidence is kept, in seconds; above any route's age."""
 
-SPACING_S = 0.05
+MIN_EVIDENCE_INTERVAL_S = 0.05
 """Least time between two pieces of evidence that are kept, in seconds."""
 
 
@@ -79,17 +79,17 @@
         kept = self._kept
         if kept and (at < kept[-1].at or position < kept[-1].position):
             return
-        if len(kept) > 1 and at - kept[-2].at < SPACING_S:
+        if len(kept) > 1 and at - kept[-2].at < MIN_EVIDENCE_INTERVAL_S:
             kept.pop()
         kept.append(Evidence(at, position))
-        while kept and kept[0].at < at - KEPT_S:
+        while kept and kept[0].at < at - EVIDENCE_RETENTION_S:
             kept.popleft()
 
     def find(self, since: float) -> Evidence | None:
         """Return the oldest evidence no older than a moment."""
         return next((e for e in self._kept if e.at >= since), None)
 
-    def floor_of(
+    def read_floor(
         self, route: Route, session: SessionFloor, now: float
     ) -> Evidence | None:
         """Return the floor of a read at a replica.
--- a/packages/core/src/trefoilpulley_core/proxy/flight_limit.py
+++ b/packages/core/src/trefoilpulley_core/proxy/flight_limit.py
@@ -10,50 +10,50 @@
 
 from __future__ import annotations
 
-LEAST = 1.0
+MIN_LIMIT = 1.0
 """Statements that a host may always have at a member."""
 
-SHRINK_FACTOR = 0.7
+DECREASE_FACTOR = 0.7
 """Part of the limit that is left after the member refused for load."""
 
-SHRINK_PAUSE_S = 0.1
+MIN_DECREASE_INTERVAL_S = 0.1
 """Time in which one shrinking counts, in seconds.
 
 The refusals of one full queue come together.
 """
 
 
-GROWTH = 0.1
+INCREASE_PER_FULL_LIMIT = 0.1
 """Growth for each full limit of statements served.
 
 Slow, since a member that is full shows it only after a while.
 """
 
-CROWDED_S = 0.08
+OVERLOAD_LATENCY_S = 0.08
 """Mean time of a statement that shows a queue at the member, in seconds.
 
 Some times what statements take without one.
 """
 
 
-class FlightLimit:
+class ConcurrencyLimit:
     """Grows while the member is quick, shrinks where its queue is long."""
 
     def __init__(self) -> None:
-        self._most = LEAST
+        self._max_limit = MIN_LIMIT
         self._limit: float | None = None
-        self._shrunk_at = float('-inf')
+        self._decreased_at = float('-inf')
 
     @property
     def value(self) -> int:
         """Statements that may be at the member at once."""
-        return int(self._most if self._limit is None else self._limit)
+        return int(self._max_limit if self._limit is None else self._limit)
 
-    def update(self, most: int) -> None:
+    def update(self, max_limit: int) -> None:
         """Take the number of connections that bounds it anyway."""
-        self._most = max(LEAST, float(most))
+        self._max_limit = max(MIN_LIMIT, float(max_limit))
         if self._limit is not None:
-            self._limit = min(self._limit, self._most)
+            self._limit = min(self._limit, self._max_limit)
 
     def on_served(self, expected_s: float, now: float) -> None:
         """Note a statement that the member took.
@@ -65,11 +65,11 @@
         now : float
             Present time in seconds.
         """
-        if expected_s > CROWDED_S:
-            self._shrink(self._limit or self._most, now)
+        if expected_s > OVERLOAD_LATENCY_S:
+            self._decrease(self._limit or self._max_limit, now)
         elif self._limit is not None:
-            self._limit += GROWTH / self._limit
-            if self._limit >= self._most:
+            self._limit += INCREASE_PER_FULL_LIMIT / self._limit
+            if self._limit >= self._max_limit:
                 self._limit = None
 
     def on_busy(self, in_flight: int, now: float) -> None:
@@ -83,9 +83,9 @@
             Present time in seconds.
         """
         reached = float(max(1, in_flight))
-        self._shrink(min(self._limit or self._most, reached), now)
+        self._decrease(min(self._limit or self._max_limit, reached), now)
 
-    def _shrink(self, limit: float, now: float) -> None:
-        if now - self._shrunk_at >= SHRINK_PAUSE_S:
-            self._shrunk_at = now
-            self._limit = max(LEAST, limit * SHRINK_FACTOR)
+    def _decrease(self, limit: float, now: float) -> None:
+        if now - self._decreased_at >= MIN_DECREASE_INTERVAL_S:
+            self._decreased_at = now
+            self._limit = max(MIN_LIMIT, limit * DECREASE_FACTOR)
--- a/packages/core/src/trefoilpulley_core/proxy/group_state.py
+++ b/packages/core/src/trefoilpulley_core/proxy/group_state.py
@@ -15,7 +15,7 @@
     from trefoilpulley_core.catalog import Endpoint
     from trefoilpulley_core.position import Position
 
-FIRST_LATENCY_S = 0.025
+INITIAL_LATENCY_S = 0.025
 """Time of a statement assumed before the first one, in seconds."""
 
 LATENCY_WEIGHT = 0.1
@@ -24,7 +24,7 @@
 LATENCY_HALF_LIFE_S = 2.0
 """Time in which half of what was seen of a member's speed fades."""
 
-FIRST_LAG_S = 0.15
+INITIAL_LAG_S = 0.15
 """Lag assumed of a replica before it has answered, in seconds."""
 
 MAX_LAG_S = 4.0
@@ -33,13 +33,13 @@
 LAG_HALF_LIFE_S = 0.6
 """Time in which half of a refusal for lag fades, in seconds."""
 
-HELD_WEIGHT = 0.2
+LAG_WEIGHT = 0.2
 """Weight of a floor that was held in the lag that is expected."""
 
-BEHIND_PAUSE_S = 0.25
+LAG_AVOIDANCE_S = 0.25
 """Time for which a replica that was behind is not asked, in seconds."""
 
-BUSY_PAUSE_S = 0.02
+BUSY_AVOIDANCE_S = 0.02
 """Time for which a member that refused for load is avoided, in seconds."""
 
 
@@ -80,22 +80,22 @@
 
     def __init__(self, record: MemberRecord) -> None:
         self.record = record
-        self.latency_s = FIRST_LATENCY_S
+        self.latency_s = INITIAL_LATENCY_S
         """Recent mean time of a statement, in seconds."""
 
-        self.served_at = float('-inf')
+        self.last_served_at = float('-inf')
         """Time of the last statement that was served, in seconds."""
 
-        self.lag_s = FIRST_LAG_S
-        """Age of a floor that the member held, as of ``behind_at``."""
+        self.lag_s = INITIAL_LAG_S
+        """Age of a floor that the member held, as of ``last_missing_at``."""
 
-        self.behind_at = float('-inf')
+        self.last_missing_at = float('-inf')
         """Time of the last refusal for lag, in seconds."""
 
         self.in_flight = 0
         """Statements of this host at the member."""
 
-        self.silent_since = float('-inf')
+        self.unanswered_since = float('-inf')
         """Time since which statements have been in flight, in seconds."""
 
         self.last_answer_at = float('-inf')
@@ -124,15 +124,15 @@
         """Note how long a statement took."""
         self.latency_s = self.expected_s(now)
         self.latency_s += LATENCY_WEIGHT * (duration_s - self.latency_s)
-        self.served_at = now
+        self.last_served_at = now
 
-    def on_told(self, expected_s: float, now: float) -> None:
+    def on_reported_latency(self, expected_s: float, now: float) -> None:
         """Take the time of a statement that another host expects.
 
         That host sees more statements at the member than this one.
         """
         self.latency_s = expected_s
-        self.served_at = now
+        self.last_served_at = now
 
     def expected_s(self, now: float) -> float:
         """Return the expected time of a statement, in seconds.
@@ -140,11 +140,11 @@
         What was seen fades while the member is not used, so that one
         that was slow is tried again.
         """
-        age_s = now - self.served_at
+        age_s = now - self.last_served_at
         if age_s <= 0:
             return self.latency_s
         kept = 0.5 ** (age_s / LATENCY_HALF_LIFE_S)
-        return FIRST_LATENCY_S + kept * (self.latency_s - FIRST_LATENCY_S)
+        return INITIAL_LATENCY_S + kept * (self.latency_s - INITIAL_LATENCY_S)
 
     def expected_lag_s(self, now: float) -> float:
         """Return the age of a floor that the member should hold.
@@ -152,24 +152,24 @@
         A refusal fades, since a replica that is not asked never shows
         that it has caught up.
         """
-        age_s = now - self.behind_at
+        age_s = now - self.last_missing_at
         kept = 0.5 ** (max(0.0, age_s) / LAG_HALF_LIFE_S)
-        return FIRST_LAG_S + kept * (self.lag_s - FIRST_LAG_S)
+        return INITIAL_LAG_S + kept * (self.lag_s - INITIAL_LAG_S)
 
-    def on_behind(self, floor_age_s: float, now: float) -> None:
+    def on_floor_missing(self, floor_age_s: float, now: float) -> None:
         """Note that the member lacked a floor of an age."""
         self.lag_s = max(
             self.expected_lag_s(now), min(2 * floor_age_s, MAX_LAG_S)
         )
-        self.behind_at = now
-        self.avoid_until = now + BEHIND_PAUSE_S
+        self.last_missing_at = now
+        self.avoid_until = now + LAG_AVOIDANCE_S
 
-    def on_held(self, floor_age_s: float) -> None:
+    def on_floor_held(self, floor_age_s: float) -> None:
         """Note that the member held a floor of an age."""
         if floor_age_s < self.lag_s:
-            self.lag_s += HELD_WEIGHT * (floor_age_s - self.lag_s)
+            self.lag_s += LAG_WEIGHT * (floor_age_s - self.lag_s)
 
-    def note_leaving(self, now: float) -> None:
+    def update_leaving(self, now: float) -> None:
         """Note that the member is about to stop, or no longer is."""
         if not self.record.is_leaving:
             self.leaving_since = None
@@ -178,7 +178,7 @@
 
     def on_busy(self, now: float) -> None:
         """Note that the member refused work for load."""
-        self.avoid_until = max(self.avoid_until, now + BUSY_PAUSE_S)
+        self.avoid_until = max(self.avoid_until, now + BUSY_AVOIDANCE_S)
 
     def on_unreachable(self, now: float) -> None:
         """Note that the member did not answer."""
@@ -209,13 +209,13 @@
         self.evidence = EvidenceLog()
         """Proved positions."""
 
-        self.proved_at = float('-inf')
+        self.last_proof_at = float('-inf')
         """Time at which the last proof's request left, in seconds."""
 
-        self.change_due_at = float('-inf')
+        self.failover_due_at = float('-inf')
         """Time at which a change of primary should be over."""
 
-        self.hopeless_until = float('-inf')
+        self.no_failover_until = float('-inf')
         """Time until which no change of primary is coming."""
 
         self.asked_at = float('-inf')
@@ -239,7 +239,7 @@
         if self.primary not in self.members:
             self.primary = self._listed_primary()
 
-    def on_proof(
+    def on_leadership_proof(
         self, member: str, sent_at: float, position: Position
     ) -> bool:
         """Note that a member has proved to lead.
@@ -260,7 +260,7 @@
         """
         self.term = max(self.term, position.term)
         self.evidence.record(sent_at, position)
-        self.proved_at = max(self.proved_at, sent_at)
+        self.last_proof_at = max(self.last_proof_at, sent_at)
         is_change = self.primary != member
         self.primary = member
         return is_change
@@ -270,7 +270,7 @@
         if self.primary == member:
             self.primary = None
 
-    def others(self, member: str | None) -> tuple[str, ...]:
+    def members_except(self, member: str | None) -> tuple[str, ...]:
         """Return the members but one."""
         return tuple(m for m in self.members if m != member)
 
--- a/packages/core/src/trefoilpulley_core/proxy/isolation.py
+++ b/packages/core/src/trefoilpulley_core/proxy/isolation.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-ISOLATED_AFTER_S = 0.3
+ISOLATION_DELAY_S = 0.3
 """Time for which a host must look cut off, in seconds.
 
 Longer than two rounds of looking around.
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class Reachability:
     """What a host reaches at one moment."""
 
     groups: int
@@ -30,30 +30,30 @@
     hosts: int
     """Registered hosts, this one included."""
 
-    hosts_reached: int
+    reachable_hosts: int
     """Hosts that answer, this one included."""
 
     @property
-    def looks_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether it is this host, not the others, that is cut off.
 
         The platform's service says nothing here: a watch that waits on a
         link that was cut looks like one that waits for news.
         """
-        if not self.groups or 2 * self.hosts_reached > self.hosts:
+        if not self.groups or 2 * self.reachable_hosts > self.hosts:
             return False
         return 2 * self.groups_lost > self.groups
 
 
-class Isolation:
+class IsolationDetector:
     """Tells a cut that lasts from a short disturbance."""
 
     def __init__(self) -> None:
         self._since: float | None = None
 
-    def update(self, seen: Surroundings, now: float) -> None:
+    def update(self, seen: Reachability, now: float) -> None:
         """Take what the host reaches now."""
-        if not seen.looks_cut_off:
+        if not seen.is_isolated:
             self._since = None
         elif self._since is None:
             self._since = now
@@ -62,4 +62,4 @@
         """Return for how long the host has counted as cut off; 0 if not."""
         if self._since is None:
             return 0.0
-        return max(0.0, now - self._since - ISOLATED_AFTER_S)
+        return max(0.0, now - self._since - ISOLATION_DELAY_S)
--- a/packages/core/src/trefoilpulley_core/proxy/placement.py
+++ b/packages/core/src/trefoilpulley_core/proxy/placement.py
@@ -12,23 +12,23 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from trefoilpulley_core.proxy.group_state import BEHIND_PAUSE_S
+from trefoilpulley_core.proxy.group_state import LAG_AVOIDANCE_S
 
 if TYPE_CHECKING:
     from trefoilpulley_core.proxy.evidence import Evidence
     from trefoilpulley_core.proxy.group_state import GroupState
     from trefoilpulley_core.proxy.group_state import MemberHealth
 
-PRIMARY_FACTOR = 4.0
+PRIMARY_COST_FACTOR = 4.0
 """Cost of a primary against a replica: its slots serve the writes."""
 
-OTHER_ZONE_S = 0.004
+OTHER_ZONE_COST_S = 0.004
 """Cost of a member in another availability zone, in seconds."""
 
 IN_FLIGHT_WEIGHT = 0.5
 """Part of a statement's time that each one in flight adds."""
 
-AVOIDED_S = 10.0
+AVOIDED_COST_S = 10.0
 """Cost of a member that refused or failed a moment ago, in seconds."""
 
 
@@ -76,12 +76,12 @@
             continue
         cost_s = _cost_s(health, zone, now)
         if is_primary:
-            cost_s *= PRIMARY_FACTOR
-        elif _may_lack(health, floor, now):
-            if now - health.behind_at < BEHIND_PAUSE_S:
+            cost_s *= PRIMARY_COST_FACTOR
+        elif _may_lack_floor(health, floor, now):
+            if now - health.last_missing_at < LAG_AVOIDANCE_S:
                 # It has just refused such a floor to another read.
                 continue
-            cost_s += AVOIDED_S
+            cost_s += AVOIDED_COST_S
         if cost_s < best_s:
             best = Placement(name, None if is_primary else floor)
             best_s = cost_s
@@ -91,13 +91,13 @@
 def _cost_s(health: MemberHealth, zone: str, now: float) -> float:
     cost_s = health.expected_s(now) * (1 + IN_FLIGHT_WEIGHT * health.in_flight)
     if health.record.zone != zone:
-        cost_s += OTHER_ZONE_S
+        cost_s += OTHER_ZONE_COST_S
     if now < health.avoid_until:
-        cost_s += AVOIDED_S
+        cost_s += AVOIDED_COST_S
     return cost_s
 
 
-def _may_lack(health: MemberHealth, floor: Evidence, now: float) -> bool:
+def _may_lack_floor(health: MemberHealth, floor: Evidence, now: float) -> bool:
     """Return whether a replica may not hold a floor yet."""
     if floor.position <= health.position:
         return False
--- a/packages/core/src/trefoilpulley_core/proxy/platform_documents.py
+++ b/packages/core/src/trefoilpulley_core/proxy/platform_documents.py
@@ -27,11 +27,11 @@
         """Prefix of the members' entries."""
 
     @abc.abstractmethod
-    def read_routes(self, value: bytes) -> Result[RouteTable, Failure]:
+    def decode_routes(self, value: bytes) -> Result[RouteTable, Failure]:
         """Decode the configuration, or fail with ``MalformedMessage``."""
 
     @abc.abstractmethod
-    def read_member(
+    def decode_member(
         self, key: str, value: bytes
     ) -> Result[MemberRecord, Failure]:
         """Decode a member's entry, or fail with ``MalformedMessage``."""
--- a/packages/core/src/trefoilpulley_core/proxy/routes.py
+++ b/packages/core/src/trefoilpulley_core/proxy/routes.py
@@ -74,8 +74,8 @@
     groups: Mapping[str, GroupLimits] = field(default_factory=dict)
     """Limits by group name."""
 
-    transaction_idle_s: float = 3.0
+    transaction_idle_timeout_s: float = 3.0
     """Time after which an idle transaction is rolled back, in seconds."""
 
-    message_bytes: int = 1 << 20
+    max_message_bytes: int = 1 << 20
     """Longest message of a caller, in bytes."""
--- a/packages/core/src/trefoilpulley_core/proxy/session_state.py
+++ b/packages/core/src/trefoilpulley_core/proxy/session_state.py
@@ -14,7 +14,7 @@
     from trefoilpulley_core.proxy.commands import Prepare
     from trefoilpulley_core.proxy.upstream_session import Call
 
-ALIASES_LIMIT = 256
+MAX_ALIASES = 256
 """Prepared statements kept on one connection before it is reset."""
 
 
@@ -39,7 +39,7 @@
     aliases: set[str] = field(default_factory=set)
     """Prepared statements by their name on the connection."""
 
-    def fits(self, session: SessionState) -> bool:
+    def has_values_of(self, session: SessionState) -> bool:
         """Return whether no value has to change for a session."""
         return self.values == session.values
 
@@ -91,6 +91,6 @@
 
 
 def _must_reset(conn: ConnectionState, session: SessionState) -> bool:
-    if len(conn.aliases) >= ALIASES_LIMIT:
+    if len(conn.aliases) >= MAX_ALIASES:
         return True
     return any(name not in session.values for name in conn.values)
--- a/packages/core/src/trefoilpulley_core/proxy/succession.py
+++ b/packages/core/src/trefoilpulley_core/proxy/succession.py
@@ -21,17 +21,17 @@
 loses the race sees the claim before its own turn.
 """
 
-RANK_DELAY_ALONE_S = 0.6
+RANK_DELAY_NO_SERVICE_S = 0.6
 """The same while the service is out and no claim can be seen."""
 
-JURORS_A_ZONE = 4
+VOTERS_PER_ZONE = 4
 """Hosts of each availability zone that vote on the loss of a primary.
 
 Every host of a deployment of some ten hosts; in a larger one some of those
 that hold connections to the group's members.
 """
 
-FENCE_HOLDERS = 1 << 20
+FENCING_TOKENS_PER_ROUND = 1 << 20
 """Fencing tokens of one round; one a holder, told apart by its lease."""
 
 
@@ -91,10 +91,13 @@
     Two holders never share a token, also where neither could see the
     other's claim.
     """
-    return round_number * FENCE_HOLDERS + holder_id % FENCE_HOLDERS
+    return (
+        round_number * FENCING_TOKENS_PER_ROUND
+        + holder_id % FENCING_TOKENS_PER_ROUND
+    )
 
 
-def choose_jury(group: str, registered: Mapping[str, str]) -> dict[str, str]:
+def choose_voters(group: str, registered: Mapping[str, str]) -> dict[str, str]:
     """Return the hosts that vote on a group's primary, with their zones.
 
     Load pattern: a primary that is slow or lost is missed by every host
@@ -120,28 +123,28 @@
     jurors = [
         host
         for hosts in zones.values()
-        for host in rank_hosts(group, sorted(hosts))[:JURORS_A_ZONE]
+        for host in rank_hosts(group, sorted(hosts))[:VOTERS_PER_ZONE]
     ]
     ranked = rank_hosts(group, sorted(jurors))
     return {host: registered[host] for host in ranked}
 
 
-def act_delay_s(
+def failover_delay_s(
     group: str, host: str, registered: Mapping[str, str], is_service_out: bool
 ) -> float:
     """Return how long a host gives those before it in rank.
 
     Jurors go first; the others only act where no juror does.
     """
-    each_s = RANK_DELAY_ALONE_S if is_service_out else RANK_DELAY_S
-    jury = list(choose_jury(group, registered))
+    each_s = RANK_DELAY_NO_SERVICE_S if is_service_out else RANK_DELAY_S
+    jury = list(choose_voters(group, registered))
     if host in jury:
         return jury.index(host) * each_s
     others = rank_hosts(group, sorted({*registered, host} - {*jury}))
     return (len(jury) + others.index(host)) * each_s
 
 
-def is_lost_to_most(
+def has_loss_quorum(
     reports: Iterable[ReachReport],
     registered: Mapping[str, str],
     zone: str,
@@ -171,7 +174,7 @@
     return 2 * lost > max(len(voters | set(answers)), 1 + len(answers))
 
 
-def sees_enough(
+def can_choose_target(
     members: int,
     answering: int,
     reports: Iterable[ReachReport],
@@ -187,9 +190,7 @@
     return len({r.host for r in reports}) + 1 >= len(registered)
 
 
-def holds_every_commit(
-    replicas: int, answering: int, synchronous: int
-) -> bool:
+def has_every_commit(replicas: int, answering: int, synchronous: int) -> bool:
     """Return whether one of the answering replicas has every commit.
 
     Where a commit is acknowledged once ``synchronous`` replicas have
--- a/packages/core/src/trefoilpulley_core/proxy/waiting_line.py
+++ b/packages/core/src/trefoilpulley_core/proxy/waiting_line.py
@@ -13,18 +13,18 @@
 import heapq
 from typing import Any
 
-HOLD_WEIGHT = 0.1
+HOLD_TIME_WEIGHT = 0.1
 """Weight of a new hold in the mean time that work holds a connection."""
 
-FIRST_HOLD_S = 0.03
+INITIAL_HOLD_S = 0.03
 """Time that work is taken to hold a connection at first, in seconds."""
 
-WAITING_LIMIT = 200
+MAX_QUEUE_LENGTH = 200
 """Pieces of work that may wait for one member at one host."""
 
 
 @dataclass(order=True, slots=True)
-class WaitingWork:
+class QueuedWork:
     """One piece of work that waits."""
 
     priority: int
@@ -43,41 +43,41 @@
     """Whether it was served or gave up."""
 
 
-class WaitingLine:
+class ConnectionQueue:
     """Line of work for the connections of one member."""
 
     def __init__(self) -> None:
-        self._heap: list[WaitingWork] = []
+        self._heap: list[QueuedWork] = []
         self._count = 0
         self._waiting = 0
-        self.hold_s = FIRST_HOLD_S
+        self.mean_hold_s = INITIAL_HOLD_S
         """Mean time that work holds a connection, in seconds."""
 
     def __len__(self) -> int:
         return self._waiting
 
-    def on_held(self, held_s: float) -> None:
+    def on_released(self, held_s: float) -> None:
         """Learn how long a piece of work held its connection."""
-        self.hold_s += HOLD_WEIGHT * (held_s - self.hold_s)
+        self.mean_hold_s += HOLD_TIME_WEIGHT * (held_s - self.mean_hold_s)
 
     def expected_wait_s(
-        self, priority: int, servers: int, hold_s: float
+        self, priority: int, servers: int, mean_hold_s: float
     ) -> float:
         """Return the expected wait of new work, in seconds."""
         ahead = sum(
             1 for w in self._heap if not w.is_done and w.priority <= priority
         )
-        return (ahead + 1) * hold_s / max(1, servers)
+        return (ahead + 1) * mean_hold_s / max(1, servers)
 
-    def join(
+    def enqueue(
         self,
         priority: int,
         deadline: float,
         now: float,
         servers: int,
-        hold_s: float,
+        mean_hold_s: float,
         handle: Any,
-    ) -> WaitingWork | None:
+    ) -> QueuedWork | None:
         """Add work, or return ``None`` where it would come too late.
 
         Parameters
@@ -90,29 +90,29 @@
             Present time in seconds.
         servers : int
             Pieces of work that are served at once.
-        hold_s : float
+        mean_hold_s : float
             Mean time that serving one takes, in seconds.
         handle : Any
             What the caller of the line needs to go on.
         """
-        if self._waiting >= WAITING_LIMIT:
+        if self._waiting >= MAX_QUEUE_LENGTH:
             return None
-        wait_s = self.expected_wait_s(priority, servers, hold_s)
+        wait_s = self.expected_wait_s(priority, servers, mean_hold_s)
         if now + wait_s > deadline:
             return None
         self._count += 1
-        work = WaitingWork(priority, deadline, self._count, handle)
+        work = QueuedWork(priority, deadline, self._count, handle)
         heapq.heappush(self._heap, work)
         self._waiting += 1
         return work
 
-    def leave(self, work: WaitingWork) -> None:
+    def remove(self, work: QueuedWork) -> None:
         """Take work out that has given up."""
         if not work.is_done:
             work.is_done = True
             self._waiting -= 1
 
-    def take(self, now: float) -> WaitingWork | None:
+    def pop(self, now: float) -> QueuedWork | None:
         """Return the next work that is still in time, or ``None``."""
         while self._heap:
             work = heapq.heappop(self._heap)
@@ -124,7 +124,7 @@
                 return work
         return None
 
-    def drain(self) -> tuple[WaitingWork, ...]:
+    def drain(self) -> tuple[QueuedWork, ...]:
         """Remove and return all work."""
         left = [w for w in self._heap if not w.is_done]
         for work in left:
--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_session.py
@@ -10,14 +10,14 @@
 from trefoilpulley_core.failure import OutcomeUnknown
 from trefoilpulley_core.failure import RunState
 from trefoilpulley_core.failure import UnknownDatabase
-from trefoilpulley_core.proxy.commands import Assign
 from trefoilpulley_core.proxy.commands import Begin
 from trefoilpulley_core.proxy.commands import Commit
-from trefoilpulley_core.proxy.commands import Forget
+from trefoilpulley_core.proxy.commands import Deallocate
+from trefoilpulley_core.proxy.commands import InvalidCommand
 from trefoilpulley_core.proxy.commands import Prepare
 from trefoilpulley_core.proxy.commands import Rollback
 from trefoilpulley_core.proxy.commands import Run
-from trefoilpulley_core.proxy.commands import Unreadable
+from trefoilpulley_core.proxy.commands import SetValue
 from trefoilpulley_core.proxy.evidence import SessionFloor
 from trefoilpulley_core.proxy.session_state import SessionState
 from trefoilpulley_core.proxy.upstream_session import CommandRefused
@@ -146,9 +146,9 @@
         return TransactionState.OPEN
 
     @property
-    def transaction_idle_s(self) -> float:
+    def transaction_idle_timeout_s(self) -> float:
         """Time after which an idle transaction ends, in seconds."""
-        return self._parts.directory.table.transaction_idle_s
+        return self._parts.directory.table.transaction_idle_timeout_s
 
     def handle(self, command: Command) -> Reply:
         """Carry out one command and return its answer."""
@@ -190,9 +190,9 @@
                 return self._on_commit(command)
             case Rollback():
                 return self._on_rollback()
-            case Assign() | Prepare() | Forget():
+            case SetValue() | Prepare() | Deallocate():
                 return self._on_setting(command)
-            case Unreadable():
+            case InvalidCommand():
                 return self._refuse(CommandRefused(command.reason))
 
     def _on_run(self, run: Run) -> Reply:
@@ -254,11 +254,11 @@
         transaction.roll_back()
         return Reply()
 
-    def _on_setting(self, command: Assign | Prepare | Forget) -> Reply:
+    def _on_setting(self, command: SetValue | Prepare | Deallocate) -> Reply:
         if self._transaction is not None and self._transaction.is_failed:
             return self._refuse(CommandRefused('transaction has failed'))
         state = self._state
-        if isinstance(command, Forget):
+        if isinstance(command, Deallocate):
             if state.prepared.pop(command.name, None) is None:
                 return self._refuse(UnknownStatement(command.name))
         elif len(state.values) + len(state.prepared) >= VALUES_LIMIT:
--- a/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
@@ -218,7 +218,7 @@
         state = work.group.state
         health = state.members.get(place.member)
         if isinstance(failure, ReplicaBehind) and place.floor and health:
-            health.on_behind(now - place.floor.at, now)
+            health.on_floor_missing(now - place.floor.at, now)
         if isinstance(failure, NotPrimary) and place.floor is None:
             state.on_not_leading(place.member)
             work.group.attention.set()
@@ -241,7 +241,7 @@
         now = self._clock.now()
         floor: Evidence | None = None
         if self._is_read_only:
-            floor = state.evidence.floor_of(work.route, work.floor, now)
+            floor = state.evidence.read_floor(work.route, work.floor, now)
         if self._primary_wait.is_lost(work.group) and state.primary:
             excluded = excluded | {state.primary}
         return place_read(state, floor, self._zone, excluded, now)
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -158,13 +158,13 @@
         for key in [k for k in self._leases if k[0] == peer.connection]:
             self._give_up(key)
 
-    def end_idle(self, transaction_idle_s: float) -> None:
+    def end_idle(self, transaction_idle_timeout_s: float) -> None:
         """End the leases of hosts that fell silent."""
         now = self._clock.now()
         self._ended = {
             k: t for k, t in self._ended.items() if now - t < ENDED_KEPT_S
         }
-        oldest = now - transaction_idle_s - LEASE_MARGIN_S
+        oldest = now - transaction_idle_timeout_s - LEASE_MARGIN_S
         for key, lease in list(self._leases.items()):
             if lease.used_at < oldest and not lease.is_running:
                 self._give_up(key)
--- a/packages/node/src/trefoilpulley_node/proxy/exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/exchange.py
@@ -60,7 +60,7 @@
         timeout_s = max(0.001, deadline - sent_at)
         health.in_flight += 1
         if health.in_flight == 1:
-            health.silent_since = sent_at
+            health.unanswered_since = sent_at
         in_flight = health.in_flight
         try:
             done = conn.exchange(calls, timeout_s, setting)
@@ -152,7 +152,7 @@
 ) -> None:
     """Note that a pool's member has proved to lead its group."""
     member = pool.health.record.member
-    if group.state.on_proof(member, sent_at, position):
+    if group.state.on_leadership_proof(member, sent_at, position):
         group.on_primary()
 
 
--- a/packages/node/src/trefoilpulley_node/proxy/host_vote.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_vote.py
@@ -6,8 +6,8 @@
 
 import gevent
 
-from trefoilpulley_core.proxy.succession import choose_jury
-from trefoilpulley_core.proxy.succession import is_lost_to_most
+from trefoilpulley_core.proxy.succession import choose_voters
+from trefoilpulley_core.proxy.succession import has_loss_quorum
 from trefoilpulley_core.proxy.succession import ReachQuestion
 from trefoilpulley_core.proxy.succession import ReachReport
 
@@ -98,7 +98,7 @@
 
     def jury(self, group: Group) -> dict[str, str]:
         """Return the zones of the hosts that vote, this one included."""
-        jury = choose_jury(group.state.group, self._registered())
+        jury = choose_voters(group.state.group, self._registered())
         jury.setdefault(self._host, self._registered()[self._host])
         return jury
 
@@ -127,7 +127,7 @@
         """Return whether enough hosts miss a member."""
         health = group.state.members.get(lost)
         zone = health.record.zone if health else ''
-        return is_lost_to_most(reports, self.jury(group), zone, is_claimed)
+        return has_loss_quorum(reports, self.jury(group), zone, is_claimed)
 
     def on_reach_question(self, question: ReachQuestion) -> ReachReport:
         """Return whether a member answers this host."""
--- a/packages/node/src/trefoilpulley_node/proxy/member_access.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_access.py
@@ -14,7 +14,7 @@
     from returns.result import Result
 
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.connection_holders import Holders
+    from trefoilpulley_core.proxy.connection_holders import ConnectionHolders
     from trefoilpulley_core.proxy.group_state import MemberHealth
     from trefoilpulley_core.proxy.session_state import SessionState
     from trefoilpulley_core.proxy.upstream_session import Reply
@@ -55,10 +55,10 @@
         """Hosts to reach the member through; none with own connections."""
         return self._relayed.holders if self.is_relayed else ()
 
-    def update(self, max_connections: int, holders: Holders) -> None:
+    def update(self, max_connections: int, holders: ConnectionHolders) -> None:
         """Take the member's limit and the hosts that share it."""
-        self.own.share.update(max_connections, holders.sharing)
-        self.own.flight.update(self.own.share.most)
+        self.own.share.update(max_connections, holders.sharing_hosts)
+        self.own.flight.update(self.own.share.max_open)
         if self._relayed is not None:
             self._relayed.update(holders)
 
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -15,13 +15,13 @@
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_core.proxy.connection_share import ConnectionShare
-from trefoilpulley_core.proxy.connection_share import SURPLUS_IDLE_S
-from trefoilpulley_core.proxy.flight_limit import FlightLimit
+from trefoilpulley_core.proxy.connection_share import EXCESS_IDLE_TIMEOUT_S
+from trefoilpulley_core.proxy.flight_limit import ConcurrencyLimit
 from trefoilpulley_core.proxy.session_state import ConnectionState
 from trefoilpulley_core.proxy.session_state import plan_setup
 from trefoilpulley_core.proxy.upstream_session import ConnectionLimitReached
 from trefoilpulley_core.proxy.upstream_session import UnknownStatement
-from trefoilpulley_core.proxy.waiting_line import WaitingLine
+from trefoilpulley_core.proxy.waiting_line import ConnectionQueue
 from trefoilpulley_node.proxy.lent_session import LentSession
 from trefoilpulley_node.proxy.lent_session import SetupFailed
 
@@ -38,7 +38,7 @@
     from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_core.proxy.upstream_session import UpstreamDialer
     from trefoilpulley_core.proxy.upstream_session import UpstreamSession
-    from trefoilpulley_core.proxy.waiting_line import WaitingWork
+    from trefoilpulley_core.proxy.waiting_line import QueuedWork
     from trefoilpulley_node.proxy.lent_session import SessionSetting
 
 DIAL_TIMEOUT_S = 0.4
@@ -113,7 +113,7 @@
         self.share = ConnectionShare()
         """Connections that this host may open."""
 
-        self.flight = FlightLimit()
+        self.flight = ConcurrencyLimit()
         """Statements that may be at the member at once."""
 
         self.is_kept = True
@@ -122,7 +122,7 @@
         self._dialer = dialer
         self._clock = clock
         self._idle: list[PooledSession] = []
-        self._line = WaitingLine()
+        self._line = ConnectionQueue()
         self._open = 0
         self._handed = 0
         self._is_closed = False
@@ -198,11 +198,11 @@
     def release(self, conn: PooledSession) -> None:
         """Take a connection back for the next work."""
         now = self._clock.now()
-        self._line.on_held(now - conn.since)
+        self._line.on_released(now - conn.since)
         if not conn.is_usable or self._is_closed:
             self._drop(conn)
             return
-        if self._open > self.share.most:
+        if self._open > self.share.max_open:
             self._drop(conn)
             return
         conn.since = now
@@ -216,7 +216,7 @@
             can_dial = self._open < self.share.limit(now)
             if not self._idle and not can_dial:
                 return
-            work = self._line.take(now)
+            work = self._line.pop(now)
             if work is None:
                 return
             conn = self._idle.pop() if self._idle else None
@@ -250,7 +250,7 @@
     def trim(self, now: float) -> None:
         """Close idle connections that are not kept."""
         while self._idle and self._open > self._kept:
-            if now - self._idle[0].since < SURPLUS_IDLE_S:
+            if now - self._idle[0].since < EXCESS_IDLE_TIMEOUT_S:
                 return
             self._drop(self._idle.pop(0))
 
@@ -267,7 +267,7 @@
 
     @property
     def _kept(self) -> int:
-        return self.share.kept if self.is_kept else 0
+        return self.share.min_idle if self.is_kept else 0
 
     def _take_idle(self, session: SessionState) -> PooledSession | None:
         while self._idle:
@@ -280,7 +280,7 @@
 
     def _pick(self, session: SessionState) -> PooledSession:
         for i in range(len(self._idle) - 1, -1, -1):
-            if self._idle[i].state.fits(session):
+            if self._idle[i].state.has_values_of(session):
                 return self._idle.pop(i)
         return self._idle.pop()
 
@@ -324,34 +324,34 @@
 
     def _join(
         self, priority: int, turn_by: float, now: float
-    ) -> WaitingWork | None:
+    ) -> QueuedWork | None:
         """Wait for a turn; ``None`` where it would come too late."""
         if self._has_room:
-            servers, hold_s = self._open, self._line.hold_s
+            servers, mean_hold_s = self._open, self._line.mean_hold_s
         else:
             servers = self.flight.value
-            hold_s = self.health.expected_s(now)
-        return self._line.join(
-            priority, turn_by, now, servers, hold_s, AsyncResult()
+            mean_hold_s = self.health.expected_s(now)
+        return self._line.enqueue(
+            priority, turn_by, now, servers, mean_hold_s, AsyncResult()
         )
 
     def _wait(
         self, priority: int, deadline: float, wait_s: float
     ) -> PooledSession | None:
         now = self._clock.now()
-        work = self._line.join(
-            priority, deadline, now, 1, self._line.hold_s, AsyncResult()
+        work = self._line.enqueue(
+            priority, deadline, now, 1, self._line.mean_hold_s, AsyncResult()
         )
         if work is None:
             return None
         return self._await(work, wait_s)
 
-    def _await(self, work: WaitingWork, wait_s: float) -> PooledSession | None:
+    def _await(self, work: QueuedWork, wait_s: float) -> PooledSession | None:
         try:
             conn = work.handle.get(timeout=wait_s)
         except Timeout:
             if not work.is_done:
-                self._line.leave(work)
+                self._line.remove(work)
                 return None
             # Its turn came in the same moment.
             conn = work.handle.get()
@@ -361,10 +361,10 @@
         self._handed -= 1
         return conn
 
-    def _give_up(self, work: WaitingWork) -> None:
+    def _give_up(self, work: QueuedWork) -> None:
         """Let nothing be lost that was handed to work that has ended."""
         if not work.is_done:
-            self._line.leave(work)
+            self._line.remove(work)
             return
         self._handed -= 1
         conn = work.handle.get()
--- a/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
@@ -193,7 +193,7 @@
             self._revisions.pop(entry.key, None)
 
     def _on_routes(self, entry: KeyValue) -> None:
-        read = self._documents.read_routes(entry.value)
+        read = self._documents.decode_routes(entry.value)
         if isinstance(read, Success):
             self._directory.set_routes(read.unwrap())
         else:
@@ -202,7 +202,7 @@
     def _on_member(self, entry: KeyValue) -> None:
         member = entry.key.removeprefix(self._documents.members_prefix)
         if entry.value:
-            read = self._documents.read_member(entry.key, entry.value)
+            read = self._documents.decode_member(entry.key, entry.value)
             if isinstance(read, Success):
                 self._removals.pop(member, None)
                 self._directory.set_member(read.unwrap())
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -10,12 +10,12 @@
 from trefoilpulley_core.platform import PlatformAnswerLost
 from trefoilpulley_core.platform import RevisionConflict
 from trefoilpulley_core.proxy.promotion_service import PromotionRefused
-from trefoilpulley_core.proxy.succession import act_delay_s
+from trefoilpulley_core.proxy.succession import can_choose_target
 from trefoilpulley_core.proxy.succession import choose_target
+from trefoilpulley_core.proxy.succession import failover_delay_s
 from trefoilpulley_core.proxy.succession import fencing_token
-from trefoilpulley_core.proxy.succession import holds_every_commit
+from trefoilpulley_core.proxy.succession import has_every_commit
 from trefoilpulley_core.proxy.succession import LeaderNotice
-from trefoilpulley_core.proxy.succession import sees_enough
 from trefoilpulley_node import events
 
 if TYPE_CHECKING:
@@ -135,7 +135,7 @@
         """
         now = self._clock.now()
         state = group.state
-        if now < state.change_due_at:
+        if now < state.failover_due_at:
             return
         if now < self._kept_until.get(state.group, now):
             return
@@ -143,14 +143,16 @@
         if not self._wait_turn(group, after_round, is_service_out=False):
             return
         asked = gevent.spawn(self._vote.ask, group, lost)
-        statuses = self._prober.read_statuses(group, state.others(lost))
+        statuses = self._prober.read_statuses(
+            group, state.members_except(lost)
+        )
         reports = asked.get()
         if lost and not self._vote.is_lost(group, lost, reports, True):
             self._keep(group, lost, reports)
             return
         if self._has_leader(group, lost, statuses):
             return
-        if not sees_enough(
+        if not can_choose_target(
             len(state.members), len(statuses), reports, self._vote.jury(group)
         ):
             self._pause(group)
@@ -173,7 +175,7 @@
     def hand_over(self, group: Group, leaving: str) -> None:
         """Move the lead away from a primary that is about to stop."""
         state = group.state
-        if self._clock.now() < state.change_due_at:
+        if self._clock.now() < state.failover_due_at:
             return
         after_round = self._claims.last_round(state.group)
         if not self._wait_turn(group, after_round, is_service_out=False):
@@ -210,7 +212,7 @@
         """Leave a group alone for a while; nobody need wait for it."""
         until = self._clock.now() + KEPT_PAUSE_S
         self._kept_until[group.state.group] = until
-        group.state.hopeless_until = until
+        group.state.no_failover_until = until
 
     def _choose_held(
         self,
@@ -226,7 +228,7 @@
         synchronous = group.synchronous_replicas
         held = self._prober.hold(group, statuses)
         replicas = len(group.state.members) - 1
-        if holds_every_commit(replicas, len(held), synchronous):
+        if has_every_commit(replicas, len(held), synchronous):
             return choose_target(group.state, held)
         self._prober.resume(group, statuses)
         events.PRIMARY_KEPT.log(
@@ -256,13 +258,13 @@
     ) -> bool:
         """Give the hosts before this one their head start."""
         state = group.state
-        delay_s = act_delay_s(
+        delay_s = failover_delay_s(
             state.group, self._host, self._registered(), is_service_out
         )
         gevent.sleep(delay_s)
         if self._claims.last_round(state.group) != after_round:
             return False
-        return self._clock.now() >= state.change_due_at
+        return self._clock.now() >= state.failover_due_at
 
     def _has_leader(
         self, group: Group, lost: str | None, statuses: dict[str, LogStatus]
@@ -304,7 +306,7 @@
         began_at = self._clock.now()
         if not self._order(group, target, round_number):
             return
-        state.change_due_at = self._clock.now() + PROMOTION_S
+        state.failover_due_at = self._clock.now() + PROMOTION_S
         if old is not None:
             self._demote(group, *old)
         is_over = self._await_lead(group, target)
@@ -317,7 +319,7 @@
                 group=state.group, member=target, took_ms=round(1000 * took_s)
             )
             self._tell_hosts(group, target, round_number)
-        state.change_due_at = float('-inf')
+        state.failover_due_at = float('-inf')
 
     def _tell_hosts(
         self, group: Group, member: str, round_number: int
@@ -347,7 +349,7 @@
             return taken.unwrap()
         if isinstance(failure, RevisionConflict):
             # Another host acts; give it the time to finish.
-            group.state.change_due_at = self._clock.now() + RESPITE_S
+            group.state.failover_due_at = self._clock.now() + RESPITE_S
         return None
 
     def _go_on_alone(
@@ -363,7 +365,7 @@
         Only the side with most of all hosts may, one host after the
         other, and only while no member has come to lead meanwhile.
         """
-        if self._clock.now() < group.state.change_due_at or lost is None:
+        if self._clock.now() < group.state.failover_due_at or lost is None:
             return None
         if not self._vote.is_lost(group, lost, reports, is_claimed=False):
             return None
--- a/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
@@ -73,7 +73,7 @@
     def wait(self, work: Work) -> bool:
         """Wait for a primary; false where it would come too late."""
         now = self._clock.now()
-        if now < work.group.state.hopeless_until:
+        if now < work.group.state.no_failover_until:
             return False
         spare_s = RUN_SHARE * (work.deadline - work.arrived_at)
         latest = work.deadline - spare_s
@@ -83,8 +83,8 @@
 
     def _due_at(self, group: Group, now: float) -> float:
         state = group.state
-        if state.change_due_at > now:
-            return state.change_due_at
+        if state.failover_due_at > now:
+            return state.failover_due_at
         health = state.members.get(state.primary or '')
         if health is not None and health.failing_since is not None:
             return max(now + SEARCH_S, health.failing_since + FAILOVER_S)
--- a/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
@@ -162,7 +162,7 @@
             return
         self._leaderless_since = None
         now = self._clock.now()
-        health.note_leaving(now)
+        health.update_leaving(now)
         if _is_suspect(health, now):
             self._on_suspect(health)
         elif health.record.is_leaving:
@@ -272,7 +272,7 @@
             return False
         if now - state.asked_at > IN_USE_S:
             return False
-        return now - state.proved_at > EVIDENCE_AGE_S
+        return now - state.last_proof_at > EVIDENCE_AGE_S
 
     def _measure_gap(self, health: MemberHealth | None) -> None:
         """Note how long the group has had no primary that answers."""
@@ -299,4 +299,6 @@
         return True
     if not health.in_flight:
         return False
-    return now - max(health.last_answer_at, health.silent_since) > SILENCE_S
+    return (
+        now - max(health.last_answer_at, health.unanswered_since) > SILENCE_S
+    )
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -13,8 +13,8 @@
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_core.proxy.evidence_messages import EvidenceQuestion
-from trefoilpulley_core.proxy.isolation import Isolation
-from trefoilpulley_core.proxy.isolation import Surroundings
+from trefoilpulley_core.proxy.isolation import IsolationDetector
+from trefoilpulley_core.proxy.isolation import Reachability
 from trefoilpulley_core.proxy.relay_messages import EndLease
 from trefoilpulley_core.proxy.relay_messages import RelayedCalls
 from trefoilpulley_core.proxy.succession import LeaderNotice
@@ -106,7 +106,7 @@
         self._incarnation = time.time_ns()
         self._rng = random.Random(self._incarnation)
         self._watches: list[PrimaryWatch] = []
-        self._isolation = Isolation()
+        self._isolation = IsolationDetector()
         self._is_cut_off = False
         self._upkeep: gevent.Greenlet | None = None
 
@@ -356,8 +356,8 @@
             return
         # A claim that was there before this host started is over.
         if self._follower.is_synchronized:
-            group.state.change_due_at = self._clock.now() + RESPITE_S
-            group.state.hopeless_until = float('-inf')
+            group.state.failover_due_at = self._clock.now() + RESPITE_S
+            group.state.no_failover_until = float('-inf')
             group.attention.set()
 
     def _register_gauges(self) -> None:
@@ -418,7 +418,9 @@
             gevent.sleep(UPKEEP_S)
             self._follower.tick()
             self.directory.trim()
-            self.lender.end_idle(self.directory.table.transaction_idle_s)
+            self.lender.end_idle(
+                self.directory.table.transaction_idle_timeout_s
+            )
             self._look_around()
             if self._follower.is_following:
                 self._claims.publish()
@@ -427,7 +429,7 @@
         now = self._clock.now()
         groups = self.directory.groups.values()
         self._isolation.update(
-            Surroundings(
+            Reachability(
                 len(groups),
                 sum(1 for g in groups if self._primary_wait.is_lost(g)),
                 len(self._registered_hosts()),
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
@@ -152,7 +152,7 @@
         round(1000 * health.expected_lag_s(now)),
         f'{health.position.term}.{health.position.index}',
         pool.own.open_connections,
-        pool.own.share.equal,
+        pool.own.share.equal_share,
         pool.own.waiting,
         pool.holders,
     )
--- a/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
@@ -11,7 +11,7 @@
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_core.peer import PooledFailure
-from trefoilpulley_core.proxy.connection_holders import order_holders
+from trefoilpulley_core.proxy.connection_holders import rank_holders
 from trefoilpulley_core.proxy.evidence_messages import read_report
 from trefoilpulley_core.proxy.relay_messages import EndLease
 from trefoilpulley_core.proxy.relay_messages import RelayedCalls
@@ -30,7 +30,7 @@
 
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.connection_holders import Holders
+    from trefoilpulley_core.proxy.connection_holders import ConnectionHolders
     from trefoilpulley_core.proxy.group_state import GroupState
     from trefoilpulley_core.proxy.group_state import MemberHealth
     from trefoilpulley_core.proxy.group_state import MemberRecord
@@ -116,10 +116,10 @@
         """Whether the member is reached through other hosts."""
         return bool(self._holders) and self._host not in self._holders
 
-    def update(self, holders: Holders) -> None:
+    def update(self, holders: ConnectionHolders) -> None:
         """Take the hosts that hold the member's connections."""
         member = self._health.record.member
-        self._holders = order_holders(member, self._host, holders)
+        self._holders = rank_holders(member, self._host, holders)
 
     def open(self, priority: int, admit_by: float | None) -> RelayedSession:
         """Return a session; it takes a connection with its first use."""
@@ -143,7 +143,9 @@
 
     def on_replies(self, replies: RelayedReplies, asked_at: float) -> None:
         """Learn what the holder knows of the member and its group."""
-        self._health.on_told(replies.expected_ms / 1000, self._clock.now())
+        self._health.on_reported_latency(
+            replies.expected_ms / 1000, self._clock.now()
+        )
         found = read_report(replies.evidence, asked_at)
         if found is not None:
             self._group.evidence.record(found.at, found.position)
--- a/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
@@ -192,7 +192,7 @@
     def _place(self, work: Work, excluded: frozenset[str]) -> Placement | None:
         now = self._clock.now()
         state = work.group.state
-        floor = state.evidence.floor_of(work.route, work.floor, now)
+        floor = state.evidence.read_floor(work.route, work.floor, now)
         if self._primary_wait.is_lost(work.group) and state.primary:
             excluded = excluded | {state.primary}
         return place_read(state, floor, self._zone, excluded, now)
@@ -242,12 +242,12 @@
         health = pool.health
         if isinstance(done, Success):
             if floor is not None:
-                health.on_held(now - floor.at)
+                health.on_floor_held(now - floor.at)
                 self._metrics.observe('floor_age_seconds', now - floor.at)
             return done
         failure = done.failure()
         if isinstance(failure, ReplicaBehind) and floor is not None:
-            health.on_behind(now - floor.at, now)
+            health.on_floor_missing(now - floor.at, now)
         elif isinstance(failure, Overloaded):
             health.on_busy(now)
         elif isinstance(failure, NotPrimary) and floor is None:
