--- a/packages/core/src/trefoilpulley_core/proxy/__init__.py
+++ b/packages/core/src/trefoilpulley_core/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions for sessions that are a connection."""
+"""Decisions for sessions that map one to one to a caller's connection."""
--- a/packages/core/src/trefoilpulley_core/proxy/commands.py
+++ b/packages/core/src/trefoilpulley_core/proxy/commands.py
@@ -1,4 +1,4 @@
-"""Commands of a caller on its session."""
+"""Commands that a caller sends on its session."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     """Open a transaction."""
 
     is_read_only: bool
-    """Whether the transaction promises not to write."""
+    """Whether the transaction is declared read-only."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     """Commit the open transaction."""
 
     request_id: str
-    """Identifier that the member must see unchanged."""
+    """Identifier that is forwarded to the member unchanged."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,32 +31,32 @@
     """Run one statement at a member."""
 
     request_id: str
-    """Identifier that the member must see unchanged."""
+    """Identifier that is forwarded to the member unchanged."""
 
     text: str
-    """Statement, or the arguments of a prepared one."""
+    """Statement, or the arguments of a prepared statement."""
 
     is_write: bool
     """Whether the statement writes."""
 
     prepared: str = ''
-    """Name of the caller's prepared statement, empty for plain text."""
+    """Name of the caller's prepared statement; empty for plain text."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetValue:
-    """Set a value of the session."""
+    """Set a session variable."""
 
     name: str
-    """Name of the value."""
+    """Name of the variable."""
 
     value: str
-    """Value."""
+    """Value of the variable."""
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Prepare a statement under a name of the session."""
+    """Prepare a statement under a name that is local to the session."""
 
     name: str
     """Name that the caller chose."""
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deallocate:
-    """Forget a prepared statement."""
+    """Deallocate a prepared statement."""
 
     name: str
     """Name that the caller chose."""
@@ -78,10 +78,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidCommand:
-    """A command that can't be understood."""
+    """A command that could not be decoded."""
 
     reason: str
-    """What is wrong with it."""
+    """Why the command could not be decoded."""
 
 
 Command = (
@@ -94,4 +94,4 @@
     | Deallocate
     | InvalidCommand
 )
-"""Any command of a caller."""
+"""Any command that a caller sends."""
--- a/packages/core/src/trefoilpulley_core/proxy/connection_holders.py
+++ b/packages/core/src/trefoilpulley_core/proxy/connection_holders.py
@@ -1,10 +1,11 @@
-"""Which hosts hold the connections of a member.
-
-Load pattern: many hosts stand before a member that takes few connections.
-Equal shares would leave less than one each, and every burst would open and
-close connections that take slots of the member. A few hosts of the member's
-availability zone hold its connections instead, each enough of them for its
-statements to share, and the other hosts send their statements there.
+"""Choice of the hosts that hold the connections to a member.
+
+Load pattern: a deployment has many hosts, and a member accepts few
+connections. An equal share would be less than one connection per host, and
+each burst would open and close connections that occupy slots of the member.
+Instead, a few hosts in the member's availability zone hold the connections,
+each host enough of them to multiplex its statements. The other hosts forward
+their statements to these hosts.
 """
 
 from __future__ import annotations
@@ -19,22 +20,26 @@
     from collections.abc import Sequence
 
 MAX_DIRECT_HOSTS = 24
-"""Hosts above which not every host connects to every member."""
+"""Largest deployment in which each host connects to each member itself."""
 
 MIN_CONNECTIONS_PER_HOST = 2
-"""Connections that a host needs for its own: one may rest in a transaction
-while another serves.
+"""Connections that a host needs to use its own connections.
+
+One connection may be idle in a transaction while another one serves requests.
 """
 
 CONNECTIONS_PER_HOLDER = 5
-"""Connections of one holder: the slots of a member and some that pause
-inside transactions.
+"""Connections of one holder.
+
+The number covers the slots of a member and a few connections that are idle
+in transactions.
 """
 
 MAX_HOLDERS = 8
-"""Hosts that hold connections to one member at most.
+"""Maximum number of hosts that hold connections to one member.
 
-More would spread the idle connections without taking more work off each.
+More holders would spread the idle connections further without reducing the
+load of each holder.
 """
 
 
@@ -43,12 +48,13 @@
     """Hosts that hold the connections to one member."""
 
     hosts: tuple[str, ...]
-    """Names of the hosts, first in rank first; empty where every host
-    holds connections of its own.
+    """Names of the hosts in descending rank.
+
+    Empty if every host holds connections of its own.
     """
 
     sharing_hosts: int
-    """Hosts among which the member's connections are shared."""
+    """Number of hosts that share the member's connections."""
 
 
 def choose_holders(
@@ -62,22 +68,24 @@
     Parameters
     ----------
     group : str
-        Group of the member; the same hosts hold the connections of the
-        member that takes its place.
+        Group of the member. The ranking depends on the group, so that a
+        replacement of the member has the same holders.
     zone : str
         Availability zone of the member.
     live : Mapping[str, Sequence[str]]
         Live hosts by availability zone.
     max_connections : int
-        Connections that the member takes.
+        Connections that the member accepts.
     """
     total = sum(len(hosts) for hosts in live.values())
     has_share = max_connections >= MIN_CONNECTIONS_PER_HOST * total
     if total <= MAX_DIRECT_HOSTS and has_share:
         return ConnectionHolders((), max(1, total))
-    near = live.get(zone) or [h for hosts in live.values() for h in hosts]
+    candidates = live.get(zone) or [
+        h for hosts in live.values() for h in hosts
+    ]
     count = max(1, min(MAX_HOLDERS, max_connections // CONNECTIONS_PER_HOLDER))
-    chosen = rank_hosts(group, sorted(near))[:count]
+    chosen = rank_hosts(group, sorted(candidates))[:count]
     return ConnectionHolders(chosen, len(chosen))
 
 
@@ -86,7 +94,8 @@
 ) -> tuple[str, ...]:
     """Return the holders in the order in which a host should use them.
 
-    Each host has an order of its own, so that the hosts spread over the
-    holders and those of a holder that dies spread over the others.
+    The order depends on the host. The hosts are therefore distributed over
+    all holders, and if a holder fails, its hosts are distributed over the
+    remaining holders.
     """
     return rank_hosts(f'{member}/{host}', holders.hosts)
--- a/packages/core/src/trefoilpulley_core/proxy/connection_share.py
+++ b/packages/core/src/trefoilpulley_core/proxy/connection_share.py
@@ -1,25 +1,29 @@
-"""Share of a member's connections that one host may open."""
+"""Limit of the connections that one host opens to a member."""
 
 from __future__ import annotations
 
 MAX_SHARE_FACTOR = 2
-"""Connections that a host may hold at most, in shares."""
+"""Maximum number of connections of a host, as a multiple of its share."""
 
 REFUSAL_BACKOFF_S = 0.5
-"""Time without growth after the member refused a connection."""
+"""Time for which a host stays within its share after a refusal, in seconds.
+
+The refusal is the member's rejection of a connection at its connection limit.
+"""
 
 EXCESS_IDLE_TIMEOUT_S = 0.4
-"""Time after which an idle connection above the share is closed."""
+"""Idle time before a connection above the share is closed, in seconds."""
 
 
 class ConnectionShare:
-    """Equal share of each host, with room above it while it is free.
+    """Equal share per host that a host may temporarily exceed.
 
-    A host opens connections above its share only where work waits and
-    the member has refused none for a while. It keeps half of its share
-    open and gives the rest back as soon as it is idle: the connections
-    of hosts that lost power stay open at the member for seconds, and
-    those hosts need room for new ones when they are back.
+    A host opens connections above its share only if work is queued and the
+    member has not refused a connection recently. A host keeps half of its
+    share open and closes the other connections once they are idle. The
+    closed connections leave room for hosts that restart after a power loss:
+    their old connections stay open at the member for seconds, and the
+    restarted hosts need new connections at once.
     """
 
     def __init__(self) -> None:
@@ -28,29 +32,37 @@
 
     @property
     def equal_share(self) -> int:
-        """Connections that fall to this host."""
+        """Connections in this host's equal share."""
         return self._share
 
     @property
     def min_idle(self) -> int:
-        """Connections that stay open while idle."""
+        """Number of idle connections that stay open."""
         return max(1, self._share // 2)
 
     @property
     def max_open(self) -> int:
-        """Connections that may ever be open at once."""
+        """Maximum number of open connections."""
         return self._share * MAX_SHARE_FACTOR
 
     def update(self, max_connections: int, hosts: int) -> None:
-        """Take the member's limit and the number of live hosts."""
+        """Recompute the share.
+
+        Parameters
+        ----------
+        max_connections : int
+            Connections that the member accepts.
+        hosts : int
+            Number of hosts that share these connections.
+        """
         self._share = max(1, max_connections // max(1, hosts))
 
     def on_refused(self, now: float) -> None:
-        """Note that the member has as many connections as it allows."""
+        """Record that the member refused a connection at its limit."""
         self._refused_until = now + REFUSAL_BACKOFF_S
 
     def limit(self, now: float) -> int:
-        """Return the connections that may be open now."""
+        """Return the number of connections that may be open now."""
         if now < self._refused_until:
             return self._share
         return self.max_open
--- a/packages/core/src/trefoilpulley_core/proxy/evidence.py
+++ b/packages/core/src/trefoilpulley_core/proxy/evidence.py
@@ -1,4 +1,4 @@
-"""Proved positions of a primary, from which reads take their floor."""
+"""Proved log positions of a primary and the read floors based on them."""
 
 from __future__ import annotations
 
@@ -14,27 +14,31 @@
     from trefoilpulley_core.proxy.routes import Route
 
 AGE_MARGIN_S = 0.15
-"""Part of the accepted age kept for the way to the member, in seconds.
+"""Part of a route's maximum age reserved for reaching the member, in seconds.
 
-Covers a connection's set-up and a queued request at the client's link.
+The margin covers the set-up of a connection and the time that a request is
+queued on the caller's connection.
 """
 
 EVIDENCE_RETENTION_S = 10.0
-"""Time for which evidence is kept, in seconds; above any route's age."""
+"""Time for which evidence is kept, in seconds.
+
+The time exceeds the maximum age of any route.
+"""
 
 MIN_EVIDENCE_INTERVAL_S = 0.05
-"""Least time between two pieces of evidence that are kept, in seconds."""
+"""Minimum time between two kept evidence entries, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Position that a proved primary held after a moment."""
+    """Log position that a proved primary reported."""
 
     at: float
-    """Time at which the proving request left, in seconds."""
+    """Time at which the proving request was sent, in seconds."""
 
     position: Position
-    """Position that the primary then showed."""
+    """Position in the primary's reply."""
 
 
 @dataclass
@@ -42,57 +46,59 @@
     """Newest commit of a session."""
 
     at: float = float('-inf')
-    """Time at which its acknowledgement arrived, in seconds."""
+    """Time at which the commit's acknowledgement arrived, in seconds."""
 
     position: Position = BEGINNING
     """Position of the commit."""
 
 
 class EvidenceLog:
-    """Evidence of one database group at one host.
+    """Evidence that one host has of one database group.
 
-    Every commit acknowledged before a piece of evidence's request left
-    is in a log that holds its position, or was rolled back by a later
-    promotion.
+    A commit that was acknowledged before the request of an evidence entry
+    was sent is in every log that holds the entry's position, or a later
+    promotion rolled the commit back.
     """
 
     def __init__(self) -> None:
-        self._kept: deque[Evidence] = deque()
+        self._entries: deque[Evidence] = deque()
 
     @property
     def newest(self) -> Evidence | None:
-        """Newest evidence, or ``None``."""
-        return self._kept[-1] if self._kept else None
+        """Newest evidence, or ``None`` if there is none."""
+        return self._entries[-1] if self._entries else None
 
     def record(self, at: float, position: Position) -> None:
-        """Keep the position that a leader alone could show.
+        """Keep the position that a proved primary reported.
 
         Parameters
         ----------
         at : float
-            Time at which the proving request left, in seconds.
+            Time at which the proving request was sent, in seconds.
         position : Position
             Position in the reply.
         """
         if position.index == 0:
             return
-        kept = self._kept
-        if kept and (at < kept[-1].at or position < kept[-1].position):
+        entries = self._entries
+        if entries and (
+            at < entries[-1].at or position < entries[-1].position
+        ):
             return
-        if len(kept) > 1 and at - kept[-2].at < MIN_EVIDENCE_INTERVAL_S:
-            kept.pop()
-        kept.append(Evidence(at, position))
-        while kept and kept[0].at < at - EVIDENCE_RETENTION_S:
-            kept.popleft()
+        if len(entries) > 1 and at - entries[-2].at < MIN_EVIDENCE_INTERVAL_S:
+            entries.pop()
+        entries.append(Evidence(at, position))
+        while entries and entries[0].at < at - EVIDENCE_RETENTION_S:
+            entries.popleft()
 
-    def find(self, since: float) -> Evidence | None:
-        """Return the oldest evidence no older than a moment."""
-        return next((e for e in self._kept if e.at >= since), None)
+    def oldest_since(self, since: float) -> Evidence | None:
+        """Return the oldest evidence at or after a time."""
+        return next((e for e in self._entries if e.at >= since), None)
 
     def read_floor(
         self, route: Route, session: SessionFloor, now: float
     ) -> Evidence | None:
-        """Return the floor of a read at a replica.
+        """Return the position that a replica must hold to serve a read.
 
         Parameters
         ----------
@@ -101,26 +107,26 @@
         session : SessionFloor
             Newest commit of the session.
         now : float
-            Present time in seconds.
+            Current time in seconds.
 
         Returns
         -------
         Evidence | None
             Position that the replica must hold and the time since which
-            it has been known, or ``None`` where only a proved primary
-            may serve.
+            the position has been known, or ``None`` if only a proved
+            primary may serve the read.
         """
         if route.freshness is ReadFreshness.PRIMARY:
             return None
-        base = self.find(now - route.max_age_s + AGE_MARGIN_S)
+        base = self.oldest_since(now - route.max_age_s + AGE_MARGIN_S)
         if base is None:
             return None
         if route.freshness is ReadFreshness.BOUNDED or session.at <= base.at:
             return base
-        later = self.find(session.at)
+        later = self.oldest_since(session.at)
         if later is not None and later.position.term > session.position.term:
-            # A promotion since then may have rolled the commit back; then
-            # no log will ever hold it.
+            # A promotion after the commit may have rolled the commit back.
+            # In that case, no log will ever hold the commit's position.
             return later
         if session.position <= base.position:
             return base
--- a/packages/core/src/trefoilpulley_core/proxy/evidence_messages.py
+++ b/packages/core/src/trefoilpulley_core/proxy/evidence_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which hosts share proved positions."""
+"""Messages in which hosts exchange proved positions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EvidenceQuestion:
-    """Asks another host for its newest evidence of a group."""
+    """Request for another host's newest evidence of a group."""
 
     group: str
     """Name of the group."""
@@ -21,17 +21,17 @@
     """Newest evidence of a host."""
 
     term: int = 0
-    """Term of the position; 0 where the host has no evidence."""
+    """Term of the position; 0 if the host has no evidence."""
 
     index: int = 0
     """Index of the position."""
 
     age_s: float = 0.0
-    """Time since the proving request left, in seconds."""
+    """Time since the proving request was sent, in seconds."""
 
 
 def make_report(evidence: Evidence | None, now: float) -> EvidenceReport:
-    """Return the report on a host's newest evidence."""
+    """Return a report of a host's newest evidence."""
     if evidence is None:
         return EvidenceReport()
     position = evidence.position
@@ -39,17 +39,18 @@
 
 
 def read_report(report: EvidenceReport, asked_at: float) -> Evidence | None:
-    """Return a report as evidence of this host.
+    """Return the evidence in a report, on this host's clock.
 
-    The other host answered after it was asked, so that the proof is no
-    older than its age counted back from the question.
+    The other host computed the age after this host sent the question. The
+    proving request was therefore sent no earlier than ``asked_at`` minus
+    the reported age.
 
     Parameters
     ----------
     report : EvidenceReport
         Answer of the other host.
     asked_at : float
-        Time at which the question left this host, in seconds.
+        Time at which this host sent the question, in seconds.
     """
     if report.index == 0 or report.age_s < 0:
         return None
--- a/packages/core/src/trefoilpulley_core/proxy/flight_limit.py
+++ b/packages/core/src/trefoilpulley_core/proxy/flight_limit.py
@@ -1,43 +1,50 @@
-"""How many statements of one host may be at a member at once.
-
-Load pattern: a group's replicas are far behind, and all its reads press on
-a primary that can't carry them. Its own queue then fills up: everybody waits
-in it for longer than the statements take, transactions are refused half way,
-and the important work waits behind the rest. Statements wait at the hosts
-instead, where the most important goes first and what would come too late is
-turned away at once; transactions that have begun go on.
+"""Concurrency limit of one host's statements at a member.
+
+Load pattern: the replicas of a group lag far behind, and all reads of the
+group go to the primary, which is overloaded. The queue at the primary fills
+up. Statements then wait in this queue for longer than they run, transactions
+are refused in the middle, and high-priority statements wait behind others.
+The limit moves the queue to the hosts. A host serves its queue by priority,
+immediately refuses statements that would miss their deadline, and does not
+delay transactions that have begun.
 """
 
 from __future__ import annotations
 
 MIN_LIMIT = 1.0
-"""Statements that a host may always have at a member."""
+"""Statements that a host may always have in flight at a member."""
 
 DECREASE_FACTOR = 0.7
-"""Part of the limit that is left after the member refused for load."""
+"""Factor applied to the limit when the member refuses a statement for load."""
 
 MIN_DECREASE_INTERVAL_S = 0.1
-"""Time in which one shrinking counts, in seconds.
+"""Minimum time between two decreases of the limit, in seconds.
 
-The refusals of one full queue come together.
+A full queue refuses several statements at about the same time. These refusals
+count as one.
 """
 
 
 INCREASE_PER_FULL_LIMIT = 0.1
-"""Growth for each full limit of statements served.
+"""Increase of the limit after as many served statements as the limit allows.
 
-Slow, since a member that is full shows it only after a while.
+The increase is slow because an overload of the member becomes visible only
+after a delay.
 """
 
 OVERLOAD_LATENCY_S = 0.08
-"""Mean time of a statement that shows a queue at the member, in seconds.
+"""Mean statement latency that indicates a queue at the member, in seconds.
 
-Some times what statements take without one.
+The threshold is several times the latency of a statement without a queue.
 """
 
 
 class ConcurrencyLimit:
-    """Grows while the member is quick, shrinks where its queue is long."""
+    """Adaptive limit: additive increase and multiplicative decrease.
+
+    The limit increases while the member's latency is low, and decreases
+    when the latency indicates a queue or the member refuses a statement.
+    """
 
     def __init__(self) -> None:
         self._max_limit = MIN_LIMIT
@@ -46,24 +53,24 @@
 
     @property
     def value(self) -> int:
-        """Statements that may be at the member at once."""
+        """Number of statements that may be in flight at the member."""
         return int(self._max_limit if self._limit is None else self._limit)
 
     def update(self, max_limit: int) -> None:
-        """Take the number of connections that bounds it anyway."""
+        """Set the upper bound: the maximum number of connections."""
         self._max_limit = max(MIN_LIMIT, float(max_limit))
         if self._limit is not None:
             self._limit = min(self._limit, self._max_limit)
 
     def on_served(self, expected_s: float, now: float) -> None:
-        """Note a statement that the member took.
+        """Adjust the limit after the member served a statement.
 
         Parameters
         ----------
         expected_s : float
-            Recent mean time of a statement, in seconds.
+            Recent mean latency of a statement, in seconds.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         if expected_s > OVERLOAD_LATENCY_S:
             self._decrease(self._limit or self._max_limit, now)
@@ -73,14 +80,14 @@
                 self._limit = None
 
     def on_busy(self, in_flight: int, now: float) -> None:
-        """Note that the member refused a statement for load.
+        """Decrease the limit after the member refused a statement for load.
 
         Parameters
         ----------
         in_flight : int
-            Statements of this host that were at the member.
+            Statements of this host that were in flight at the member.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         """
         reached = float(max(1, in_flight))
         self._decrease(min(self._limit or self._max_limit, reached), now)
--- a/packages/core/src/trefoilpulley_core/proxy/isolation.py
+++ b/packages/core/src/trefoilpulley_core/proxy/isolation.py
@@ -1,9 +1,10 @@
-"""Whether a host is cut off from what it needs to serve.
+"""Detection that a host is isolated from the primaries and other hosts.
 
-Load pattern: an availability zone is cut off while its callers still reach
-its hosts. These can't reach most primaries, refuse most work, and their
-callers come back to them. A host that tells the balancer so, and closes
-its idle sessions, lets the callers go to the hosts of other zones.
+Load pattern: an availability zone is partitioned from the others while
+callers still reach its hosts. These hosts cannot reach most primaries and
+refuse most requests, and the callers reconnect to the same hosts. An isolated
+host therefore reports itself as unavailable to the load balancer and closes
+its idle sessions, so that the callers connect to hosts of other zones.
 """
 
 from __future__ import annotations
@@ -11,34 +12,34 @@
 from dataclasses import dataclass
 
 ISOLATION_DELAY_S = 0.3
-"""Time for which a host must look cut off, in seconds.
+"""Time for which a host must appear isolated, in seconds.
 
-Longer than two rounds of looking around.
+The time is longer than two rounds of reachability checks.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class Reachability:
-    """What a host reaches at one moment."""
+    """Groups and hosts that a host reaches at one time."""
 
     groups: int
-    """Groups that routes lead to."""
+    """Groups that serve a route."""
 
     groups_lost: int
-    """Groups whose primary does not answer or is not known."""
+    """Groups whose primary does not answer or is unknown."""
 
     hosts: int
-    """Registered hosts, this one included."""
+    """Registered hosts, including this host."""
 
     reachable_hosts: int
-    """Hosts that answer, this one included."""
+    """Hosts that answer, including this host."""
 
     @property
     def is_isolated(self) -> bool:
-        """Whether it is this host, not the others, that is cut off.
+        """Whether this host, rather than the other hosts, is isolated.
 
-        The platform's service says nothing here: a watch that waits on a
-        link that was cut looks like one that waits for news.
+        The connection to the platform's service is not considered: a watch
+        on a broken connection cannot be told from a watch without changes.
         """
         if not self.groups or 2 * self.reachable_hosts > self.hosts:
             return False
@@ -46,20 +47,23 @@
 
 
 class IsolationDetector:
-    """Tells a cut that lasts from a short disturbance."""
+    """Detects an isolation that lasts longer than a short disturbance."""
 
     def __init__(self) -> None:
-        self._since: float | None = None
+        self._isolated_since: float | None = None
 
-    def update(self, seen: Reachability, now: float) -> None:
-        """Take what the host reaches now."""
-        if not seen.is_isolated:
-            self._since = None
-        elif self._since is None:
-            self._since = now
+    def update(self, reachability: Reachability, now: float) -> None:
+        """Record the groups and hosts that this host reaches now."""
+        if not reachability.is_isolated:
+            self._isolated_since = None
+        elif self._isolated_since is None:
+            self._isolated_since = now
 
     def duration_s(self, now: float) -> float:
-        """Return for how long the host has counted as cut off; 0 if not."""
-        if self._since is None:
+        """Return for how long the host has been isolated, in seconds.
+
+        0 if the host is not isolated.
+        """
+        if self._isolated_since is None:
             return 0.0
-        return max(0.0, now - self._since - ISOLATION_DELAY_S)
+        return max(0.0, now - self._isolated_since - ISOLATION_DELAY_S)
--- a/packages/core/src/trefoilpulley_core/proxy/placement.py
+++ b/packages/core/src/trefoilpulley_core/proxy/placement.py
@@ -1,10 +1,10 @@
 """Choice of the member that serves a read.
 
-Load pattern: at the highest load every slot of the primaries is taken by
-writes and reads of the present, and reads that may be older queue behind
-them unless they go to the replicas. Work is placed where the recent
-statements took least, counted with what this host already has there, so
-that a member that slows down loses work at once.
+Load pattern: at peak load, writes and fresh reads occupy every slot of the
+primaries. Reads that accept older data would queue behind them unless the
+reads go to the replicas. A read goes to the member with the lowest cost: the
+recent latency of statements, weighted with the statements that this host has
+in flight there. A member that slows down therefore gets fewer reads at once.
 """
 
 from __future__ import annotations
@@ -20,16 +20,22 @@
     from trefoilpulley_core.proxy.group_state import MemberHealth
 
 PRIMARY_COST_FACTOR = 4.0
-"""Cost of a primary against a replica: its slots serve the writes."""
+"""Cost of a primary relative to a replica.
+
+The slots of the primary are needed for the writes.
+"""
 
 OTHER_ZONE_COST_S = 0.004
-"""Cost of a member in another availability zone, in seconds."""
+"""Added cost of a member in another availability zone, in seconds."""
 
 IN_FLIGHT_WEIGHT = 0.5
-"""Part of a statement's time that each one in flight adds."""
+"""Fraction of a statement's latency added per statement in flight."""
 
 AVOIDED_COST_S = 10.0
-"""Cost of a member that refused or failed a moment ago, in seconds."""
+"""Added cost of a member that recently refused a statement, in seconds.
+
+A replica that may lack the floor of the read has the same added cost.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +46,10 @@
     """Identifier of the member."""
 
     floor: Evidence | None
-    """Floor for a replica; ``None`` asks the primary to prove its lead."""
+    """Position that the replica must hold.
+
+    With ``None``, the primary must prove its leadership instead.
+    """
 
 
 def place_read(
@@ -50,24 +59,24 @@
     excluded: frozenset[str],
     now: float,
 ) -> Placement | None:
-    """Return where a read should run, or ``None`` for nowhere.
+    """Return the member that should serve a read, or ``None`` if none can.
 
     Parameters
     ----------
     group : GroupState
         Members of the group.
     floor : Evidence | None
-        What a replica must hold; ``None`` where only a primary may
-        serve.
+        Position that a replica must hold; ``None`` if only the primary may
+        serve the read.
     zone : str
         Availability zone of this host.
     excluded : frozenset[str]
-        Members that have refused this read.
+        Members that have already refused this read.
     now : float
-        Present time in seconds.
+        Current time in seconds.
     """
     best: Placement | None = None
-    best_s = float('inf')
+    best_cost_s = float('inf')
     for name, health in group.members.items():
         if name in excluded or health.failing_since is not None:
             continue
@@ -78,13 +87,13 @@
         if is_primary:
             cost_s *= PRIMARY_COST_FACTOR
         elif _may_lack_floor(health, floor, now):
-            if now - health.last_missing_at < LAG_AVOIDANCE_S:
-                # It has just refused such a floor to another read.
+            if now - health.last_lag_refusal_at < LAG_AVOIDANCE_S:
+                # The replica has just refused another read for lag.
                 continue
             cost_s += AVOIDED_COST_S
-        if cost_s < best_s:
+        if cost_s < best_cost_s:
             best = Placement(name, None if is_primary else floor)
-            best_s = cost_s
+            best_cost_s = cost_s
     return best
 
 
@@ -98,7 +107,7 @@
 
 
 def _may_lack_floor(health: MemberHealth, floor: Evidence, now: float) -> bool:
-    """Return whether a replica may not hold a floor yet."""
+    """Return whether a replica may lack a floor."""
     if floor.position <= health.position:
         return False
     return now - floor.at < health.expected_lag_s(now)
--- a/packages/core/src/trefoilpulley_core/proxy/platform_documents.py
+++ b/packages/core/src/trefoilpulley_core/proxy/platform_documents.py
@@ -1,4 +1,4 @@
-"""Interface to the platform's documents: routes and members."""
+"""Interface to the platform's documents on routes and members."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class PlatformDocuments(abc.ABC):
-    """Where the platform keeps its documents, and how to read them."""
+    """Keys and decoders of the platform's documents."""
 
     @property
     @abc.abstractmethod
     def routes_key(self) -> str:
-        """Key of the operators' configuration."""
+        """Key of the configuration that the operators maintain."""
 
     @property
     @abc.abstractmethod
     def members_prefix(self) -> str:
-        """Prefix of the members' entries."""
+        """Key prefix of the members' entries."""
 
     @abc.abstractmethod
     def decode_routes(self, value: bytes) -> Result[RouteTable, Failure]:
-        """Decode the configuration, or fail with ``MalformedMessage``."""
+        """Return the decoded configuration, or ``MalformedMessage``."""
 
     @abc.abstractmethod
     def decode_member(
         self, key: str, value: bytes
     ) -> Result[MemberRecord, Failure]:
-        """Decode a member's entry, or fail with ``MalformedMessage``."""
+        """Return a decoded entry of a member, or ``MalformedMessage``."""
--- a/packages/core/src/trefoilpulley_core/proxy/promotion_service.py
+++ b/packages/core/src/trefoilpulley_core/proxy/promotion_service.py
@@ -1,4 +1,4 @@
-"""Interface to the platform's orders of promotion."""
+"""Interface for promoting members through the platform's service."""
 
 from __future__ import annotations
 
@@ -22,27 +22,29 @@
 
 
 class PromotionService(abc.ABC):
-    """Orders a member to lead, guarded by a fencing token."""
+    """Promotes members; a fencing token rejects outdated requests."""
 
     @abc.abstractmethod
     def promote(
         self, group: str, member: str, holder: str, token: int
     ) -> Result[None, Failure]:
-        """Order a member to lead the next term of its group.
+        """Promote a member to lead the next term of its group.
 
-        The member leads some hundred milliseconds later with what it
-        has received by then. ``PromotionRefused``, ``PlatformDown`` or
-        ``PlatformAnswerLost`` says why not; after the last one the order
-        may still be carried out, unless a higher token came before.
+        The member leads some hundred milliseconds later, with the log
+        records that it has received by then. ``PromotionRefused``,
+        ``PlatformDown`` or ``PlatformAnswerLost`` gives the reason of a
+        failure. After ``PlatformAnswerLost``, the promotion may still take
+        place unless the platform has seen a higher token before.
 
         Parameters
         ----------
         group : str
             Group that changes its primary.
         member : str
-            Member that is to lead.
+            Member to promote.
         holder : str
-            Name of the host that acts.
+            Name of the host that requests the promotion.
         token : int
-            Fencing token; a lower one than seen before is refused.
+            Fencing token; a token lower than the highest one seen is
+            refused.
         """
--- a/packages/core/src/trefoilpulley_core/proxy/relay_messages.py
+++ b/packages/core/src/trefoilpulley_core/proxy/relay_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which a host uses another host's connections."""
+"""Messages by which a host uses another host's connections to a member."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedCalls:
-    """Asks a holder to send requests to a member in one write."""
+    """Request to a holder to send calls to a member in a single write."""
 
     group: str
     """Group of the member."""
@@ -26,32 +26,35 @@
     """Identifier of the member."""
 
     lease: int
-    """Number of the session at the holder, unique on its connection.
+    """Number of the session, unique on the connection to the holder.
 
-    The connection to the member stays with the lease while a transaction
-    is open on it.
+    The holder keeps a connection to the member reserved for the lease while
+    a transaction is open on this connection.
     """
 
     priority: int
-    """Importance; 0 is the highest of a route's."""
+    """Priority of the route; 0 is the highest."""
 
     remaining_ms: int
     """Time left for the replies, in milliseconds."""
 
     admit_ms: int
-    """Time left until their turn must come, in milliseconds."""
+    """Maximum time in the holder's queue, in milliseconds."""
 
     calls: tuple[Call, ...]
-    """Requests."""
+    """Requests to the member."""
 
     values: dict[str, str] | None = None
-    """Values of the caller's session; ``None`` leaves the connection's."""
+    """Variables of the caller's session.
+
+    With ``None``, the variables of the connection are not changed.
+    """
 
     prepared: Prepare | None = None
-    """Prepared statement that is executed, if any."""
+    """Prepared statement that the calls execute, if any."""
 
     is_pinned: bool = False
-    """Whether the lease must hold an open transaction."""
+    """Whether the lease must have an open transaction."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,51 +65,56 @@
     """Rows as the member sent them."""
 
     signature: bytes = b''
-    """Proof of the member that it ran the statement."""
+    """Signature by which the member proves that it ran the statement."""
 
     failure: PooledFailure | None = None
-    """Why the request failed, or ``None``."""
+    """Reason of the request's failure, or ``None``."""
 
     state: TransactionState = TransactionState.IDLE
-    """State of the connection's transaction afterwards."""
+    """State of the connection's transaction after the request."""
 
     position: Position = BEGINNING
-    """End of the member's log afterwards."""
+    """End of the member's log after the request."""
 
     status: LogStatus | None = None
-    """Role and log; only after requests that ask for it."""
+    """Role and log of the member.
+
+    Set only in the replies to ``AskStatus``, ``Demote`` and
+    ``HoldReplication``.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedReplies:
-    """What the member replied, and what the holder knows of it."""
+    """Replies of the member, with the holder's estimates of the member."""
 
     replies: tuple[RelayedReply, ...]
-    """Reply to each request."""
+    """Replies in the order of the requests."""
 
     expected_ms: float = 0.0
-    """Time that the holder expects a statement to take."""
+    """Latency that the holder expects of a statement, in milliseconds."""
 
     evidence: EvidenceReport = EvidenceReport()
-    """Newest evidence of the group at the holder."""
+    """Newest evidence that the holder has of the group."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayRefused:
-    """Says that the holder has sent nothing to the member."""
+    """Refusal of a holder that has sent nothing to the member."""
 
     failure: PooledFailure
-    """Why."""
+    """Reason of the refusal."""
 
     is_member_missed: bool = False
-    """Whether the member does not answer the holder."""
+    """Whether the member is unreachable from the holder."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndLease:
-    """Ends a lease; its open transaction is rolled back.
+    """Request to end a lease and roll back its open transaction.
 
-    The answer, `PooledDone`, says that nothing more is sent on it.
+    After the answer, `PooledDone`, the holder sends nothing more to the
+    member on behalf of the lease.
     """
 
     lease: int
--- a/packages/core/src/trefoilpulley_core/proxy/routes.py
+++ b/packages/core/src/trefoilpulley_core/proxy/routes.py
@@ -1,4 +1,4 @@
-"""Routes: what callers of a database name are promised."""
+"""Routes: the freshness and time limits that apply to a database name."""
 
 from __future__ import annotations
 
@@ -12,42 +12,42 @@
 
 
 class ReadFreshness(StrEnum):
-    """What a read of a route must hold."""
+    """Commits that a read of a route must see."""
 
     PRIMARY = 'primary'
-    """Every commit acknowledged before the read."""
+    """Every commit that was acknowledged before the read."""
 
     BOUNDED = 'bounded'
-    """Every commit acknowledged before a stated age."""
+    """Every commit that was acknowledged longer ago than the maximum age."""
 
     SESSION = 'session'
-    """As bounded, and every commit of the same session."""
+    """As ``BOUNDED``, and every commit of the same session."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Class of work that callers reach by a database name."""
+    """Class of work that callers select by a database name."""
 
     database: str
-    """Name that callers give."""
+    """Database name that the caller gives."""
 
     group: str
     """Database group that serves the route."""
 
     freshness: ReadFreshness
-    """What a read must hold."""
+    """Commits that a read must see."""
 
     timeout_s: float
-    """Longest time of one statement, in seconds."""
+    """Timeout of one statement, in seconds."""
 
     goal_s: float
-    """Time in which an operation should be answered, in seconds."""
+    """Target latency of an operation, in seconds."""
 
     priority: int
-    """Importance; 0 is the highest."""
+    """Priority; 0 is the highest."""
 
     max_age_s: float = 0.0
-    """Age of the data that a read accepts, in seconds."""
+    """Maximum age of the data that a read accepts, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,10 +55,10 @@
     """Limits of one database group."""
 
     max_connections: int
-    """Connections that a member takes from all hosts together."""
+    """Connections that a member accepts from all hosts together."""
 
     synchronous_replicas: int = 0
-    """Replicas that receive a commit before it is acknowledged."""
+    """Number of replicas that receive a commit before its acknowledgement."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     """Routes of one version of the configuration."""
 
     version: int = 0
-    """Version; a higher one replaces a lower one."""
+    """Version of the configuration; a higher version replaces a lower one."""
 
     routes: Mapping[str, Route] = field(default_factory=dict)
     """Routes by database name."""
@@ -75,7 +75,7 @@
     """Limits by group name."""
 
     transaction_idle_timeout_s: float = 3.0
-    """Time after which an idle transaction is rolled back, in seconds."""
+    """Idle time after which a transaction is rolled back, in seconds."""
 
     max_message_bytes: int = 1 << 20
-    """Longest message of a caller, in bytes."""
+    """Maximum size of a caller's message, in bytes."""
--- a/packages/core/src/trefoilpulley_core/proxy/session_state.py
+++ b/packages/core/src/trefoilpulley_core/proxy/session_state.py
@@ -1,4 +1,8 @@
-"""Values and prepared statements of a session, and their replay."""
+"""Variables and prepared statements of a session.
+
+A session can move to another connection to a member. The session's variables
+and prepared statements are then set up on the new connection.
+"""
 
 from __future__ import annotations
 
@@ -15,40 +19,41 @@
     from trefoilpulley_core.proxy.upstream_session import Call
 
 MAX_ALIASES = 256
-"""Prepared statements kept on one connection before it is reset."""
+"""Maximum number of prepared statements before a connection is reset."""
 
 
 @dataclass
 class SessionState:
-    """What a caller has set on its session."""
+    """Variables and prepared statements of a caller's session."""
 
     values: dict[str, str] = field(default_factory=dict)
-    """Values by name."""
+    """Variables by name."""
 
     prepared: dict[str, Prepare] = field(default_factory=dict)
-    """Prepared statements by the caller's name."""
+    """Prepared statements by the name that the caller chose."""
 
 
 @dataclass
 class ConnectionState:
-    """What is set on a connection to a member."""
+    """Variables and prepared statements of a connection to a member."""
 
     values: dict[str, str] = field(default_factory=dict)
-    """Values by name."""
+    """Variables by name."""
 
     aliases: set[str] = field(default_factory=set)
-    """Prepared statements by their name on the connection."""
+    """Names of the statements that are prepared on the connection."""
 
     def has_values_of(self, session: SessionState) -> bool:
-        """Return whether no value has to change for a session."""
+        """Return whether the variables equal those of a session."""
         return self.values == session.values
 
 
 def alias_of(statement: Prepare) -> str:
-    """Return the name of a statement on shared connections.
+    """Return the name of a prepared statement on shared connections.
 
-    Statements of one shape and kind share the name whatever their
-    callers call them.
+    The name depends on the statement's shape and on whether it writes, not
+    on the name that the caller chose. Sessions that prepare the same
+    statement therefore share it.
     """
     kind = 'w' if statement.is_write else 'r'
     return f'{kind}.{statement.shape}'
@@ -57,19 +62,19 @@
 def plan_setup(
     conn: ConnectionState, session: SessionState, statement: Prepare | None
 ) -> tuple[Call, ...]:
-    """Return what a connection needs before a session's statement.
+    """Return the calls that prepare a connection for a session's statement.
 
-    The connection's state is brought up to date as if every call
-    succeeded; close the connection where one does not.
+    The connection's state is updated as if every call succeeded. The caller
+    must close the connection if a call fails.
 
     Parameters
     ----------
     conn : ConnectionState
-        State of the connection, changed in place.
+        State of the connection; updated in place.
     session : SessionState
         State of the caller's session.
     statement : Prepare | None
-        Prepared statement that will run, if any.
+        Prepared statement that will be executed, if any.
     """
     calls: list[Call] = []
     if _must_reset(conn, session):
--- a/packages/core/src/trefoilpulley_core/proxy/succession.py
+++ b/packages/core/src/trefoilpulley_core/proxy/succession.py
@@ -1,4 +1,4 @@
-"""Who changes a primary, when, and to which member."""
+"""Failover decisions: the acting host, the time and the new primary."""
 
 from __future__ import annotations
 
@@ -15,43 +15,49 @@
     from trefoilpulley_core.proxy.upstream_session import LogStatus
 
 RANK_DELAY_S = 0.04
-"""Head start of each host over the next in rank, in seconds.
+"""Delay of each host relative to the host before it in rank, in seconds.
 
-A claim in the platform's service takes a few milliseconds; a host that
-loses the race sees the claim before its own turn.
+Writing a claim to the platform's service takes a few milliseconds. A host
+with a lower rank therefore sees the claim before its own delay has passed.
 """
 
 RANK_DELAY_NO_SERVICE_S = 0.6
-"""The same while the service is out and no claim can be seen."""
+"""Delay per rank while the service is unavailable, in seconds.
+
+Without the service, a host cannot see the claims of other hosts.
+"""
 
 VOTERS_PER_ZONE = 4
 """Hosts of each availability zone that vote on the loss of a primary.
 
-Every host of a deployment of some ten hosts; in a larger one some of those
-that hold connections to the group's members.
+In a deployment of about ten hosts, every host votes. In a larger deployment,
+the voters are some of the hosts that hold connections to the group's members.
 """
 
 FENCING_TOKENS_PER_ROUND = 1 << 20
-"""Fencing tokens of one round; one a holder, told apart by its lease."""
+"""Number of fencing tokens in one round.
+
+Each claim holder has its own token, derived from the number of its lease.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Right to change the primary of a group, as the service keeps it."""
+    """Claim to change the primary of a group, stored in the service."""
 
     holder: str
-    """Name of the host that acts."""
+    """Name of the host that holds the claim."""
 
     round: int
-    """Number of the change; every change of target takes a new one."""
+    """Number of the change; each change of the target has a new number."""
 
     target: str
-    """Member that is to lead."""
+    """Member to promote."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReachQuestion:
-    """Asks another host whether a member answers it."""
+    """Request to another host whether it reaches a member."""
 
     group: str
     """Group of the member."""
@@ -62,34 +68,34 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderNotice:
-    """Tells another host which member leads now."""
+    """Notification of another host about the new primary."""
 
     group: str
     """Group of the member."""
 
     member: str
-    """Identifier of the member."""
+    """Identifier of the new primary."""
 
     round: int = 0
-    """Number of the change that made it lead."""
+    """Number of the change that promoted the member."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReachReport:
-    """What another host says of a member."""
+    """Report of another host whether it reaches a member."""
 
     host: str
-    """Name of the host."""
+    """Name of the reporting host."""
 
     is_reached: bool
-    """Whether the member answers that host."""
+    """Whether the member answers the reporting host."""
 
 
 def fencing_token(round_number: int, holder_id: int) -> int:
-    """Return the token of a holder in a round.
+    """Return the fencing token of a claim holder in a round.
 
-    Two holders never share a token, also where neither could see the
-    other's claim.
+    Two holders have different tokens even if neither can see the other's
+    claim.
     """
     return (
         round_number * FENCING_TOKENS_PER_ROUND
@@ -100,10 +106,10 @@
 def choose_voters(group: str, registered: Mapping[str, str]) -> dict[str, str]:
     """Return the hosts that vote on a group's primary, with their zones.
 
-    Load pattern: a primary that is slow or lost is missed by every host
-    at once. Were each of them to ask all others, and all to dial the
-    member, a burst would look like a loss and the dials would make it
-    one.
+    Load pattern: if a primary is slow or lost, every host notices at the
+    same time. If each host asked all others and all hosts connected to the
+    member, a load burst would be mistaken for a loss, and the new
+    connections would cause one.
 
     Parameters
     ----------
@@ -115,33 +121,34 @@
     Returns
     -------
     dict[str, str]
-        Availability zone of each juror, in the order in which they act.
+        Availability zone of each voter, in the order in which they act.
     """
     zones: dict[str, list[str]] = {}
     for host, zone in registered.items():
         zones.setdefault(zone, []).append(host)
-    jurors = [
+    voters = [
         host
         for hosts in zones.values()
         for host in rank_hosts(group, sorted(hosts))[:VOTERS_PER_ZONE]
     ]
-    ranked = rank_hosts(group, sorted(jurors))
+    ranked = rank_hosts(group, sorted(voters))
     return {host: registered[host] for host in ranked}
 
 
 def failover_delay_s(
     group: str, host: str, registered: Mapping[str, str], is_service_out: bool
 ) -> float:
-    """Return how long a host gives those before it in rank.
+    """Return how long a host waits before it starts a failover, in seconds.
 
-    Jurors go first; the others only act where no juror does.
+    The voters act first, in the order of their rank. The other hosts act
+    only if no voter does.
     """
-    each_s = RANK_DELAY_NO_SERVICE_S if is_service_out else RANK_DELAY_S
-    jury = list(choose_voters(group, registered))
-    if host in jury:
-        return jury.index(host) * each_s
-    others = rank_hosts(group, sorted({*registered, host} - {*jury}))
-    return (len(jury) + others.index(host)) * each_s
+    rank_delay_s = RANK_DELAY_NO_SERVICE_S if is_service_out else RANK_DELAY_S
+    voters = list(choose_voters(group, registered))
+    if host in voters:
+        return voters.index(host) * rank_delay_s
+    others = rank_hosts(group, sorted({*registered, host} - {*voters}))
+    return (len(voters) + others.index(host)) * rank_delay_s
 
 
 def has_loss_quorum(
@@ -150,23 +157,25 @@
     zone: str,
     is_claimed: bool,
 ) -> bool:
-    """Return whether enough hosts, this one included, miss a member.
+    """Return whether a quorum of hosts, including this one, lost a member.
 
-    Hosts of the member's zone that are silent may be cut off together
-    with it and don't count, as long as the platform's service says which
-    side acts. Without the service only a majority of all hosts is safe:
-    a smaller side that acted would order the lead back after the cut.
+    Silent hosts in the member's zone may be partitioned together with the
+    member. These hosts are not counted as voters if the platform's service
+    is available, because the service decides which side of the partition
+    acts. Without the service, only a majority of all hosts is safe: a
+    minority side that acted would promote the old primary again after the
+    partition.
 
     Parameters
     ----------
     reports : Iterable[ReachReport]
-        What the hosts that answered say.
+        Reports of the hosts that answered.
     registered : Mapping[str, str]
-        Availability zone of each registered host, this one included.
+        Availability zone of each registered host, including this host.
     zone : str
         Availability zone of the member.
     is_claimed : bool
-        Whether the service answers, so that only one side can act.
+        Whether the service is available, so that only one side can act.
     """
     answers = {r.host: r.is_reached for r in reports}
     lost = 1 + sum(1 for is_reached in answers.values() if not is_reached)
@@ -180,10 +189,11 @@
     reports: Iterable[ReachReport],
     registered: Mapping[str, str],
 ) -> bool:
-    """Return whether this side may choose among the members it sees.
+    """Return whether this host may choose among the members that answer.
 
-    A side that reaches less than most members may have missed a change
-    on the other side, unless every host is on this side.
+    A side of a partition that reaches only a minority of the members may
+    not know of a change on the other side, unless every host is on this
+    side.
     """
     if 2 * answering > members:
         return True
@@ -193,18 +203,21 @@
 def has_every_commit(replicas: int, answering: int, synchronous: int) -> bool:
     """Return whether one of the answering replicas has every commit.
 
-    Where a commit is acknowledged once ``synchronous`` replicas have
-    received it, so many replicas less one may be missing; without, no
-    replica is bound to have it and any may lead.
+    If a commit is acknowledged after ``synchronous`` replicas have received
+    it, at most ``synchronous - 1`` replicas may be missing. If replication
+    is asynchronous, no replica is guaranteed to have every commit, and any
+    replica may become the primary.
 
     Parameters
     ----------
     replicas : int
-        Replicas of the group.
+        Number of replicas of the group.
     answering : int
-        Replicas whose log is known and held.
+        Number of replicas whose log is known and whose replication is
+        stopped.
     synchronous : int
-        Replicas that receive a commit before it is acknowledged.
+        Number of replicas that receive a commit before its
+        acknowledgement.
     """
     return not synchronous or answering > replicas - synchronous
 
@@ -212,11 +225,11 @@
 def choose_target(
     group: GroupState, statuses: Mapping[str, LogStatus]
 ) -> str | None:
-    """Return the member to promote, or ``None`` where none answers.
+    """Return the member to promote, or ``None`` if no member answers.
 
-    The log that goes furthest wins, since the records that the new
-    primary lacks are lost; a member that stays goes before one that
-    leaves among equals.
+    The member with the longest log is chosen, because log records that the
+    new primary lacks are lost. Among members with equal logs, a member that
+    is not leaving is preferred.
     """
     best = None
     for member, status in sorted(statuses.items()):
--- a/packages/core/src/trefoilpulley_core/proxy/upstream_session.py
+++ b/packages/core/src/trefoilpulley_core/proxy/upstream_session.py
@@ -1,4 +1,4 @@
-"""Interface to one connection of a member that keeps a session."""
+"""Interface to a connection to a member that keeps session state."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimitReached(NotRun):
-    """The member has as many connections open as it allows."""
+    """The member refused a connection at its connection limit."""
 
     code = 'connection-limit'
 
 
 @dataclass(frozen=True, slots=True)
 class WrongMember(NotRun):
-    """The address belongs to another member by now."""
+    """The address now belongs to another member."""
 
     code = 'wrong-member'
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownStatement(NotRun):
-    """The connection knows no prepared statement of that name."""
+    """The connection has no prepared statement of that name."""
 
     code = 'unknown-statement'
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamFailed(Failure):
-    """The member ran the statement and it failed."""
+    """The member ran the statement, and the statement failed."""
 
     code = 'upstream-failed'
     run_state = RunState.RUN
@@ -52,21 +52,21 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamTimedOut(Failure):
-    """The statement ran out of time after it was sent to a member."""
+    """The statement timed out after it was sent to a member."""
 
     code = 'upstream-timed-out'
 
 
 @dataclass(frozen=True, slots=True)
 class CommandRefused(Failure):
-    """The command does not fit the state of the session."""
+    """The command is invalid in the current state of the session."""
 
     code = 'command-refused'
     run_state = RunState.NOT_RUN
 
 
 class TransactionState(StrEnum):
-    """State of a session's transaction."""
+    """State of the transaction on a session."""
 
     IDLE = 'idle'
     OPEN = 'open'
@@ -75,18 +75,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ResetSession:
-    """Clear the values and prepared statements of a connection."""
+    """Clear the variables and prepared statements of a connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class AssignValue:
-    """Set a value of a connection."""
+    """Set a variable of a connection."""
 
     name: str
-    """Name of the value."""
+    """Name of the variable."""
 
     value: str
-    """Value."""
+    """Value of the variable."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     """Prepare a statement on a connection."""
 
     alias: str
-    """Name on the connection."""
+    """Name of the prepared statement on the connection."""
 
     shape: str
     """Shape of the statement."""
@@ -105,13 +105,16 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenTransaction:
-    """Open a transaction; a plain one is refused where no leader is."""
+    """Open a transaction.
+
+    A member that does not lead refuses a transaction that is not read-only.
+    """
 
     is_read_only: bool
     """Whether the transaction may run at a replica."""
 
     floor: Position | None = None
-    """Position that the member's log must hold."""
+    """Position that the member's log must hold; ``None`` for any."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,39 +138,39 @@
     """Identifier of the caller's request."""
 
     text: str
-    """Statement, or the arguments of a prepared one."""
+    """Statement, or the arguments of a prepared statement."""
 
     alias: str = ''
     """Name of the prepared statement on the connection, or empty."""
 
     floor: Position | None = None
-    """Position that the member's log must hold."""
+    """Position that the member's log must hold; ``None`` for any."""
 
 
 @dataclass(frozen=True, slots=True)
 class AskStatus:
-    """Ask for the member's role and log."""
+    """Request the status of the member's role and log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Demote:
-    """Make a primary of a lower term a replica."""
+    """Demote a primary of a lower term to a replica."""
 
     term: int
-    """Term that the member must give way to."""
+    """Term above the term that the member leads."""
 
 
 @dataclass(frozen=True, slots=True)
 class HoldReplication:
-    """Stop a replica from receiving records of lower terms."""
+    """Stop a replica from receiving log records of lower terms."""
 
     term: int
-    """Term above every term in use."""
+    """Term above every term that is in use."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeReplication:
-    """Let a replica receive again."""
+    """Resume the replication of a replica."""
 
 
 Call = (
@@ -183,12 +186,12 @@
     | HoldReplication
     | ResumeReplication
 )
-"""Any request to a member."""
+"""Any request that a host sends to a member."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogStatus:
-    """What a member says of its role and log."""
+    """Role and log that a member reports."""
 
     is_primary: bool
     """Whether the member leads ``term``."""
@@ -197,39 +200,49 @@
     """Term that the member leads or follows."""
 
     received: Position
-    """Last record received, applied or not."""
+    """Position of the last received record, whether applied or not."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Whole answer to one request."""
+    """Complete reply to one request."""
 
     rows: tuple[bytes, ...] = ()
     """Rows as the member sent them."""
 
     signature: bytes = b''
-    """Proof of the member that it ran the statement."""
+    """Signature by which the member proves that it ran the statement."""
 
     failure: Failure | None = None
-    """Why the request failed, or ``None``."""
+    """Reason of the request's failure, or ``None``."""
 
     state: TransactionState = TransactionState.IDLE
-    """State of the connection's transaction afterwards."""
+    """State of the connection's transaction after the request."""
 
     position: Position = BEGINNING
-    """End of the member's log afterwards; the beginning if unknown."""
+    """End of the member's log after the request.
+
+    ``BEGINNING`` if the position is unknown.
+    """
 
     status: LogStatus | None = None
-    """Role and log; only after requests that ask for it."""
+    """Role and log of the member.
+
+    Set only in the replies to ``AskStatus``, ``Demote`` and
+    ``HoldReplication``.
+    """
 
 
 class UpstreamSession(abc.ABC):
-    """One connection to one member; replies come in order."""
+    """One connection to one member.
+
+    The replies arrive in the order of the requests.
+    """
 
     @property
     @abc.abstractmethod
     def is_usable(self) -> bool:
-        """Whether the connection is open and owes no reply."""
+        """Whether the connection is open and no reply is outstanding."""
 
     @abc.abstractmethod
     def exchange(
@@ -237,14 +250,14 @@
     ) -> Result[tuple[Reply, ...], Failure]:
         """Send requests in one write and wait for every reply.
 
-        A connection that breaks or stays silent is closed, which rolls
-        back its transaction, and ``PeerUnreachable`` or
-        ``UpstreamTimedOut`` is returned.
+        If the connection breaks or the replies time out, the connection is
+        closed, which rolls back its transaction. The method then returns
+        ``PeerUnreachable`` or ``UpstreamTimedOut``.
         """
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Close the connection; the member rolls back."""
+        """Close the connection; the member rolls back its transaction."""
 
 
 class UpstreamDialer(abc.ABC):
@@ -254,8 +267,8 @@
     def dial(
         self, member: MemberRecord, timeout_s: float
     ) -> Result[UpstreamSession, Failure]:
-        """Open a connection to exactly this member.
+        """Open a connection to a member.
 
-        Fails with ``PeerUnreachable``, ``ConnectionLimitReached`` or
-        ``WrongMember``.
+        Returns ``PeerUnreachable``, ``ConnectionLimitReached`` or, if the
+        address belongs to another member, ``WrongMember`` on failure.
         """
--- a/packages/core/src/trefoilpulley_core/proxy/waiting_line.py
+++ b/packages/core/src/trefoilpulley_core/proxy/waiting_line.py
@@ -1,9 +1,9 @@
-"""Work that waits for a connection of a member.
+"""Queue of work for the connections to a member.
 
-Load pattern: a burst, or a primary that has just changed, asks for more
-connections at once than a host holds. The most important work goes first,
-then the earliest deadline; what can't get its turn in time is turned away
-at once, so that its caller may try another host.
+Load pattern: a burst, or a recent change of the primary, requires more
+connections at once than a host holds. The queue is ordered by priority and
+then by deadline. Work that would miss its deadline in the queue is refused
+immediately, so that its caller can try another host.
 """
 
 from __future__ import annotations
@@ -14,56 +14,56 @@
 from typing import Any
 
 HOLD_TIME_WEIGHT = 0.1
-"""Weight of a new hold in the mean time that work holds a connection."""
+"""Weight of a new value in the moving average of the hold time."""
 
 INITIAL_HOLD_S = 0.03
-"""Time that work is taken to hold a connection at first, in seconds."""
+"""Hold time that is assumed before the first measurement, in seconds."""
 
 MAX_QUEUE_LENGTH = 200
-"""Pieces of work that may wait for one member at one host."""
+"""Maximum number of queued pieces of work for one member at one host."""
 
 
 @dataclass(order=True, slots=True)
 class QueuedWork:
-    """One piece of work that waits."""
+    """One queued piece of work."""
 
     priority: int
-    """Importance; 0 is the highest."""
+    """Priority; 0 is the highest."""
 
     deadline: float
-    """Time by which it must have its connection, in seconds."""
+    """Time by which the work must have a connection, in seconds."""
 
     sequence: int
-    """Order of arrival."""
+    """Sequence number in the order of arrival."""
 
     handle: Any = field(compare=False)
-    """What the caller of the line needs to go on."""
+    """Object by which the user of the queue resumes the work."""
 
     is_done: bool = field(default=False, compare=False)
-    """Whether it was served or gave up."""
+    """Whether the work was served or removed."""
 
 
 class ConnectionQueue:
-    """Line of work for the connections of one member."""
+    """Priority queue of work for the connections to one member."""
 
     def __init__(self) -> None:
         self._heap: list[QueuedWork] = []
         self._count = 0
-        self._waiting = 0
+        self._length = 0
         self.mean_hold_s = INITIAL_HOLD_S
-        """Mean time that work holds a connection, in seconds."""
+        """Mean time for which work holds a connection, in seconds."""
 
     def __len__(self) -> int:
-        return self._waiting
+        return self._length
 
     def on_released(self, held_s: float) -> None:
-        """Learn how long a piece of work held its connection."""
+        """Record how long a piece of work held its connection."""
         self.mean_hold_s += HOLD_TIME_WEIGHT * (held_s - self.mean_hold_s)
 
     def expected_wait_s(
         self, priority: int, servers: int, mean_hold_s: float
     ) -> float:
-        """Return the expected wait of new work, in seconds."""
+        """Return the expected queueing time of new work, in seconds."""
         ahead = sum(
             1 for w in self._heap if not w.is_done and w.priority <= priority
         )
@@ -78,24 +78,27 @@
         mean_hold_s: float,
         handle: Any,
     ) -> QueuedWork | None:
-        """Add work, or return ``None`` where it would come too late.
+        """Add work, or return ``None`` if the work must be refused.
+
+        Work is refused if the queue is full or the work would miss its
+        deadline.
 
         Parameters
         ----------
         priority : int
-            Importance; 0 is the highest.
+            Priority; 0 is the highest.
         deadline : float
-            Time by which its turn must come, in seconds.
+            Time by which the work must have a connection, in seconds.
         now : float
-            Present time in seconds.
+            Current time in seconds.
         servers : int
-            Pieces of work that are served at once.
+            Number of pieces of work that are served concurrently.
         mean_hold_s : float
-            Mean time that serving one takes, in seconds.
+            Mean time for which work holds a connection, in seconds.
         handle : Any
-            What the caller of the line needs to go on.
+            Object by which the user of the queue resumes the work.
         """
-        if self._waiting >= MAX_QUEUE_LENGTH:
+        if self._length >= MAX_QUEUE_LENGTH:
             return None
         wait_s = self.expected_wait_s(priority, servers, mean_hold_s)
         if now + wait_s > deadline:
@@ -103,32 +106,32 @@
         self._count += 1
         work = QueuedWork(priority, deadline, self._count, handle)
         heapq.heappush(self._heap, work)
-        self._waiting += 1
+        self._length += 1
         return work
 
     def remove(self, work: QueuedWork) -> None:
-        """Take work out that has given up."""
+        """Remove work that is no longer waiting."""
         if not work.is_done:
             work.is_done = True
-            self._waiting -= 1
+            self._length -= 1
 
     def pop(self, now: float) -> QueuedWork | None:
-        """Return the next work that is still in time, or ``None``."""
+        """Remove and return the next work within its deadline, or ``None``."""
         while self._heap:
             work = heapq.heappop(self._heap)
             if work.is_done:
                 continue
             work.is_done = True
-            self._waiting -= 1
+            self._length -= 1
             if work.deadline >= now:
                 return work
         return None
 
     def drain(self) -> tuple[QueuedWork, ...]:
-        """Remove and return all work."""
-        left = [w for w in self._heap if not w.is_done]
-        for work in left:
+        """Remove and return all queued work."""
+        remaining = [w for w in self._heap if not w.is_done]
+        for work in remaining:
             work.is_done = True
         self._heap.clear()
-        self._waiting = 0
-        return tuple(left)
+        self._length = 0
+        return tuple(remaining)
