--- a/features/fakes/membership_faults.py
+++ b/features/fakes/membership_faults.py
@@ -13,7 +13,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self._news._refute = lambda record: None
+        self._dissemination._refute = lambda record: None
 
 
 class NoRingProbes(Membership):
@@ -37,7 +37,7 @@
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         watch = self._zone_watch
-        watch._choose_helpers = lambda subject: []
+        watch._choose_indirect_probers = lambda subject: []
 
 
 class BelievesOldDeaths(Membership):
@@ -45,7 +45,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self._verifier.learn = self._news.learn
+        self._verifier.learn = self._dissemination.learn
 
 
 class ListBeforeRecords(Membership):
@@ -60,7 +60,7 @@
         """Read the list again before each tick."""
         super().on_tick(now)
         for name, entry in self._table._listed.items():
-            record = self._table.find(name)
+            record = self._table.find_host(name)
             if record is not None and record.state is HostState.DEAD:
                 self._table._remove(name)
                 self.on_host_list(self._table._listed.values())
--- a/packages/core/src/trefoilpulley_core/membership/commands.py
+++ b/packages/core/src/trefoilpulley_core/membership/commands.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeeVersions:
+class CompareVersions:
     """Compare the documents that a peer holds with one's own."""
 
     host: str
@@ -47,5 +47,5 @@
     """Newest documents that the peer holds."""
 
 
-Command = Call | Tell | SeeVersions
+Command = Call | Tell | CompareVersions
 """Any command."""
--- a/packages/core/src/trefoilpulley_core/membership/death_verifier.py
+++ b/packages/core/src/trefoilpulley_core/membership/death_verifier.py
@@ -8,13 +8,13 @@
 from trefoilpulley_core.membership.record import HostState
 
 if TYPE_CHECKING:
-    from trefoilpulley_core.membership.news import NewsSpread
+    from trefoilpulley_core.membership.news import Dissemination
     from trefoilpulley_core.membership.outbox import Outbox
-    from trefoilpulley_core.membership.probes import Probes
+    from trefoilpulley_core.membership.probes import Prober
     from trefoilpulley_core.membership.record import HostRecord
     from trefoilpulley_core.membership.record import ZoneRecord
 
-VERIFY_TIMEOUT_S = 0.5
+VERIFICATION_TIMEOUT_S = 0.5
 """Longest wait for the answer of a host that is said to be dead."""
 
 
@@ -27,7 +27,7 @@
 
     Parameters
     ----------
-    news : NewsSpread
+    news : Dissemination
         Takes what has been checked.
     probes : Probes
         Sends the questions.
@@ -36,79 +36,84 @@
     """
 
     def __init__(
-        self, news: NewsSpread, probes: Probes, outbox: Outbox
+        self, dissemination: Dissemination, prober: Prober, outbox: Outbox
     ) -> None:
-        self._news = news
-        self._table = news.table
-        self._probes = probes
+        self._dissemination = dissemination
+        self._table = dissemination.table
+        self._prober = prober
         self._outbox = outbox
-        self._checking: set[str] = set()
+        self._being_verified: set[str] = set()
 
-    def on_wake(self) -> None:
+    def on_process_resumed(self) -> None:
         """Give up the questions that a pause has interrupted."""
-        self._checking.clear()
+        self._being_verified.clear()
 
     def learn(self, news: News) -> None:
         """Merge records, the verdicts among them once checked."""
         for record in news.hosts:
-            if self._is_doubtful(record):
-                self._check_host(record)
+            if self._must_verify(record):
+                self._verify_host(record)
             else:
-                self._news.learn_host(record)
+                self._dissemination.learn_host(record)
         for zone_record in news.zones:
-            if self._is_zone_doubtful(zone_record):
-                self._check_zone(zone_record)
+            if self._must_verify_zone(zone_record):
+                self._verify_zone(zone_record)
             else:
-                self._news.learn_zone(zone_record)
+                self._dissemination.learn_zone(zone_record)
 
-    def _is_doubtful(self, record: HostRecord) -> bool:
-        known = self._table.find(record.entry.name)
+    def _must_verify(self, record: HostRecord) -> bool:
+        known = self._table.find_host(record.entry.name)
         if known is None or known.incarnation == 0:
             return False
-        if record.state is not HostState.DEAD or known == self._news.own:
+        if (
+            record.state is not HostState.DEAD
+            or known == self._dissemination.own
+        ):
             return False
         return known.state is not HostState.DEAD and record.supersedes(known)
 
-    def _is_zone_doubtful(self, record: ZoneRecord) -> bool:
+    def _must_verify_zone(self, record: ZoneRecord) -> bool:
         known = self._table.find_zone(record.zone)
         if not record.is_lost or not record.supersedes(known):
             return False
         is_held_lost = known is not None and known.is_lost
-        return not is_held_lost and record.zone != self._news.zone
+        return not is_held_lost and record.zone != self._dissemination.zone
 
-    def _check_host(self, record: HostRecord) -> None:
+    def _verify_host(self, record: HostRecord) -> None:
         name = record.entry.name
-        if name in self._checking:
+        if name in self._being_verified:
             return
-        self._checking.add(name)
+        self._being_verified.add(name)
         self._outbox.tell(name, News((record,)))
 
-        def on_silence(now: float) -> None:
-            self._checking.discard(name)
-            self._news.learn_host(record)
+        def on_no_answer(now: float) -> None:
+            self._being_verified.discard(name)
+            self._dissemination.learn_host(record)
 
-        self._probes.send(
+        self._prober.send(
             name,
-            lambda now: self._checking.discard(name),
-            on_silence,
-            VERIFY_TIMEOUT_S,
+            lambda now: self._being_verified.discard(name),
+            on_no_answer,
+            VERIFICATION_TIMEOUT_S,
         )
 
-    def _check_zone(self, record: ZoneRecord) -> None:
+    def _verify_zone(self, record: ZoneRecord) -> None:
         hosts = self._table.live_hosts.hosts_of(record.zone)
         if not hosts:
-            self._news.learn_zone(record)
+            self._dissemination.learn_zone(record)
             return
-        if record.zone in self._checking:
+        if record.zone in self._being_verified:
             return
-        self._checking.add(record.zone)
+        self._being_verified.add(record.zone)
 
         def on_reached(now: float) -> None:
-            self._checking.discard(record.zone)
-            self._news.refute_loss(record)
+            self._being_verified.discard(record.zone)
+            self._dissemination.refute_loss(record)
 
-        def on_silence(now: float) -> None:
-            self._checking.discard(record.zone)
-            self._news.learn_zone(record)
+        def on_no_answer(now: float) -> None:
+            self._being_verified.discard(record.zone)
+            self._dissemination.learn_zone(record)
 
-        self._probes.send(hosts[0], on_reached, on_silence, VERIFY_TIMEOUT_S)
+        self._prober.send(
+            hosts[0], on_reached, on_no_answer, VERIFICATION_TIMEOUT_S
+        )
--- a/packages/core/src/trefoilpulley_core/membership/failure_detector.py
+++ b/packages/core/src/trefoilpulley_core/membership/failure_detector.py
@@ -7,25 +7,25 @@
 
 from xxhash import xxh3_64_intdigest
 
-from trefoilpulley_core.membership.inquiry import Inquiry
+from trefoilpulley_core.membership.inquiry import SuspicionCheck
 from trefoilpulley_core.membership.record import HostState
 
 if TYPE_CHECKING:
     import random
 
-    from trefoilpulley_core.membership.news import NewsSpread
-    from trefoilpulley_core.membership.probes import Probes
+    from trefoilpulley_core.membership.news import Dissemination
+    from trefoilpulley_core.membership.probes import Prober
 
-RING_INTERVAL_S = 0.4
+RING_PROBE_INTERVAL_S = 0.4
 """Time between two probes of a host's successor, in seconds."""
 
-RANDOM_INTERVAL_S = 2.0
+RANDOM_PROBE_INTERVAL_S = 2.0
 """Time between two probes of any host of the zone, in seconds."""
 
-PREDECESSORS = 3
+SUSPECTING_PREDECESSORS = 3
 """Hosts before another on the ring that act on a broken connection."""
 
-HELPERS = 2
+INDIRECT_PROBERS = 2
 """Hosts that are asked to probe a silent one."""
 
 
@@ -40,7 +40,7 @@
 
     Parameters
     ----------
-    news : NewsSpread
+    news : Dissemination
         Takes the verdicts.
     probes : Probes
         Sends the probes.
@@ -49,13 +49,13 @@
     """
 
     def __init__(
-        self, news: NewsSpread, probes: Probes, rng: random.Random
+        self, dissemination: Dissemination, prober: Prober, rng: random.Random
     ) -> None:
-        self._news = news
-        self._table = news.table
-        self._probes = probes
+        self._dissemination = dissemination
+        self._table = dissemination.table
+        self._prober = prober
         self._rng = rng
-        self._inquiries: dict[str, Inquiry] = {}
+        self._suspicion_checks: dict[str, SuspicionCheck] = {}
         self._ring: tuple[str, ...] = ()
         self._ring_version = -1
         self._next_ring_at = 0.0
@@ -64,72 +64,78 @@
     @property
     def suspected(self) -> tuple[str, ...]:
         """Hosts that did not answer and are being inquired after."""
-        return tuple(sorted(self._inquiries))
+        return tuple(sorted(self._suspicion_checks))
 
     def on_tick(self, now: float) -> None:
         """Send the probes that are due."""
         if now >= self._next_ring_at:
-            due = self._next_ring_at + RING_INTERVAL_S
-            self._next_ring_at = due if due > now else now + RING_INTERVAL_S
+            due = self._next_ring_at + RING_PROBE_INTERVAL_S
+            self._next_ring_at = (
+                due if due > now else now + RING_PROBE_INTERVAL_S
+            )
             self._probe_successor()
         if now >= self._next_random_at:
             spread = self._rng.uniform(0.5, 1.5)
-            self._next_random_at = now + RANDOM_INTERVAL_S * spread
+            self._next_random_at = now + RANDOM_PROBE_INTERVAL_S * spread
             self._probe_random()
 
-    def on_wake(self) -> None:
+    def on_process_resumed(self) -> None:
         """Draw no conclusion from what a pause has let time out."""
-        self._inquiries.clear()
+        self._suspicion_checks.clear()
 
-    def on_contact_lost(self, host: str, now: float) -> None:
+    def on_connection_lost(self, host: str, now: float) -> None:
         """Inquire after a host whose connection broke.
 
         Every host with a connection sees it break; a few that stand
         before it on the ring are enough to ask.
         """
-        if host in self._list_successors()[:PREDECESSORS]:
+        if host in self._list_successors()[:SUSPECTING_PREDECESSORS]:
             self.suspect(host, now)
 
     def suspect(self, host: str, now: float) -> None:
         """Inquire after a host that did not answer."""
-        if host in self._inquiries or host not in self._live_names():
+        if host in self._suspicion_checks or host not in self._live_names():
             return
-        inquiry = self._inquiries[host] = Inquiry(
-            self._probes,
+        check = self._suspicion_checks[host] = SuspicionCheck(
+            self._prober,
             lambda: host,
-            lambda: self._choose_helpers(host),
+            lambda: self._choose_indirect_probers(host),
             lambda at: self._clear(host),
             lambda at: self._declare_dead(host),
         )
-        inquiry.begin_round()
+        check.begin_round()
         self._probe_successor()
 
     def _probe_successor(self) -> None:
         host = self._find_successor()
         if host is not None:
-            self._probes.send(
+            self._prober.send(
                 host, lambda now: None, lambda now: self.suspect(host, now)
             )
 
     def _probe_random(self) -> None:
-        own = self._news.own.entry.name
-        hosts = [h for h in self._table.names_in(self._news.zone) if h != own]
+        own = self._dissemination.own.entry.name
+        hosts = [
+            h
+            for h in self._table.names_in(self._dissemination.zone)
+            if h != own
+        ]
         if not hosts:
             return
         host = self._rng.choice(hosts)
-        self._probes.send(
+        self._prober.send(
             host, lambda now: None, lambda now: self.suspect(host, now)
         )
 
     def _find_successor(self) -> str | None:
         for host in self._list_successors():
-            if host not in self._inquiries:
+            if host not in self._suspicion_checks:
                 return host
         return None
 
     def _list_successors(self) -> tuple[str, ...]:
         ring = self._live_ring()
-        own = self._news.own.entry.name
+        own = self._dissemination.own.entry.name
         start = ring.index(own) if own in ring else 0
         return ring[start + 1 :] + ring[:start]
 
@@ -140,25 +146,27 @@
         return self._ring
 
     def _live_names(self) -> list[str]:
-        names = self._table.names_in(self._news.zone)
+        names = self._table.names_in(self._dissemination.zone)
         return [n for n in names if self._table.is_live(n)]
 
-    def _choose_helpers(self, subject: str) -> list[str]:
-        own = self._news.own.entry.name
-        excluded = {own, subject, *self._inquiries}
+    def _choose_indirect_probers(self, subject: str) -> list[str]:
+        own = self._dissemination.own.entry.name
+        excluded = {own, subject, *self._suspicion_checks}
         peers = [h for h in self._live_names() if h not in excluded]
-        if len(peers) < HELPERS:
-            peers += self._news.list_helpers(self._news.zone)
-        return self._rng.sample(peers, min(HELPERS, len(peers)))
+        if len(peers) < INDIRECT_PROBERS:
+            peers += self._dissemination.list_indirect_probers(
+                self._dissemination.zone
+            )
+        return self._rng.sample(peers, min(INDIRECT_PROBERS, len(peers)))
 
     def _clear(self, host: str) -> None:
-        self._inquiries.pop(host, None)
+        self._suspicion_checks.pop(host, None)
 
     def _declare_dead(self, host: str) -> None:
-        self._inquiries.pop(host, None)
-        record = self._table.find(host)
+        self._suspicion_checks.pop(host, None)
+        record = self._table.find_host(host)
         if record is not None:
-            self._news.announce(replace(record, state=HostState.DEAD))
+            self._dissemination.announce(replace(record, state=HostState.DEAD))
 
 
 def _ring_position(host: str) -> int:
--- a/packages/core/src/trefoilpulley_core/membership/inquiry.py
+++ b/packages/core/src/trefoilpulley_core/membership/inquiry.py
@@ -6,8 +6,8 @@
 
 from trefoilpulley_core.membership.messages import ProbeForMe
 from trefoilpulley_core.membership.messages import ProbeReport
-from trefoilpulley_core.membership.outbox import Pending
-from trefoilpulley_core.membership.suspicion import Suspicion
+from trefoilpulley_core.membership.outbox import PendingCall
+from trefoilpulley_core.membership.suspicion import SuspicionRounds
 from trefoilpulley_core.membership.suspicion import Verdict
 
 if TYPE_CHECKING:
@@ -15,13 +15,13 @@
     from collections.abc import Sequence
     from typing import Any
 
-    from trefoilpulley_core.membership.probes import Probes
+    from trefoilpulley_core.membership.probes import Prober
 
-HELP_TIMEOUT_S = 0.35
+INDIRECT_PROBE_TIMEOUT_S = 0.35
 """Longest wait for a helper's report, in seconds."""
 
 
-class Inquiry:
+class SuspicionCheck:
     """Finds out whether a silent host is gone.
 
     Parameters
@@ -30,47 +30,50 @@
         Sends probes.
     choose_host : Callable[[], str]
         Returns the host to probe in the next round.
-    choose_helpers : Callable[[], Sequence[str]]
+    choose_indirect_probers : Callable[[], Sequence[str]]
         Returns the hosts that are asked to probe it too.
     on_reached : Callable[[float], None]
         Called once when somebody has reached the host.
     on_confirmed : Callable[[float], None]
         Called once when the host is gone.
-    denied_rounds_needed : int
+    min_unreachable_rounds : int
         Rounds with a helper's denial that are needed.
     """
 
     def __init__(
         self,
-        probes: Probes,
+        prober: Prober,
         choose_host: Callable[[], str],
-        choose_helpers: Callable[[], Sequence[str]],
+        choose_indirect_probers: Callable[[], Sequence[str]],
         on_reached: Callable[[float], None],
         on_confirmed: Callable[[float], None],
-        denied_rounds_needed: int = 1,
+        min_unreachable_rounds: int = 1,
     ) -> None:
-        self._probes = probes
+        self._prober = prober
         self._choose_host = choose_host
-        self._choose_helpers = choose_helpers
+        self._choose_indirect_probers = choose_indirect_probers
         self._on_reached = on_reached
         self._on_confirmed = on_confirmed
-        self._suspicion = Suspicion(denied_rounds_needed)
+        self._suspicion = SuspicionRounds(min_unreachable_rounds)
         self._is_closed = False
 
     def begin_round(self) -> None:
         """Probe the host again and ask helpers to do the same."""
         host = self._choose_host()
-        helpers = self._choose_helpers()
-        self._suspicion.begin_round(1 + len(helpers))
-        self._probes.send(
-            host, self._on_own_answer, self._on_silence, HELP_TIMEOUT_S
+        indirect_probers = self._choose_indirect_probers()
+        self._suspicion.begin_round(1 + len(indirect_probers))
+        self._prober.send(
+            host,
+            self._on_own_answer,
+            self._on_no_answer,
+            INDIRECT_PROBE_TIMEOUT_S,
         )
-        for helper in helpers:
-            self._probes.outbox.call(
-                helper,
+        for indirect_prober in indirect_probers:
+            self._prober.outbox.call(
+                indirect_prober,
                 ProbeForMe(host),
-                HELP_TIMEOUT_S,
-                Pending(self._on_report, self._on_silence),
+                INDIRECT_PROBE_TIMEOUT_S,
+                PendingCall(self._on_report, self._on_no_answer),
             )
 
     def _on_own_answer(self, now: float) -> None:
@@ -78,14 +81,14 @@
 
     def _on_report(self, report: Any, now: float) -> None:
         if not isinstance(report, ProbeReport):
-            self._on_silence(now)
+            self._on_no_answer(now)
         elif report.is_reachable:
             self._act(self._suspicion.on_reached(), now)
         else:
-            self._act(self._suspicion.on_denied(), now)
+            self._act(self._suspicion.on_unreachable_report(), now)
 
-    def _on_silence(self, now: float) -> None:
-        self._act(self._suspicion.on_silence(), now)
+    def _on_no_answer(self, now: float) -> None:
+        self._act(self._suspicion.on_no_answer(), now)
 
     def _act(self, verdict: Verdict, now: float) -> None:
         if self._is_closed or verdict is Verdict.OPEN:
--- a/packages/core/src/trefoilpulley_core/membership/live_hosts.py
+++ b/packages/core/src/trefoilpulley_core/membership/live_hosts.py
@@ -59,11 +59,11 @@
         """
         key = member.name, member.zone
         if key not in self._poolers:
-            hosts = self._candidates(member.zone)
+            hosts = self._pooler_candidates(member.zone)
             self._poolers[key] = pick_host(member.name, hosts)
         return self._poolers[key]
 
-    def _candidates(self, zone: str) -> tuple[str, ...]:
+    def _pooler_candidates(self, zone: str) -> tuple[str, ...]:
         found = self._find_zone(zone)
         if found and found.hosts:
             return found.hosts
--- a/packages/core/src/trefoilpulley_core/membership/membership.py
+++ b/packages/core/src/trefoilpulley_core/membership/membership.py
@@ -9,9 +9,9 @@
 from trefoilpulley_core.membership.failure_detector import FailureDetector
 from trefoilpulley_core.membership.messages import ProbeReport
 from trefoilpulley_core.membership.messages import Versions
-from trefoilpulley_core.membership.news import NewsSpread
+from trefoilpulley_core.membership.news import Dissemination
 from trefoilpulley_core.membership.outbox import Outbox
-from trefoilpulley_core.membership.probes import Probes
+from trefoilpulley_core.membership.probes import Prober
 from trefoilpulley_core.membership.reconciler import Reconciler
 from trefoilpulley_core.membership.record import HostRecord
 from trefoilpulley_core.membership.record import HostState
@@ -36,16 +36,16 @@
 TICK_INTERVAL_S = 0.2
 """Time between two ticks, in seconds."""
 
-PAUSE_S = 0.6
+MIN_PROCESS_PAUSE_S = 0.6
 """Gap between ticks that shows this process to have been paused."""
 
 JOIN_INTERVAL_S = 0.5
 """Time between two attempts to join, in seconds."""
 
-JOIN_HOSTS = 2
+HOSTS_PER_JOIN_ATTEMPT = 2
 """Listed hosts that are asked at each attempt, besides one seed."""
 
-FORGET_INTERVAL_S = 600.0
+DEAD_HOST_REMOVAL_INTERVAL_S = 600.0
 """Time between two removals of dead hosts, in seconds."""
 
 
@@ -66,29 +66,37 @@
 
     def __init__(
         self,
-        me: HostEntry,
+        own_entry: HostEntry,
         incarnation: int,
         seeds: Sequence[str],
         rng: random.Random,
     ) -> None:
-        own = HostRecord(me, incarnation, HostState.ALIVE)
+        own = HostRecord(own_entry, incarnation, HostState.ALIVE)
         self._outbox = Outbox()
-        self._table = MembershipTable(me.region)
-        self._news = NewsSpread(own, self._table, self._outbox)
+        self._table = MembershipTable(own_entry.region)
+        self._dissemination = Dissemination(own, self._table, self._outbox)
         self._reconciler = Reconciler(
-            self._news, self._outbox, lambda news: self._verifier.learn(news)
+            self._dissemination,
+            self._outbox,
+            lambda news: self._verifier.learn(news),
         )
-        self._probes = Probes(self._outbox, self._news, self._reconciler)
-        self._verifier = DeathVerifier(self._news, self._probes, self._outbox)
-        self._detector = FailureDetector(self._news, self._probes, rng)
-        self._zone_watch = ZoneWatch(self._news, self._probes, rng)
-        self._seeds = tuple(s for s in seeds if s != me.name)
+        self._prober = Prober(
+            self._outbox, self._dissemination, self._reconciler
+        )
+        self._verifier = DeathVerifier(
+            self._dissemination, self._prober, self._outbox
+        )
+        self._detector = FailureDetector(
+            self._dissemination, self._prober, rng
+        )
+        self._zone_watch = ZoneWatch(self._dissemination, self._prober, rng)
+        self._seeds = tuple(s for s in seeds if s != own_entry.name)
         self._rng = rng
-        self._is_introduced = False
+        self._is_announced = False
         self._ticked_at: float | None = None
         self._next_join_at = 0.0
-        self._next_forget_at = 0.0
-        self._news.announce(own)
+        self._next_removal_at = 0.0
+        self._dissemination.announce(own)
 
     @property
     def live_hosts(self) -> LiveHosts:
@@ -98,12 +106,12 @@
     @property
     def own(self) -> HostRecord:
         """Record of this host."""
-        return self._news.own
+        return self._dissemination.own
 
     @property
     def is_relay(self) -> bool:
         """Whether this host carries its zone's news."""
-        return self._news.relay_index is not None
+        return self._dissemination.relay_index is not None
 
     @property
     def suspected(self) -> tuple[str, ...]:
@@ -112,7 +120,7 @@
 
     def find_host(self, host: str) -> HostRecord | None:
         """Return the record of a host, or ``None``."""
-        return self._table.find(host)
+        return self._table.find_host(host)
 
     def find_entry(self, host: str) -> HostEntry | None:
         """Return the addresses of a host, or ``None``."""
@@ -124,24 +132,24 @@
 
     def set_versions(self, versions: Versions) -> None:
         """Say which documents this host holds."""
-        self._probes.versions = versions
+        self._prober.versions = versions
 
     def take_commands(self) -> tuple[Command, ...]:
         """Return the commands that have come up, oldest first."""
-        self._news.flush()
+        self._dissemination.flush()
         return self._outbox.take()
 
     def on_tick(self, now: float) -> None:
         """Do what is due."""
         self._note_time(now)
-        self._news.on_tick()
+        self._dissemination.on_tick()
         self._reconciler.on_tick(now)
         self._join(now)
         self._detector.on_tick(now)
         self._zone_watch.on_tick(now)
-        if now >= self._next_forget_at:
-            self._next_forget_at = now + FORGET_INTERVAL_S
-            self._table.forget_unlisted_dead()
+        if now >= self._next_removal_at:
+            self._next_removal_at = now + DEAD_HOST_REMOVAL_INTERVAL_S
+            self._table.remove_unlisted_dead()
 
     def on_host_list(self, entries: Iterable[HostEntry]) -> None:
         """Join the platform's list with what the hosts know."""
@@ -163,30 +171,30 @@
 
     def on_probe(self, probe: Probe, now: float) -> ProbeAnswer:
         """Return the answer to another host's probe."""
-        return self._probes.on_probe(probe, now)
+        return self._prober.on_probe(probe, now)
 
     def on_news(self, news: News, sender: str) -> None:
         """Take the records of another host."""
-        known = self._table.find(sender)
+        known = self._table.find_host(sender)
         if known is None or known.state is HostState.DEAD:
             self._verifier.learn(news)
         else:
-            self._news.learn(news)
+            self._dissemination.learn(news)
 
     def on_exchange(self, exchange: Exchange) -> News:
         """Take another host's records and return what it lacks."""
         return self._reconciler.on_exchange(exchange)
 
-    def on_contact_lost(self, host: str, now: float) -> None:
+    def on_connection_lost(self, host: str, now: float) -> None:
         """Inquire after a host whose connection broke."""
         self._note_time(now)
-        self._detector.on_contact_lost(host, now)
+        self._detector.on_connection_lost(host, now)
 
     def on_probe_for_me(
         self, req: ProbeForMe, reply: Callable[[ProbeReport], None]
     ) -> None:
         """Probe a host on another one's behalf, then reply."""
-        self._probes.send(
+        self._prober.send(
             req.host,
             lambda now: reply(ProbeReport(is_reachable=True)),
             lambda now: reply(ProbeReport(is_reachable=False)),
@@ -194,24 +202,25 @@
 
     def on_leave(self) -> None:
         """Say that this host takes no new work."""
-        self._news.change_own(HostState.LEAVING)
+        self._dissemination.change_own(HostState.LEAVING)
 
     def _note_time(self, now: float) -> None:
-        paused = (
-            self._ticked_at is not None and now - self._ticked_at > PAUSE_S
+        is_paused = (
+            self._ticked_at is not None
+            and now - self._ticked_at > MIN_PROCESS_PAUSE_S
         )
         self._ticked_at = now
-        if paused:
-            self._outbox.abandon_calls()
-            self._detector.on_wake()
-            self._zone_watch.on_wake()
-            self._reconciler.on_wake()
-            self._verifier.on_wake()
+        if is_paused:
+            self._outbox.discard_calls()
+            self._detector.on_process_resumed()
+            self._zone_watch.on_process_resumed()
+            self._reconciler.on_process_resumed()
+            self._verifier.on_process_resumed()
 
     def _join(self, now: float) -> None:
-        if self._reconciler.is_joined and not self._is_introduced:
-            self._is_introduced = True
-            self._news.introduce()
+        if self._reconciler.is_joined and not self._is_announced:
+            self._is_announced = True
+            self._dissemination.announce_own()
         if self._reconciler.is_joined or now < self._next_join_at:
             return
         self._next_join_at = now + JOIN_INTERVAL_S
@@ -219,7 +228,7 @@
             self._ask_to_join(host)
 
     def _ask_to_join(self, host: str) -> None:
-        self._probes.send(
+        self._prober.send(
             host,
             lambda now: self._reconciler.join(host),
             lambda now: None,
@@ -231,6 +240,8 @@
             for r in self.records().hosts
             if r.state is not HostState.DEAD and r != self.own
         ]
-        sample = self._rng.sample(known, min(JOIN_HOSTS, len(known)))
+        sample = self._rng.sample(
+            known, min(HOSTS_PER_JOIN_ATTEMPT, len(known))
+        )
         seeds = self._rng.sample(self._seeds, min(1, len(self._seeds)))
         return (*sample, *seeds)
--- a/packages/core/src/trefoilpulley_core/membership/news.py
+++ b/packages/core/src/trefoilpulley_core/membership/news.py
@@ -27,7 +27,7 @@
     relays: tuple[str, ...]
 
 
-class NewsSpread:
+class Dissemination:
     """Merges records and passes on those that are new.
 
     The host that finds a change tells every host of its zone, once. The
@@ -53,13 +53,13 @@
         self.table = table
         """Records of all hosts."""
 
-        self.zones_in_contact: set[str] = set()
+        self.reachable_zones: set[str] = set()
         """Zones whose hosts have answered this relay's last probe."""
 
         self._outbox = outbox
         self._relays: dict[str, _Relays] = {}
-        self._found = NewsBatch()
-        self._learned = NewsBatch()
+        self._detected = NewsBatch()
+        self._received = NewsBatch()
         self._may_flush = True
 
     @property
@@ -84,7 +84,7 @@
             self._relays[zone] = known
         return known.relays
 
-    def list_helpers(self, subject_zone: str) -> list[str]:
+    def list_indirect_probers(self, subject_zone: str) -> list[str]:
         """Return a relay of each zone of the region but two.
 
         Neither the own zone nor the one in question can testify.
@@ -97,12 +97,12 @@
     def announce(self, record: HostRecord) -> None:
         """Merge a record that this host has found out itself."""
         if self.table.merge(record):
-            self._found.add_host(record)
+            self._detected.add_host(record)
 
     def announce_zone(self, record: ZoneRecord) -> None:
         """Merge a zone's record that this host has found out itself."""
         if self.table.merge_zone(record):
-            self._found.add_zone(record)
+            self._detected.add_zone(record)
 
     def learn(self, news: News) -> None:
         """Merge the records of another host."""
@@ -116,17 +116,17 @@
         if record.entry.name == self.own.entry.name:
             self._refute(record)
         elif self.table.merge(record):
-            self._learned.add_host(record)
+            self._received.add_host(record)
 
     def learn_zone(self, record: ZoneRecord) -> None:
         """Merge a zone's record, or refute a loss that is none."""
         if not record.supersedes(self.table.find_zone(record.zone)):
             return
-        if record.is_lost and self._is_reached(record.zone):
+        if record.is_lost and self._is_zone_reachable(record.zone):
             self.refute_loss(record)
             return
         self.table.merge_zone(record)
-        self._learned.add_zone(record)
+        self._received.add_zone(record)
 
     def refute_loss(self, record: ZoneRecord) -> None:
         """Say that a zone answers, whatever a record says."""
@@ -138,9 +138,9 @@
         self.own = replace(self.own, state=state)
         self.announce(self.own)
 
-    def introduce(self) -> None:
+    def announce_own(self) -> None:
         """Tell the zone of this host, whoever has heard of it."""
-        self._found.add_host(self.own)
+        self._detected.add_host(self.own)
 
     def on_tick(self) -> None:
         """Let news go out again."""
@@ -153,29 +153,31 @@
         go together.
         """
         if self.relay_index is None:
-            self._learned.take()
-        is_empty = self._found.is_empty and self._learned.is_empty
+            self._received.take()
+        is_empty = self._detected.is_empty and self._received.is_empty
         if is_empty or not self._may_flush:
             return
         self._may_flush = False
-        self._send(self._found.take(), self._learned.take())
+        self._send(self._detected.take(), self._received.take())
 
-    def _send(self, found: News, learned: News) -> None:
-        to_zone, to_zones = NewsBatch(), NewsBatch()
-        to_zone.add(found)
-        to_zones.add(found)
-        for record in learned.hosts:
+    def _send(self, detected: News, received: News) -> None:
+        own_zone_batch, other_zones_batch = NewsBatch(), NewsBatch()
+        own_zone_batch.add(detected)
+        other_zones_batch.add(detected)
+        for record in received.hosts:
             is_own_zone = record.entry.zone == self.zone
-            (to_zones if is_own_zone else to_zone).add_host(record)
-        for zone_record in learned.zones:
-            to_zone.add_zone(zone_record)
-            to_zones.add_zone(zone_record)
-        self._tell_zone(to_zone.take())
+            (other_zones_batch if is_own_zone else own_zone_batch).add_host(
+                record
+            )
+        for zone_record in received.zones:
+            own_zone_batch.add_zone(zone_record)
+            other_zones_batch.add_zone(zone_record)
+        self._tell_own_zone(own_zone_batch.take())
         if self.relay_index is not None:
-            self._tell_zones(to_zones.take())
+            self._tell_other_zones(other_zones_batch.take())
 
-    def _is_reached(self, zone: str) -> bool:
-        return zone == self.zone or zone in self.zones_in_contact
+    def _is_zone_reachable(self, zone: str) -> bool:
+        return zone == self.zone or zone in self.reachable_zones
 
     def _refute(self, record: HostRecord) -> None:
         if not record.supersedes(self.own):
@@ -183,14 +185,14 @@
         self.own = replace(self.own, incarnation=record.incarnation + 1)
         self.announce(self.own)
 
-    def _tell_zone(self, news: News) -> None:
+    def _tell_own_zone(self, news: News) -> None:
         if news == News():
             return
         for host in self.table.names_in(self.zone):
             if host != self.own.entry.name and self.table.is_live(host):
                 self._outbox.tell(host, news)
 
-    def _tell_zones(self, news: News) -> None:
+    def _tell_other_zones(self, news: News) -> None:
         if news == News():
             return
         index = self.relay_index or 0
--- a/packages/core/src/trefoilpulley_core/membership/outbox.py
+++ b/packages/core/src/trefoilpulley_core/membership/outbox.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pending:
+class PendingCall:
     """What happens when a call ends."""
 
     on_answer: Callable[[Any, float], None]
@@ -31,16 +31,16 @@
 
     def __init__(self) -> None:
         self._commands: list[Command] = []
-        self._pending: dict[int, Pending] = {}
+        self._pending: dict[int, PendingCall] = {}
         self._next_call_id = 1
 
     @property
-    def waiting_calls(self) -> int:
+    def pending_calls(self) -> int:
         """Number of calls without an answer yet."""
         return len(self._pending)
 
     def call(
-        self, host: str, message: Any, timeout_s: float, pending: Pending
+        self, host: str, message: Any, timeout_s: float, pending: PendingCall
     ) -> None:
         """Send a request to a host."""
         call_id = self._next_call_id
@@ -62,10 +62,10 @@
         self._commands.clear()
         return commands
 
-    def finish(self, call_id: int) -> Pending | None:
+    def finish(self, call_id: int) -> PendingCall | None:
         """Return what waits for a call, once."""
         return self._pending.pop(call_id, None)
 
-    def abandon_calls(self) -> None:
+    def discard_calls(self) -> None:
         """Draw no conclusion from the calls that still wait."""
         self._pending.clear()
--- a/packages/core/src/trefoilpulley_core/membership/probes.py
+++ b/packages/core/src/trefoilpulley_core/membership/probes.py
@@ -5,18 +5,18 @@
 from typing import Any
 from typing import TYPE_CHECKING
 
-from trefoilpulley_core.membership.commands import SeeVersions
+from trefoilpulley_core.membership.commands import CompareVersions
 from trefoilpulley_core.membership.messages import Probe
 from trefoilpulley_core.membership.messages import ProbeAnswer
 from trefoilpulley_core.membership.messages import Versions
-from trefoilpulley_core.membership.outbox import Pending
+from trefoilpulley_core.membership.outbox import PendingCall
 from trefoilpulley_core.membership.record import HostRecord
 from trefoilpulley_core.membership.record import HostState
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from trefoilpulley_core.membership.news import NewsSpread
+    from trefoilpulley_core.membership.news import Dissemination
     from trefoilpulley_core.membership.outbox import Outbox
     from trefoilpulley_core.membership.reconciler import Reconciler
 
@@ -24,21 +24,24 @@
 """Longest wait for a probe's answer inside the zone, in seconds."""
 
 
-class Probes:
+class Prober:
     """Sends probes and learns from both sides of them.
 
     Parameters
     ----------
     outbox : Outbox
         Takes the calls.
-    news : NewsSpread
+    news : Dissemination
         Takes what a probe tells of its parties.
     reconciler : Reconciler
         Takes the digests that differ.
     """
 
     def __init__(
-        self, outbox: Outbox, news: NewsSpread, reconciler: Reconciler
+        self,
+        outbox: Outbox,
+        dissemination: Dissemination,
+        reconciler: Reconciler,
     ) -> None:
         self.outbox = outbox
         """Takes the calls."""
@@ -46,13 +49,13 @@
         self.versions = Versions()
         """Newest documents that this host holds."""
 
-        self._news = news
-        self._table = news.table
+        self._dissemination = dissemination
+        self._table = dissemination.table
         self._reconciler = reconciler
 
-    def make(self) -> Probe:
+    def make_probe(self) -> Probe:
         """Return a probe of this host's."""
-        own = self._news.own
+        own = self._dissemination.own
         return Probe(
             own.entry.name, own.incarnation, self._table.digest, self.versions
         )
@@ -61,53 +64,57 @@
         self,
         host: str,
         on_reached: Callable[[float], None],
-        on_silence: Callable[[float], None],
+        on_no_answer: Callable[[float], None],
         timeout_s: float = PROBE_TIMEOUT_S,
     ) -> None:
         """Probe a host."""
 
         def on_answer(answer: Any, now: float) -> None:
             if not isinstance(answer, ProbeAnswer):
-                on_silence(now)
+                on_no_answer(now)
                 return
             self.on_answer(host, answer, now)
             on_reached(now)
 
-        pending = Pending(on_answer, on_silence)
-        self.outbox.call(host, self.make(), timeout_s, pending)
+        pending = PendingCall(on_answer, on_no_answer)
+        self.outbox.call(host, self.make_probe(), timeout_s, pending)
 
     def on_probe(self, probe: Probe, now: float) -> ProbeAnswer:
         """Return the answer to another host's probe."""
-        self._see(probe.host, probe.incarnation, HostState.ALIVE)
-        self.outbox.add(SeeVersions(probe.host, probe.versions))
-        own = self._news.own
+        self._learn_state(probe.host, probe.incarnation, HostState.ALIVE)
+        self.outbox.add(CompareVersions(probe.host, probe.versions))
+        own = self._dissemination.own
         differs = probe.digest != self._table.digest
         return ProbeAnswer(
             own.incarnation,
             self.versions,
             own.state is HostState.LEAVING,
-            self._find_claim(probe),
+            self._find_death_record(probe),
             self._table.zone_digests() if differs else (),
         )
 
     def on_answer(self, host: str, answer: ProbeAnswer, now: float) -> None:
         """Learn from the answer to a probe."""
         state = HostState.LEAVING if answer.is_leaving else HostState.ALIVE
-        self._see(host, answer.incarnation, state)
-        self.outbox.add(SeeVersions(host, answer.versions))
+        self._learn_state(host, answer.incarnation, state)
+        self.outbox.add(CompareVersions(host, answer.versions))
         if answer.claim is not None:
-            self._news.learn_host(answer.claim)
+            self._dissemination.learn_host(answer.claim)
         if answer.zones:
-            self._reconciler.on_difference(host, answer.zones, now)
+            self._reconciler.on_digest_difference(host, answer.zones, now)
 
-    def _see(self, host: str, incarnation: int, state: HostState) -> None:
-        known = self._table.find(host)
+    def _learn_state(
+        self, host: str, incarnation: int, state: HostState
+    ) -> None:
+        known = self._table.find_host(host)
         if known is None:
             return
-        self._news.learn_host(HostRecord(known.entry, incarnation, state))
+        self._dissemination.learn_host(
+            HostRecord(known.entry, incarnation, state)
+        )
 
-    def _find_claim(self, probe: Probe) -> HostRecord | None:
-        known = self._table.find(probe.host)
+    def _find_death_record(self, probe: Probe) -> HostRecord | None:
+        known = self._table.find_host(probe.host)
         if known is None or known.state is not HostState.DEAD:
             return None
         return known
--- a/packages/core/src/trefoilpulley_core/membership/reconciler.py
+++ b/packages/core/src/trefoilpulley_core/membership/reconciler.py
@@ -7,20 +7,20 @@
 
 from trefoilpulley_core.membership.messages import Exchange
 from trefoilpulley_core.membership.messages import News
-from trefoilpulley_core.membership.outbox import Pending
+from trefoilpulley_core.membership.outbox import PendingCall
 
 if TYPE_CHECKING:
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from trefoilpulley_core.membership.news import NewsSpread
+    from trefoilpulley_core.membership.news import Dissemination
     from trefoilpulley_core.membership.outbox import Outbox
     from trefoilpulley_core.membership.record import ZoneDigest
 
 EXCHANGE_TIMEOUT_S = 2.0
 """Longest wait for another host's records, in seconds."""
 
-SETTLE_S = 1.0
+SETTLE_TIME_S = 1.0
 """Time that news is given to arrive before records are exchanged."""
 
 EXCHANGE_INTERVAL_S = 5.0
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    news : NewsSpread
+    news : Dissemination
         Holds the records.
     outbox : Outbox
         Takes the calls.
@@ -42,13 +42,13 @@
 
     def __init__(
         self,
-        news: NewsSpread,
+        dissemination: Dissemination,
         outbox: Outbox,
         learn: Callable[[News], None],
     ) -> None:
-        self._news = news
+        self._dissemination = dissemination
         self._learn = learn
-        self._table = news.table
+        self._table = dissemination.table
         self._outbox = outbox
         self._seen_version = 0
         self._changed_at = 0.0
@@ -63,16 +63,16 @@
             self._seen_version = self._table.version
             self._changed_at = now
 
-    def on_wake(self) -> None:
+    def on_process_resumed(self) -> None:
         """Give up the exchange that a pause has interrupted."""
         self._is_running = False
 
     def join(self, host: str) -> None:
         """Ask a host for all of its records."""
         if not self._is_running:
-            self._exchange(host, (), News((self._news.own,)))
+            self._exchange(host, (), News((self._dissemination.own,)))
 
-    def on_difference(
+    def on_digest_difference(
         self, host: str, digests: Iterable[ZoneDigest], now: float
     ) -> None:
         """Exchange the records that differ, if news had its time."""
@@ -85,19 +85,19 @@
 
     def on_exchange(self, exchange: Exchange) -> News:
         """Merge another host's records and return what it lacks."""
-        answer = self._table.newer_than(exchange.zones, exchange.news)
+        answer = self._table.records_newer_than(exchange.zones, exchange.news)
         self._learn(exchange.news)
         return answer
 
     def _is_due(self, now: float) -> bool:
         self.on_tick(now)
-        if now - self._changed_at >= SETTLE_S:
+        if now - self._changed_at >= SETTLE_TIME_S:
             return True
         return now - self._exchanged_at >= EXCHANGE_INTERVAL_S
 
     def _exchange(self, host: str, zones: tuple[str, ...], news: News) -> None:
         self._is_running = True
-        pending = Pending(self._on_answer, self._on_failure)
+        pending = PendingCall(self._on_answer, self._on_failure)
         message = Exchange(zones, news)
         self._outbox.call(host, message, EXCHANGE_TIMEOUT_S, pending)
 
--- a/packages/core/src/trefoilpulley_core/membership/record.py
+++ b/packages/core/src/trefoilpulley_core/membership/record.py
@@ -21,7 +21,7 @@
     """The host answers nobody in its availability zone."""
 
 
-_RANKS = {HostState.ALIVE: 0, HostState.LEAVING: 1, HostState.DEAD: 2}
+_STATE_RANKS = {HostState.ALIVE: 0, HostState.LEAVING: 1, HostState.DEAD: 2}
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 
     @property
     def _order(self) -> tuple[int, int]:
-        return self.incarnation, _RANKS[self.state]
+        return self.incarnation, _STATE_RANKS[self.state]
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/core/src/trefoilpulley_core/membership/table.py
+++ b/packages/core/src/trefoilpulley_core/membership/table.py
@@ -66,7 +66,7 @@
                 self._view = LiveHosts(self._region, self.version, zones)
         return self._view
 
-    def find(self, host: str) -> HostRecord | None:
+    def find_host(self, host: str) -> HostRecord | None:
         """Return the record of a host, or ``None``."""
         return self._hosts.get(host)
 
@@ -111,7 +111,7 @@
         self._remove(name)
         self._hosts[name] = record
         self._by_zone[record.entry.zone][name] = record
-        self._toggle(record)
+        self._toggle_digest(record)
         self._mark_changed(record.entry.zone)
         return True
 
@@ -145,7 +145,7 @@
         for entry in entries:
             self.merge(HostRecord(entry, 0, HostState.ALIVE))
 
-    def forget_unlisted_dead(self) -> None:
+    def remove_unlisted_dead(self) -> None:
         """Remove the dead hosts that the platform lists no more."""
         for name, record in list(self._hosts.items()):
             if record.state is HostState.DEAD and name not in self._listed:
@@ -158,11 +158,13 @@
 
     def differing_zones(self, others: Iterable[ZoneDigest]) -> tuple[str, ...]:
         """Return the zones whose records differ from another table's."""
-        theirs = {z.zone: z.digest for z in others}
-        known = theirs.keys() | self._digests.keys()
+        other_digests = {z.zone: z.digest for z in others}
+        known = other_digests.keys() | self._digests.keys()
         return tuple(
             sorted(
-                z for z in known if theirs.get(z, 0) != self._digests.get(z, 0)
+                z
+                for z in known
+                if other_digests.get(z, 0) != self._digests.get(z, 0)
             )
         )
 
@@ -180,16 +182,20 @@
             ),
         )
 
-    def newer_than(self, zones: Collection[str], news: News) -> News:
+    def records_newer_than(self, zones: Collection[str], news: News) -> News:
         """Return the records of some zones that other records lack."""
         hosts = {r.entry.name: r for r in news.hosts}
         lost = {z.zone: z for z in news.zones}
-        mine = self.records_of(zones)
+        own_records = self.records_of(zones)
         return News(
             tuple(
-                r for r in mine.hosts if r.supersedes(hosts.get(r.entry.name))
+                r
+                for r in own_records.hosts
+                if r.supersedes(hosts.get(r.entry.name))
+            ),
+            tuple(
+                z for z in own_records.zones if z.supersedes(lost.get(z.zone))
             ),
-            tuple(z for z in mine.zones if z.supersedes(lost.get(z.zone))),
         )
 
     def _mark_changed(self, *zones: str) -> None:
@@ -200,9 +206,9 @@
         record = self._hosts.pop(name, None)
         if record is not None:
             self._by_zone[record.entry.zone].pop(name, None)
-            self._toggle(record)
+            self._toggle_digest(record)
 
-    def _toggle(self, record: HostRecord) -> None:
+    def _toggle_digest(self, record: HostRecord) -> None:
         if record.state is not HostState.DEAD:
             self._digests[record.entry.zone] ^= _fingerprint(record)
 
--- a/packages/node/src/trefoilpulley_node/membership_runner.py
+++ b/packages/node/src/trefoilpulley_node/membership_runner.py
@@ -11,7 +11,7 @@
 from returns.result import Success
 
 from trefoilpulley_core.membership.commands import Call
-from trefoilpulley_core.membership.commands import SeeVersions
+from trefoilpulley_core.membership.commands import CompareVersions
 from trefoilpulley_core.membership.commands import Tell
 from trefoilpulley_core.membership.live_hosts import ZoneHosts
 from trefoilpulley_core.membership.membership import TICK_INTERVAL_S
@@ -177,7 +177,7 @@
                 gevent.spawn(self._call, command)
             elif isinstance(command, Tell):
                 self._spawn_tell(command)
-            elif isinstance(command, SeeVersions):
+            elif isinstance(command, CompareVersions):
                 self._see_versions(command)
         self._publish()
 
@@ -193,7 +193,7 @@
         for on_live in self._on_live:
             on_live(live)
 
-    def _see_versions(self, command: SeeVersions) -> None:
+    def _see_versions(self, command: CompareVersions) -> None:
         for on_versions in self._on_versions:
             on_versions(command.host, command.versions)
 
@@ -247,5 +247,5 @@
         self._pump()
 
     def _on_contact_lost(self, peer: PeerIdentity) -> None:
-        self._membership.on_contact_lost(peer.host, self._clock.now())
+        self._membership.on_connection_lost(peer.host, self._clock.now())
         self._pump()
--- a/packages/standins/src/trefoilpulley_standins/document_fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/document_fleet.py
@@ -18,7 +18,7 @@
 from trefoilpulley_core.configuration.messages import FetchDocument
 from trefoilpulley_core.configuration.spread import DocumentSpread
 from trefoilpulley_core.membership.commands import Call
-from trefoilpulley_core.membership.commands import SeeVersions
+from trefoilpulley_core.membership.commands import CompareVersions
 from trefoilpulley_standins.membership_fleet import Fleet
 from trefoilpulley_standins.membership_fleet import FleetHost
 from trefoilpulley_standins.membership_fleet import REGION_DELAY_S
@@ -153,7 +153,7 @@
     def carry_out(self, host: FleetHost, command: Any) -> None:
         """Carry out a command of a host."""
         super().carry_out(host, command)
-        if isinstance(command, SeeVersions):
+        if isinstance(command, CompareVersions):
             self._see_versions(host, command)
 
     def serve(
@@ -176,7 +176,7 @@
         self._take_document_commands(host)
         return result
 
-    def _see_versions(self, host: FleetHost, command: SeeVersions) -> None:
+    def _see_versions(self, host: FleetHost, command: CompareVersions) -> None:
         state = self.documents[host.entry.name]
         state.spread.on_versions(command.host, command.versions, self.now)
         self._take_document_commands(host)
