--- a/features/fakes/configuration_schedule.py
+++ b/features/fakes/configuration_schedule.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from trefoilpulley_core.configuration.holder import ConfigurationHolder
+    from trefoilpulley_core.configuration.holder import ConfigurationStore
     from trefoilpulley_core.membership.membership import Membership
 
 
@@ -39,14 +39,14 @@
     ----------
     seed : int
         Seed of the fleet.
-    make_holder : Callable[[], ConfigurationHolder]
+    make_holder : Callable[[], ConfigurationStore]
         Makes the holder of a host.
     """
 
     _fleet: DocumentFleet
 
     def __init__(
-        self, seed: int, make_holder: Callable[[], ConfigurationHolder]
+        self, seed: int, make_holder: Callable[[], ConfigurationStore]
     ) -> None:
         self._make_holder = make_holder
         self._revision = 0
--- a/features/fakes/configuration_trace.py
+++ b/features/fakes/configuration_trace.py
@@ -9,7 +9,7 @@
 from features.fakes.trace_replay import TraceReplay
 from trefoilpulley_core.configuration.document import encode_configuration
 from trefoilpulley_core.configuration.document import encode_databases
-from trefoilpulley_core.configuration.holder import ConfigurationHolder
+from trefoilpulley_core.configuration.holder import ConfigurationStore
 from trefoilpulley_core.configuration.messages import Document
 from trefoilpulley_core.configuration.messages import DocumentKind
 from trefoilpulley_core.configuration.messages import make_document
@@ -68,7 +68,7 @@
 
     Parameters
     ----------
-    make_holder : Callable[[], ConfigurationHolder]
+    make_holder : Callable[[], ConfigurationStore]
         Makes the holder of a host.
     """
 
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        make_holder: Callable[[], ConfigurationHolder] = ConfigurationHolder,
+        make_holder: Callable[[], ConfigurationStore] = ConfigurationStore,
     ) -> None:
         fleet = DocumentFleet(seed=7, make_holder=make_holder)
         super().__init__('configuration', TraceEvent, Outcome, fleet)
@@ -164,13 +164,13 @@
             )
 
 
-class TakesAnyRevision(ConfigurationHolder):
+class TakesAnyRevision(ConfigurationStore):
     """A holder that takes whatever comes last."""
 
-    def take(self, document: Document) -> Any:
+    def accept(self, document: Document) -> Any:
         """Forget the revision held before."""
         self._documents.pop(document.kind, None)
-        return super().take(document)
+        return super().accept(document)
 
 
 def make_configuration(revision: int) -> Document:
--- a/features/fakes/small_host.py
+++ b/features/fakes/small_host.py
@@ -10,9 +10,9 @@
 
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.catalog import HostEntry
-from trefoilpulley_core.configuration.holder import ConfigurationHolder
+from trefoilpulley_core.configuration.holder import ConfigurationStore
 from trefoilpulley_core.configuration.messages import DocumentKind
-from trefoilpulley_core.configuration.spread import DocumentSpread
+from trefoilpulley_core.configuration.spread import DocumentDissemination
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_node.clock import MonotonicClock
@@ -76,10 +76,10 @@
         self.membership = MembershipRunner(membership, clock, seeds)
         """Membership of the host."""
 
-        holder = ConfigurationHolder()
+        holder = ConfigurationStore()
         self.documents = ConfigurationRunner(
             holder,
-            DocumentSpread(name, zone, holder),
+            DocumentDissemination(name, zone, holder),
             EtcdPlatform(EtcdGateway(url)),
             clock,
         )
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -23,14 +23,14 @@
 from features.fakes.fake_platform import Fault
 from features.fakes.generated import find_violation
 from features.fakes.membership_schedule import make_schedules
-from trefoilpulley_core.configuration.change import Applied
+from trefoilpulley_core.configuration.change import AppliedChange
 from trefoilpulley_core.configuration.change import ChangeConflict
 from trefoilpulley_core.configuration.change import ChangeNotApplied
 from trefoilpulley_core.configuration.change import ChangeUnknown
 from trefoilpulley_core.configuration.change import read_configuration
 from trefoilpulley_core.configuration.change import submit_change
 from trefoilpulley_core.configuration.document import encode_configuration
-from trefoilpulley_core.configuration.holder import ConfigurationHolder
+from trefoilpulley_core.configuration.holder import ConfigurationStore
 from trefoilpulley_core.configuration.messages import DocumentKind
 from trefoilpulley_core.declarations import Configuration
 from trefoilpulley_core.declarations import Declarations
@@ -167,7 +167,9 @@
     @then('the configuration change is applied as revision {revision:d}')
     def check_applied(context: Any, revision: int) -> None:
         """Expect the change to be applied."""
-        assert context.outcome == Success(Applied(revision)), context.outcome
+        assert context.outcome == Success(AppliedChange(revision)), (
+            context.outcome
+        )
 
     @staticmethod
     @then('the configuration change is refused as a conflict')
@@ -226,7 +228,7 @@
     @when('the configuration trace "{trace}" is replayed')
     def replay_trace(context: Any, trace: str) -> None:
         """Replay a trace."""
-        make = getattr(context, 'make_holder', ConfigurationHolder)
+        make = getattr(context, 'make_holder', ConfigurationStore)
         context.replay = ConfigurationReplay(make)
         context.replay.replay(trace)
 
@@ -250,10 +252,10 @@
         """Offer generated revisions."""
 
         def offer(revisions: list[int]) -> None:
-            holder = ConfigurationHolder()
+            holder = ConfigurationStore()
             greatest = 0
             for revision in revisions:
-                holder.take(make_configuration(revision))
+                holder.accept(make_configuration(revision))
                 greatest = max(greatest, revision)
                 assert holder.configuration.revision == greatest
                 assert holder.versions.configuration == greatest
@@ -269,7 +271,7 @@
     )
     def check_schedules(context: Any, count: int) -> None:
         """Run generated schedules."""
-        violation = _run_schedules(count, ConfigurationHolder)
+        violation = _run_schedules(count, ConfigurationStore)
         assert violation is None, violation
 
     @staticmethod
@@ -381,7 +383,7 @@
 
 
 def _run_schedules(
-    count: int, make_holder: type[ConfigurationHolder]
+    count: int, make_holder: type[ConfigurationStore]
 ) -> AssertionError | None:
     def run(faults: list[Any], seed: int) -> None:
         ConfigurationSchedule(seed, make_holder).run(faults)
@@ -425,7 +427,7 @@
         CONFIGURATION_KEY, stored.mod_revision, encode_configuration(value)
     )
     if isinstance(written, Success):
-        return Success(Applied(value.revision))
+        return Success(AppliedChange(value.revision))
     return Failed(ChangeNotApplied())
 
 
--- a/packages/cli/src/trefoilpulley_cli/change.py
+++ b/packages/cli/src/trefoilpulley_cli/change.py
@@ -25,7 +25,7 @@
 
     from trefoilpulley_cli.invocation import Invocation
     from trefoilpulley_cli.report import Reporter
-    from trefoilpulley_core.configuration.change import Applied
+    from trefoilpulley_core.configuration.change import AppliedChange
     from trefoilpulley_core.configuration.change import StoredConfiguration
     from trefoilpulley_core.declarations import Declarations
     from trefoilpulley_core.failure import Failure
@@ -104,7 +104,7 @@
             return found.unwrap()
         self._refuse(found.failure())
 
-    def _tell_applied(self, applied: Applied) -> None:
+    def _tell_applied(self, applied: AppliedChange) -> None:
         document = self._describe('applied')
         self._reporter.print(
             {**document, 'revision': applied.revision},
--- a/packages/core/src/trefoilpulley_core/configuration/change.py
+++ b/packages/core/src/trefoilpulley_core/configuration/change.py
@@ -24,21 +24,21 @@
 
     from trefoilpulley_core.platform import Platform
 
-ATTEMPTS = 5
+MAX_ATTEMPTS = 5
 """Calls that are made before a change is left unknown."""
 
-PAUSE_S = 0.5
+RETRY_INTERVAL_S = 0.5
 """Pause before a lost answer is looked up, in seconds."""
 
-RECENT_CHANGES = 32
+MAX_RECENT_CHANGES = 32
 """Earlier changes whose identifiers stay in the document."""
 
-VALUE_LIMIT_BYTES = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 """Greatest value that the service holds, in bytes."""
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class AppliedChange:
     """The change is in force, or was until a later one."""
 
     revision: int
@@ -102,7 +102,7 @@
     change_id: str,
     expected_revision: int | None = None,
     pause: Callable[[float], None] = lambda duration_s: None,
-) -> Result[Applied, Failure]:
+) -> Result[AppliedChange, Failure]:
     """Put declarations in force, at most once for each change id.
 
     A lost answer is resolved by the same compare-and-swap again: it
@@ -130,12 +130,12 @@
         `ChangeUnknown`.
     """
     change = _Change(platform, declarations, change_id, expected_revision)
-    for _ in range(ATTEMPTS):
+    for _ in range(MAX_ATTEMPTS):
         outcome = change.attempt()
         if outcome is not None:
             return outcome
-        pause(PAUSE_S)
-    return change.give_up()
+        pause(RETRY_INTERVAL_S)
+    return change.final_outcome()
 
 
 class _Change:
@@ -149,71 +149,73 @@
         self._platform = platform
         self._declarations = declarations
         self._change_id = change_id
-        self._expected = expected_revision
-        self._written_from: StoredConfiguration | None = None
+        self._expected_revision = expected_revision
+        self._unconfirmed_base: StoredConfiguration | None = None
 
-    def attempt(self) -> Result[Applied, Failure] | None:
+    def attempt(self) -> Result[AppliedChange, Failure] | None:
         """Return the outcome, or ``None`` where it is open."""
         found = read_configuration(self._platform)
         if not isinstance(found, Success):
-            return self._on_unreadable(found.failure())
+            return self._on_failure(found.failure())
         stored = found.unwrap()
         revision = _find_change(stored.configuration, self._change_id)
         if revision is not None:
-            return Success(Applied(revision))
-        if self._is_history_short(stored):
+            return Success(AppliedChange(revision))
+        if self._is_history_truncated(stored):
             return Failed(ChangeUnknown('too many changes came after'))
         if self._is_conflict(stored):
-            return Failed(ChangeConflict(_describe(stored.configuration)))
+            return Failed(
+                ChangeConflict(_describe_revision(stored.configuration))
+            )
         return self._write(stored)
 
-    def give_up(self) -> Result[Applied, Failure]:
+    def final_outcome(self) -> Result[AppliedChange, Failure]:
         """Return the outcome after the last attempt."""
-        if self._written_from is None:
+        if self._unconfirmed_base is None:
             return Failed(ChangeNotApplied('other changes kept coming first'))
         return Failed(ChangeUnknown('answers of the service were lost'))
 
-    def _on_unreadable(
+    def _on_failure(
         self, failure: Failure
-    ) -> Result[Applied, Failure] | None:
-        if self._written_from is None:
+    ) -> Result[AppliedChange, Failure] | None:
+        if self._unconfirmed_base is None:
             return Failed(ChangeNotApplied(f'{failure.code} {failure.detail}'))
         return None
 
-    def _is_history_short(self, stored: StoredConfiguration) -> bool:
-        if self._written_from is None:
+    def _is_history_truncated(self, stored: StoredConfiguration) -> bool:
+        if self._unconfirmed_base is None:
             return False
-        first = self._written_from.configuration.revision
-        return stored.configuration.revision - first > RECENT_CHANGES
+        first = self._unconfirmed_base.configuration.revision
+        return stored.configuration.revision - first > MAX_RECENT_CHANGES
 
     def _is_conflict(self, stored: StoredConfiguration) -> bool:
-        if self._expected is None:
+        if self._expected_revision is None:
             return False
-        return stored.configuration.revision != self._expected
+        return stored.configuration.revision != self._expected_revision
 
     def _write(
         self, stored: StoredConfiguration
-    ) -> Result[Applied, Failure] | None:
+    ) -> Result[AppliedChange, Failure] | None:
         successor = self._make_successor(stored.configuration)
         value = encode_configuration(successor)
-        if len(value) > VALUE_LIMIT_BYTES:
+        if len(value) > MAX_VALUE_BYTES:
             return Failed(ChangeNotApplied('document is too large'))
         written = self._platform.compare_and_swap(
             CONFIGURATION_KEY, stored.mod_revision, value
         )
         if isinstance(written, Success):
-            return Success(Applied(successor.revision))
+            return Success(AppliedChange(successor.revision))
         return self._on_not_written(written.failure(), stored)
 
     def _on_not_written(
         self, failure: Failure, stored: StoredConfiguration
-    ) -> Result[Applied, Failure] | None:
+    ) -> Result[AppliedChange, Failure] | None:
         if isinstance(failure, PlatformAnswerLost):
-            self._written_from = self._written_from or stored
+            self._unconfirmed_base = self._unconfirmed_base or stored
             return None
         if isinstance(failure, RevisionConflict):
             return None
-        return self._on_unreadable(failure)
+        return self._on_failure(failure)
 
     def _make_successor(self, current: Configuration) -> Configuration:
         earlier = (current.change_id, *current.recent_changes)
@@ -221,7 +223,7 @@
             current.revision + 1,
             self._change_id,
             self._declarations,
-            earlier[:RECENT_CHANGES],
+            earlier[:MAX_RECENT_CHANGES],
         )
 
 
@@ -232,7 +234,7 @@
     return configuration.revision - known.index(change_id)
 
 
-def _describe(configuration: Configuration) -> str:
+def _describe_revision(configuration: Configuration) -> str:
     return (
         f'revision is {configuration.revision}, '
         f'by change {configuration.change_id}'
--- a/packages/core/src/trefoilpulley_core/configuration/holder.py
+++ b/packages/core/src/trefoilpulley_core/configuration/holder.py
@@ -31,7 +31,7 @@
 }
 
 
-class ConfigurationHolder:
+class ConfigurationStore:
     """Holds the newest documents and never takes an older one."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
             self.revision_of(DocumentKind.HOSTS),
         )
 
-    def find(self, kind: DocumentKind) -> Document | None:
+    def find_document(self, kind: DocumentKind) -> Document | None:
         """Return a document, or ``None`` before the first."""
         return self._documents.get(kind)
 
@@ -60,7 +60,7 @@
         document = self._documents.get(kind)
         return document.revision if document else 0
 
-    def take(self, document: Document) -> Result[bool, Failure]:
+    def accept(self, document: Document) -> Result[bool, Failure]:
         """Take a document in where it is newer.
 
         Returns
@@ -75,10 +75,10 @@
         if not isinstance(decoded, Success):
             return decoded
         self._documents[document.kind] = document
-        self._put_in_force(document.kind, decoded.unwrap())
+        self._apply(document.kind, decoded.unwrap())
         return Success(True)
 
-    def _put_in_force(self, kind: DocumentKind, value: Any) -> None:
+    def _apply(self, kind: DocumentKind, value: Any) -> None:
         if kind is DocumentKind.CONFIGURATION:
             self.configuration = value
         elif kind is DocumentKind.DATABASES:
--- a/packages/core/src/trefoilpulley_core/configuration/spread.py
+++ b/packages/core/src/trefoilpulley_core/configuration/spread.py
@@ -17,42 +17,42 @@
     from returns.result import Result
 
     from trefoilpulley_core.configuration.commands import Command
-    from trefoilpulley_core.configuration.holder import ConfigurationHolder
+    from trefoilpulley_core.configuration.holder import ConfigurationStore
     from trefoilpulley_core.configuration.messages import Document
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.membership.live_hosts import LiveHosts
     from trefoilpulley_core.membership.messages import Versions
 
-CHECK_INTERVAL_S = 10.0
+POLL_INTERVAL_S = 10.0
 """Time between a watcher's checks that it has missed nothing."""
 
-WATCH_RETRY_S = 0.5
+WATCH_RETRY_INTERVAL_S = 0.5
 """Time after which a broken watch is begun again, in seconds."""
 
-WATCH_RENEWAL_S = 60.0
+WATCH_RENEWAL_INTERVAL_S = 60.0
 """Life of a watch, in seconds.
 
 A watch whose connection a partition has left half open says nothing.
 """
 
-FETCH_RETRY_S = 1.0
+FETCH_RETRY_INTERVAL_S = 1.0
 """Time after which a document is asked for again, in seconds."""
 
-OTHER_ZONE_GRACE_S = 5.0
+OTHER_ZONE_FETCH_DELAY_S = 5.0
 """Time that the own zone has to bring a list of the platform's.
 
 The lists hold addresses as each zone reaches them, so that another
 zone's copy is the second choice.
 """
 
-CHILDREN = 4
+TREE_FANOUT = 4
 """Hosts to which each host passes a new document on."""
 
-WATCHERS = 2
+POLLERS_PER_ZONE = 2
 """Hosts of a zone that ask the service; the first also watches."""
 
 
-class DocumentSpread:
+class DocumentDissemination:
     """One host's part in the spread.
 
     One host of a zone watches the service, and a second checks it now
@@ -67,24 +67,24 @@
         Name of this host.
     zone : str
         Availability zone of this host.
-    holder : ConfigurationHolder
+    holder : ConfigurationStore
         Newest documents.
     """
 
     def __init__(
-        self, host: str, zone: str, holder: ConfigurationHolder
+        self, host: str, zone: str, store: ConfigurationStore
     ) -> None:
         self._host = host
         self._zone = zone
-        self._holder = holder
+        self._store = store
         self._commands: list[Command] = []
         self._peers: tuple[str, ...] = ()
         self._ranked: tuple[str, ...] = ()
         self._is_watching = False
-        self._has_read = False
-        self._next_check_at = 0.0
+        self._has_service_answered = False
+        self._next_poll_at = 0.0
         self._next_watch_at = 0.0
-        self._fetching: dict[DocumentKind, float] = {}
+        self._next_fetch_at: dict[DocumentKind, float] = {}
         self._behind_since: dict[DocumentKind, float] = {}
 
     @property
@@ -93,9 +93,9 @@
         return self._ranked[:1] == (self._host,)
 
     @property
-    def is_checking(self) -> bool:
+    def is_poller(self) -> bool:
         """Whether this host asks the service now and then."""
-        return self._host in self._ranked[:WATCHERS]
+        return self._host in self._ranked[:POLLERS_PER_ZONE]
 
     def take_commands(self) -> tuple[Command, ...]:
         """Return the commands that have come up, oldest first."""
@@ -112,26 +112,26 @@
 
     def on_tick(self, now: float) -> None:
         """Do what is due."""
-        self._keep_watch(now)
-        if now < self._next_check_at:
+        self._update_watch(now)
+        if now < self._next_poll_at:
             return
-        self._next_check_at = now + CHECK_INTERVAL_S
-        if self.is_checking or not self._has_read:
+        self._next_poll_at = now + POLL_INTERVAL_S
+        if self.is_poller or not self._has_service_answered:
             self._commands.append(ReadService())
 
-    def on_changed(self) -> None:
+    def on_watch_event(self) -> None:
         """Note that a watch has seen a change."""
         self._commands.append(ReadService())
 
-    def on_watch_broken(self, now: float) -> None:
+    def on_watch_ended(self, now: float) -> None:
         """Note that the watch has ended."""
         self._is_watching = False
-        self._next_watch_at = now + WATCH_RETRY_S
+        self._next_watch_at = now + WATCH_RETRY_INTERVAL_S
 
     def on_read(self, document: Document) -> Result[bool, Failure]:
         """Take a document that the service or a peer was asked for."""
-        is_first = self._holder.revision_of(document.kind) == 0
-        taken = self._take(document)
+        is_first = self._store.revision_of(document.kind) == 0
+        taken = self._accept(document)
         if taken != Success(True):
             return taken
         if self.is_watcher:
@@ -142,54 +142,54 @@
 
     def on_push(self, document: Document) -> Result[bool, Failure]:
         """Take a document that a peer has sent, and pass it on."""
-        taken = self._take(document)
+        taken = self._accept(document)
         if taken == Success(True):
             self._push(document, self._choose_children(document))
         return taken
 
     def on_service_answered(self) -> None:
         """Note that the service has answered a read."""
-        self._has_read = True
+        self._has_service_answered = True
 
     def on_versions(self, host: str, versions: Versions, now: float) -> None:
         """Fetch the documents of which a peer holds a newer revision."""
-        if versions == self._holder.versions:
+        if versions == self._store.versions:
             return
-        theirs = {
+        peer_revisions = {
             DocumentKind.CONFIGURATION: versions.configuration,
             DocumentKind.DATABASES: versions.databases,
             DocumentKind.HOSTS: versions.hosts,
         }
-        for kind, revision in theirs.items():
-            if revision > self._holder.revision_of(kind):
+        for kind, revision in peer_revisions.items():
+            if revision > self._store.revision_of(kind):
                 self._fetch(host, kind, now)
 
     def _fetch(self, host: str, kind: DocumentKind, now: float) -> None:
         since = self._behind_since.setdefault(kind, now)
-        is_waiting = now - since < OTHER_ZONE_GRACE_S
+        is_within_delay = now - since < OTHER_ZONE_FETCH_DELAY_S
         is_list = kind is not DocumentKind.CONFIGURATION
-        if is_list and is_waiting and host not in self._peers:
+        if is_list and is_within_delay and host not in self._peers:
             return
-        if now < self._fetching.get(kind, now):
+        if now < self._next_fetch_at.get(kind, now):
             return
-        self._fetching[kind] = now + FETCH_RETRY_S
+        self._next_fetch_at[kind] = now + FETCH_RETRY_INTERVAL_S
         self._commands.append(Fetch(host, kind))
 
-    def _keep_watch(self, now: float) -> None:
+    def _update_watch(self, now: float) -> None:
         if self._is_watching and not self.is_watcher:
             self._is_watching = False
             self._next_watch_at = now
             self._commands.append(SetWatch(is_wanted=False))
         if self.is_watcher and now >= self._next_watch_at:
-            self._next_watch_at = now + WATCH_RENEWAL_S
+            self._next_watch_at = now + WATCH_RENEWAL_INTERVAL_S
             self._is_watching = True
             self._commands.append(SetWatch(is_wanted=True))
             self._commands.append(ReadService())
 
-    def _take(self, document: Document) -> Result[bool, Failure]:
-        self._fetching.pop(document.kind, None)
+    def _accept(self, document: Document) -> Result[bool, Failure]:
+        self._next_fetch_at.pop(document.kind, None)
         self._behind_since.pop(document.kind, None)
-        return self._holder.take(document)
+        return self._store.accept(document)
 
     def _push(self, document: Document, hosts: tuple[str, ...]) -> None:
         for host in hosts:
@@ -202,5 +202,5 @@
         others = tuple(p for p in self._peers if p != root)
         key = f'{document.kind}/{document.revision}'
         order = (root, *rank_hosts(key, others))
-        first = CHILDREN * order.index(self._host) + 1
-        return order[first : first + CHILDREN]
+        first = TREE_FANOUT * order.index(self._host) + 1
+        return order[first : first + TREE_FANOUT]
--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -9,8 +9,8 @@
 
 from trefoilpulley_core.admission import Admission
 from trefoilpulley_core.catalog import HostEntry
-from trefoilpulley_core.configuration.holder import ConfigurationHolder
-from trefoilpulley_core.configuration.spread import DocumentSpread
+from trefoilpulley_core.configuration.holder import ConfigurationStore
+from trefoilpulley_core.configuration.spread import DocumentDissemination
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_core.retry_budget import RetryBudget
@@ -114,8 +114,8 @@
 
     @cached_property
     def _documents(self) -> ConfigurationRunner:
-        holder = ConfigurationHolder()
-        spread = DocumentSpread(self._cfg.host, self._cfg.zone, holder)
+        holder = ConfigurationStore()
+        spread = DocumentDissemination(self._cfg.host, self._cfg.zone, holder)
         return ConfigurationRunner(holder, spread, self._platform, self._clock)
 
     @cached_property
--- a/packages/node/src/trefoilpulley_node/configuration_runner.py
+++ b/packages/node/src/trefoilpulley_node/configuration_runner.py
@@ -31,8 +31,8 @@
     from trefoilpulley_core.catalog import Catalog
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.configuration.commands import Command
-    from trefoilpulley_core.configuration.holder import ConfigurationHolder
-    from trefoilpulley_core.configuration.spread import DocumentSpread
+    from trefoilpulley_core.configuration.holder import ConfigurationStore
+    from trefoilpulley_core.configuration.spread import DocumentDissemination
     from trefoilpulley_core.declarations import Configuration
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.membership.live_hosts import LiveHosts
@@ -79,9 +79,9 @@
 
     Parameters
     ----------
-    holder : ConfigurationHolder
+    holder : ConfigurationStore
         Newest documents.
-    spread : DocumentSpread
+    spread : DocumentDissemination
         Decisions.
     platform : Platform
         The platform's service.
@@ -91,8 +91,8 @@
 
     def __init__(
         self,
-        holder: ConfigurationHolder,
-        spread: DocumentSpread,
+        holder: ConfigurationStore,
+        spread: DocumentDissemination,
         platform: Platform,
         clock: Clock,
     ) -> None:
@@ -220,13 +220,13 @@
 
     def _begin_watch(self, prefix: str, epoch: int) -> Watch:
         def on_change(entry: KeyValue) -> None:
-            self._spread.on_changed()
+            self._spread.on_watch_event()
             self._pump()
 
         def on_failure(failure: Failure) -> None:
             if epoch == self._watch_epoch:
                 self._end_watches()
-                self._spread.on_watch_broken(self._clock.now())
+                self._spread.on_watch_ended(self._clock.now())
 
         return self._platform.watch(prefix, on_change, on_failure)
 
@@ -253,7 +253,7 @@
         self._pump()
 
     def _on_fetch(self, req: FetchDocument, peer: PeerIdentity) -> Any:
-        document = self._holder.find(req.kind)
+        document = self._holder.find_document(req.kind)
         if document is None:
             return make_reply(NotRun('no such document yet'))
         return document
--- a/packages/standins/src/trefoilpulley_standins/document_fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/document_fleet.py
@@ -12,11 +12,11 @@
 from trefoilpulley_core.configuration.commands import Push
 from trefoilpulley_core.configuration.commands import ReadService
 from trefoilpulley_core.configuration.commands import SetWatch
-from trefoilpulley_core.configuration.holder import ConfigurationHolder
+from trefoilpulley_core.configuration.holder import ConfigurationStore
 from trefoilpulley_core.configuration.messages import Document
 from trefoilpulley_core.configuration.messages import DocumentKind
 from trefoilpulley_core.configuration.messages import FetchDocument
-from trefoilpulley_core.configuration.spread import DocumentSpread
+from trefoilpulley_core.configuration.spread import DocumentDissemination
 from trefoilpulley_core.membership.commands import Call
 from trefoilpulley_core.membership.commands import CompareVersions
 from trefoilpulley_standins.membership_fleet import Fleet
@@ -61,10 +61,10 @@
 class DocumentState:
     """Documents of one host."""
 
-    holder: ConfigurationHolder
+    holder: ConfigurationStore
     """Newest documents."""
 
-    spread: DocumentSpread
+    spread: DocumentDissemination
     """Decisions."""
 
 
@@ -77,7 +77,7 @@
         Seed of every random choice.
     is_counting : bool
         Whether messages are encoded to count bytes and time.
-    make_holder : Callable[[], ConfigurationHolder]
+    make_holder : Callable[[], ConfigurationStore]
         Makes a host's holder.
     """
 
@@ -85,7 +85,7 @@
         self,
         seed: int = 0,
         is_counting: bool = False,
-        make_holder: Callable[[], ConfigurationHolder] = ConfigurationHolder,
+        make_holder: Callable[[], ConfigurationStore] = ConfigurationStore,
     ) -> None:
         super().__init__(seed, is_counting)
         self.service = FleetService()
@@ -101,7 +101,7 @@
     ) -> FleetHost:
         """Start a host, or start it again under the same name."""
         holder = self._make_holder()
-        spread = DocumentSpread(name, zone, holder)
+        spread = DocumentDissemination(name, zone, holder)
         self.documents[name] = DocumentState(holder, spread)
         return super().add(name, zone, *args, **kwargs)
 
@@ -114,7 +114,9 @@
             if self.service.answers(host.entry.zone):
                 self.at(
                     self.now + REGION_DELAY_S,
-                    lambda h=host, s=spread: self.when_awake(h, s.on_changed),
+                    lambda h=host, s=spread: self.when_awake(
+                        h, s.on_watch_event
+                    ),
                 )
 
     def take_service_down(self) -> None:
@@ -124,7 +126,7 @@
         for name in watchers:
             spread = self.documents[name].spread
             self.when_awake(
-                self.hosts[name], lambda s=spread: s.on_watch_broken(self.now)
+                self.hosts[name], lambda s=spread: s.on_watch_ended(self.now)
             )
 
     def bring_service_up(self) -> None:
@@ -165,7 +167,7 @@
         """Let a host serve a request."""
         super().serve(host, message, reply)
         if isinstance(message, FetchDocument):
-            document = self.documents[host.entry.name].holder.find(
+            document = self.documents[host.entry.name].holder.find_document(
                 message.kind
             )
             if document is not None:
@@ -247,6 +249,6 @@
         self.at(
             self.now + SERVICE_TIMEOUT_S,
             lambda: self.when_awake(
-                host, lambda: state.spread.on_watch_broken(self.now)
+                host, lambda: state.spread.on_watch_ended(self.now)
             ),
         )
