--- a/packages/core/src/trefoilpulley_core/membership/__init__.py
+++ b/packages/core/src/trefoilpulley_core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Live and leaving hosts, as the hosts themselves find out."""
+"""Membership of the hosts: failure detection and dissemination."""
--- a/packages/core/src/trefoilpulley_core/membership/commands.py
+++ b/packages/core/src/trefoilpulley_core/membership/commands.py
@@ -1,4 +1,4 @@
-"""What the membership decisions ask their runner to do."""
+"""Commands by which the membership decisions instruct their runner."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Send a request; hand its answer or its failure back."""
+    """Send a request and report its answer or its failure."""
 
     call_id: int
-    """Identifier, unique in the process."""
+    """Identifier that is unique in the process."""
 
     host: str
-    """Name of the host to ask."""
+    """Name of the host that receives the request."""
 
     message: Any
     """Typed request."""
 
     timeout_s: float
-    """Longest wait for the answer, in seconds."""
+    """Timeout of the answer, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     """Send a one-way message."""
 
     host: str
-    """Name of the host to tell."""
+    """Name of the host that receives the message."""
 
     message: Any
     """Typed message."""
@@ -38,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CompareVersions:
-    """Compare the documents that a peer holds with one's own."""
+    """Compare the revisions of a peer's documents with this host's."""
 
     host: str
     """Name of the peer."""
 
     versions: Versions
-    """Newest documents that the peer holds."""
+    """Revisions of the documents that the peer holds."""
 
 
 Command = Call | Tell | CompareVersions
-"""Any command."""
+"""Any command to the runner."""
--- a/packages/core/src/trefoilpulley_core/membership/death_verifier.py
+++ b/packages/core/src/trefoilpulley_core/membership/death_verifier.py
@@ -1,4 +1,4 @@
-"""Check of verdicts that come from a host that may have been cut off."""
+"""Verification of verdicts from a host that may have been partitioned."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
     from trefoilpulley_core.membership.record import ZoneRecord
 
 VERIFICATION_TIMEOUT_S = 0.5
-"""Longest wait for the answer of a host that is said to be dead."""
+"""Probe timeout of a host that was reported dead, in seconds."""
 
 
 class DeathVerifier:
-    """Probes a host that is said to be dead before it believes it.
+    """Probes a host that was reported dead before accepting the report.
 
-    A host that was cut off has taken its peers for dead. When the link
-    comes back its records reach them before they can refute; without
-    the question, live hosts would be left out for a moment.
+    A host that was partitioned has declared its peers dead. When the
+    partition heals, the other hosts receive these records before the peers
+    can refute them. Without verification, live hosts would be excluded for
+    a short time.
 
     Parameters
     ----------
-    news : Dissemination
-        Takes what has been checked.
-    probes : Probes
-        Sends the questions.
+    dissemination : Dissemination
+        Receives the verified records.
+    prober : Prober
+        Probes the hosts that were reported dead.
     outbox : Outbox
-        Takes the messages to the host concerned.
+        Sends a death report to the host that it concerns.
     """
 
     def __init__(
@@ -45,11 +46,11 @@
         self._being_verified: set[str] = set()
 
     def on_process_resumed(self) -> None:
-        """Give up the questions that a pause has interrupted."""
+        """Discard the verifications that a process pause interrupted."""
         self._being_verified.clear()
 
     def learn(self, news: News) -> None:
-        """Merge records, the verdicts among them once checked."""
+        """Merge records; verify new reports of a dead host or zone first."""
         for record in news.hosts:
             if self._must_verify(record):
                 self._verify_host(record)
--- a/packages/core/src/trefoilpulley_core/membership/failure_detector.py
+++ b/packages/core/src/trefoilpulley_core/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection inside one availability zone."""
+"""Failure detection among the hosts of one availability zone."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
 """Time between two probes of a host's successor, in seconds."""
 
 RANDOM_PROBE_INTERVAL_S = 2.0
-"""Time between two probes of any host of the zone, in seconds."""
+"""Mean time between two probes of a random host of the zone, in seconds."""
 
 SUSPECTING_PREDECESSORS = 3
-"""Hosts before another on the ring that act on a broken connection."""
+"""Number of ring predecessors that suspect a host on a broken connection."""
 
 INDIRECT_PROBERS = 2
-"""Hosts that are asked to probe a silent one."""
+"""Number of hosts that are asked to probe a suspected host."""
 
 
 class FailureDetector:
-    """Probes one successor on a ring of the zone's hosts.
+    """Probes the successor of this host on a ring of the zone's hosts.
 
-    Each host has one predecessor that watches it, so that the cost of a
-    host does not grow with the zone. The ring's order is by hash, so
-    that hosts of one rack seldom follow one another. A random host is
-    probed besides, dead ones too, which brings together what a
-    partition has left apart.
+    Each host is probed by one predecessor, so that the cost per host does
+    not grow with the size of the zone. The order of the ring is given by a
+    hash, so that hosts in one rack are seldom neighbors. In addition, a
+    random host is probed, including hosts that were declared dead. The
+    random probes reconnect hosts that a partition has separated.
 
     Parameters
     ----------
-    news : Dissemination
-        Takes the verdicts.
-    probes : Probes
+    dissemination : Dissemination
+        Receives the verdicts.
+    prober : Prober
         Sends the probes.
     rng : random.Random
-        Picks helpers and random hosts.
+        Chooses random hosts and the hosts for indirect probes.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
 
     @property
     def suspected(self) -> tuple[str, ...]:
-        """Hosts that did not answer and are being inquired after."""
+        """Hosts that did not answer and whose suspicion is being checked."""
         return tuple(sorted(self._suspicion_checks))
 
     def on_tick(self, now: float) -> None:
@@ -80,20 +80,21 @@
             self._probe_random()
 
     def on_process_resumed(self) -> None:
-        """Draw no conclusion from what a pause has let time out."""
+        """Discard suspicions, which may stem from a pause of this process."""
         self._suspicion_checks.clear()
 
     def on_connection_lost(self, host: str, now: float) -> None:
-        """Inquire after a host whose connection broke.
+        """Suspect a host whose connection broke.
 
-        Every host with a connection sees it break; a few that stand
-        before it on the ring are enough to ask.
+        Every host that is connected to the failed host sees its connection
+        break. Only a few ring predecessors check the suspicion, which is
+        sufficient.
         """
         if host in self._list_successors()[:SUSPECTING_PREDECESSORS]:
             self.suspect(host, now)
 
     def suspect(self, host: str, now: float) -> None:
-        """Inquire after a host that did not answer."""
+        """Start a suspicion check of a host that did not answer."""
         if host in self._suspicion_checks or host not in self._live_names():
             return
         check = self._suspicion_checks[host] = SuspicionCheck(
--- a/packages/core/src/trefoilpulley_core/membership/inquiry.py
+++ b/packages/core/src/trefoilpulley_core/membership/inquiry.py
@@ -1,4 +1,4 @@
-"""Rounds of probes and helpers' probes on a silent host or zone."""
+"""Rounds of direct and indirect probes of a suspected host or zone."""
 
 from __future__ import annotations
 
@@ -18,26 +18,27 @@
     from trefoilpulley_core.membership.probes import Prober
 
 INDIRECT_PROBE_TIMEOUT_S = 0.35
-"""Longest wait for a helper's report, in seconds."""
+"""Timeout of the report of an indirect prober, in seconds."""
 
 
 class SuspicionCheck:
-    """Finds out whether a silent host is gone.
+    """Checks a suspicion by direct and indirect probes.
 
     Parameters
     ----------
-    probes : Probes
-        Sends probes.
+    prober : Prober
+        Sends the probes.
     choose_host : Callable[[], str]
         Returns the host to probe in the next round.
     choose_indirect_probers : Callable[[], Sequence[str]]
-        Returns the hosts that are asked to probe it too.
+        Returns the hosts that are asked to probe the same host.
     on_reached : Callable[[float], None]
-        Called once when somebody has reached the host.
+        Called once if any host reaches the probed host; takes the time.
     on_confirmed : Callable[[float], None]
-        Called once when the host is gone.
+        Called once if the suspicion is confirmed; takes the time.
     min_unreachable_rounds : int
-        Rounds with a helper's denial that are needed.
+        Number of rounds with a report of an unreachable host that confirm
+        the suspicion.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         self._is_closed = False
 
     def begin_round(self) -> None:
-        """Probe the host again and ask helpers to do the same."""
+        """Probe the host and ask other hosts to probe it."""
         host = self._choose_host()
         indirect_probers = self._choose_indirect_probers()
         self._suspicion.begin_round(1 + len(indirect_probers))
--- a/packages/core/src/trefoilpulley_core/membership/live_hosts.py
+++ b/packages/core/src/trefoilpulley_core/membership/live_hosts.py
@@ -1,4 +1,4 @@
-"""View of the live hosts, by which members find their poolers."""
+"""View of the live hosts, from which the pooler of a member is chosen."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneHosts:
-    """Hosts of one availability zone that take new work."""
+    """Hosts of one availability zone that accept new work."""
 
     zone: str
     """Name of the availability zone."""
@@ -23,7 +23,7 @@
     """Region of the availability zone."""
 
     hosts: tuple[str, ...]
-    """Names of the hosts, sorted; none where the zone is lost."""
+    """Sorted names of the hosts; empty if the zone is lost."""
 
     is_lost: bool = False
     """Whether no host of the zone answers."""
@@ -34,10 +34,10 @@
     """Live hosts of every availability zone, as one host sees them."""
 
     region: str
-    """Region of the host that holds the view."""
+    """Region of the host that has this view."""
 
     version: int = 0
-    """Raised at each change of the view."""
+    """Version of the view; incremented at each change."""
 
     zones: tuple[ZoneHosts, ...] = ()
     """Availability zones, sorted by name."""
@@ -52,10 +52,10 @@
         return found.hosts if found else ()
 
     def pooler_of(self, member: MemberEntry) -> str | None:
-        """Return the host that holds the connections of a member.
+        """Return the host that holds the connections to a member.
 
-        One of the member's zone; where no host is live there, one of
-        the other zones of its region.
+        The host is in the member's zone. If no host is live there, the host
+        is in another zone of the member's region.
         """
         key = member.name, member.zone
         if key not in self._poolers:
--- a/packages/core/src/trefoilpulley_core/membership/membership.py
+++ b/packages/core/src/trefoilpulley_core/membership/membership.py
@@ -1,4 +1,4 @@
-"""Who is live: the decisions of one host."""
+"""Membership decisions of one host."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 """Time between two ticks, in seconds."""
 
 MIN_PROCESS_PAUSE_S = 0.6
-"""Gap between ticks that shows this process to have been paused."""
+"""Minimum gap between ticks that is taken as a process pause, in seconds."""
 
 JOIN_INTERVAL_S = 0.5
 """Time between two attempts to join, in seconds."""
 
 HOSTS_PER_JOIN_ATTEMPT = 2
-"""Listed hosts that are asked at each attempt, besides one seed."""
+"""Number of known hosts that are asked in each attempt, besides one seed."""
 
 DEAD_HOST_REMOVAL_INTERVAL_S = 600.0
 """Time between two removals of dead hosts, in seconds."""
@@ -54,12 +54,12 @@
 
     Parameters
     ----------
-    me : HostEntry
+    own_entry : HostEntry
         Entry of this host.
     incarnation : int
-        Number of the process's start, above 0, higher at each start.
+        Incarnation of this process; positive and higher at each start.
     seeds : Sequence[str]
-        Names of hosts to ask where no list is to be had.
+        Names of hosts to ask if no list of hosts is available.
     rng : random.Random
         Source of every random choice.
     """
@@ -100,7 +100,7 @@
 
     @property
     def live_hosts(self) -> LiveHosts:
-        """View of the live hosts."""
+        """Current view of the live hosts."""
         return self._table.live_hosts
 
     @property
@@ -110,12 +110,12 @@
 
     @property
     def is_relay(self) -> bool:
-        """Whether this host carries its zone's news."""
+        """Whether this host exchanges news with the other zones."""
         return self._dissemination.relay_index is not None
 
     @property
     def suspected(self) -> tuple[str, ...]:
-        """Hosts and zones that are being inquired after."""
+        """Hosts and zones whose suspicion is being checked."""
         return self._detector.suspected + self._zone_watch.suspected
 
     def find_host(self, host: str) -> HostRecord | None:
@@ -127,20 +127,20 @@
         return self._table.find_entry(host)
 
     def records(self) -> News:
-        """Return every record."""
+        """Return the records of all hosts and zones."""
         return self._table.records_of(())
 
     def set_versions(self, versions: Versions) -> None:
-        """Say which documents this host holds."""
+        """Set the revisions of the documents that this host holds."""
         self._prober.versions = versions
 
     def take_commands(self) -> tuple[Command, ...]:
-        """Return the commands that have come up, oldest first."""
+        """Remove and return the pending commands, oldest first."""
         self._dissemination.flush()
         return self._outbox.take()
 
     def on_tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the periodic tasks that are due."""
         self._note_time(now)
         self._dissemination.on_tick()
         self._reconciler.on_tick(now)
@@ -152,18 +152,18 @@
             self._table.remove_unlisted_dead()
 
     def on_host_list(self, entries: Iterable[HostEntry]) -> None:
-        """Join the platform's list with what the hosts know."""
+        """Merge the platform's list of hosts into the table."""
         self._table.apply_list(entries)
 
     def on_answer(self, call_id: int, answer: Any, now: float) -> None:
-        """Take the answer to a call."""
+        """Process the answer to a call."""
         self._note_time(now)
         pending = self._outbox.finish(call_id)
         if pending is not None:
             pending.on_answer(answer, now)
 
     def on_failure(self, call_id: int, now: float) -> None:
-        """Note that a call had no answer."""
+        """Process the failure of a call."""
         self._note_time(now)
         pending = self._outbox.finish(call_id)
         if pending is not None:
@@ -174,7 +174,11 @@
         return self._prober.on_probe(probe, now)
 
     def on_news(self, news: News, sender: str) -> None:
-        """Take the records of another host."""
+        """Merge the records that another host sent.
+
+        Records from a host that is unknown or dead in this host's table are
+        verified first.
+        """
         known = self._table.find_host(sender)
         if known is None or known.state is HostState.DEAD:
             self._verifier.learn(news)
@@ -182,18 +186,18 @@
             self._dissemination.learn(news)
 
     def on_exchange(self, exchange: Exchange) -> News:
-        """Take another host's records and return what it lacks."""
+        """Merge another host's records and return the ones it lacks."""
         return self._reconciler.on_exchange(exchange)
 
     def on_connection_lost(self, host: str, now: float) -> None:
-        """Inquire after a host whose connection broke."""
+        """Suspect a host whose connection broke."""
         self._note_time(now)
         self._detector.on_connection_lost(host, now)
 
     def on_probe_for_me(
         self, req: ProbeForMe, reply: Callable[[ProbeReport], None]
     ) -> None:
-        """Probe a host on another one's behalf, then reply."""
+        """Probe a host on behalf of another host, then reply."""
         self._prober.send(
             req.host,
             lambda now: reply(ProbeReport(is_reachable=True)),
@@ -201,7 +205,7 @@
         )
 
     def on_leave(self) -> None:
-        """Say that this host takes no new work."""
+        """Announce that this host accepts no new work."""
         self._dissemination.change_own(HostState.LEAVING)
 
     def _note_time(self, now: float) -> None:
--- a/packages/core/src/trefoilpulley_core/membership/messages.py
+++ b/packages/core/src/trefoilpulley_core/membership/messages.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Versions:
-    """Newest documents that a host holds."""
+    """Revisions of the documents that a host holds."""
 
     configuration: int = 0
     """Revision of the declarations."""
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Asks a host whether it is alive."""
+    """Request to a host to confirm that it is alive."""
 
     host: str
     """Name of the sender."""
@@ -37,7 +37,7 @@
     """Digest of the sender's records."""
 
     versions: Versions
-    """Newest documents that the sender holds."""
+    """Revisions of the documents that the sender holds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,21 +48,21 @@
     """Incarnation of the answering host."""
 
     versions: Versions
-    """Newest documents that the answering host holds."""
+    """Revisions of the documents that the answering host holds."""
 
     is_leaving: bool = False
     """Whether the answering host is leaving."""
 
     claim: HostRecord | None = None
-    """Record by which the sender is taken for dead."""
+    """Record that declares the sender dead, if the answering host has one."""
 
     zones: tuple[ZoneDigest, ...] = ()
-    """Digests by zone; only where the records differ."""
+    """Digest of each zone; empty if the digests of all records are equal."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeForMe:
-    """Asks a host to probe another one."""
+    """Request to a host to probe another host."""
 
     host: str
     """Name of the host to probe."""
@@ -73,12 +73,12 @@
     """Answer to `ProbeForMe`."""
 
     is_reachable: bool
-    """Whether the host answered."""
+    """Whether the probed host answered."""
 
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """Records that have changed; sent one way, or as an answer."""
+    """Changed records, sent as a one-way message or as an answer."""
 
     hosts: tuple[HostRecord, ...] = ()
     """Records of hosts."""
@@ -89,13 +89,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """Brings the records of some zones to the newest on both sides.
+    """Request that synchronizes the records of some zones on both hosts.
 
-    The answer is a `News` of the records that the sender lacks.
+    The answer is a `News` with the records that the sender lacks.
     """
 
     zones: tuple[str, ...]
-    """Names of the zones; every zone where empty."""
+    """Names of the zones; empty for every zone."""
 
     news: News
-    """Records that the sender holds of these zones."""
+    """Records of these zones that the sender holds."""
--- a/packages/core/src/trefoilpulley_core/membership/news.py
+++ b/packages/core/src/trefoilpulley_core/membership/news.py
@@ -1,4 +1,4 @@
-"""Spread of changed records inside the zone and between zones."""
+"""Dissemination of changed records inside a zone and between zones."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from trefoilpulley_core.membership.table import MembershipTable
 
 RELAYS_PER_ZONE = 2
-"""Hosts of a zone that carry news to and from other zones."""
+"""Number of hosts in a zone that exchange news with other zones."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,11 +28,11 @@
 
 
 class Dissemination:
-    """Merges records and passes on those that are new.
+    """Merges records and forwards the ones that are new.
 
-    The host that finds a change tells every host of its zone, once. The
-    relays of the zone tell a relay of each other zone, which tells the
-    hosts of its own.
+    The host that detects a change sends it once to every host in its zone.
+    The relays of the zone forward the change to a relay in each other zone,
+    and that relay forwards the change to the hosts in its own zone.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
     table : MembershipTable
         Records of all hosts.
     outbox : Outbox
-        Takes the messages.
+        Sends the messages.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         """Records of all hosts."""
 
         self.reachable_zones: set[str] = set()
-        """Zones whose hosts have answered this relay's last probe."""
+        """Zones in which a host answered this relay's last probe."""
 
         self._outbox = outbox
         self._relays: dict[str, _Relays] = {}
@@ -69,13 +69,16 @@
 
     @property
     def relay_index(self) -> int | None:
-        """Rank of this host among its zone's relays, if it is one."""
+        """Rank of this host among its zone's relays.
+
+        ``None`` if this host is not a relay.
+        """
         relays = self.relays_of(self.zone)
         name = self.own.entry.name
         return relays.index(name) if name in relays else None
 
     def relays_of(self, zone: str) -> tuple[str, ...]:
-        """Return the hosts that carry a zone's news."""
+        """Return the relays of a zone, first in rank first."""
         live = self.table.live_hosts.hosts_of(zone)
         known = self._relays.get(zone)
         if known is None or known.candidates != live:
@@ -85,9 +88,11 @@
         return known.relays
 
     def list_indirect_probers(self, subject_zone: str) -> list[str]:
-        """Return a relay of each zone of the region but two.
+        """Return the hosts that may probe a zone on this host's behalf.
 
-        Neither the own zone nor the one in question can testify.
+        The result is one relay of each zone in the region. The zone of this
+        host and the probed zone are excluded, since their reports give no
+        independent evidence.
         """
         excluded = subject_zone, self.zone
         zones = self.table.zones_of(self.own.entry.region)
@@ -95,31 +100,31 @@
         return [ranked[0] for ranked in relays if ranked]
 
     def announce(self, record: HostRecord) -> None:
-        """Merge a record that this host has found out itself."""
+        """Merge and send a record that this host created."""
         if self.table.merge(record):
             self._detected.add_host(record)
 
     def announce_zone(self, record: ZoneRecord) -> None:
-        """Merge a zone's record that this host has found out itself."""
+        """Merge and send a zone's record that this host created."""
         if self.table.merge_zone(record):
             self._detected.add_zone(record)
 
     def learn(self, news: News) -> None:
-        """Merge the records of another host."""
+        """Merge the records that another host sent."""
         for record in news.hosts:
             self.learn_host(record)
         for zone_record in news.zones:
             self.learn_zone(zone_record)
 
     def learn_host(self, record: HostRecord) -> None:
-        """Merge a record, or refute it where it is wrong on this host."""
+        """Merge a record, or refute it if it is wrong about this host."""
         if record.entry.name == self.own.entry.name:
             self._refute(record)
         elif self.table.merge(record):
             self._received.add_host(record)
 
     def learn_zone(self, record: ZoneRecord) -> None:
-        """Merge a zone's record, or refute a loss that is none."""
+        """Merge a zone's record, or refute the loss of a reachable zone."""
         if not record.supersedes(self.table.find_zone(record.zone)):
             return
         if record.is_lost and self._is_zone_reachable(record.zone):
@@ -129,28 +134,28 @@
         self._received.add_zone(record)
 
     def refute_loss(self, record: ZoneRecord) -> None:
-        """Say that a zone answers, whatever a record says."""
+        """Announce that a zone answers, with a version above a record's."""
         version = record.version + 1
         self.announce_zone(ZoneRecord(record.zone, version, is_lost=False))
 
     def change_own(self, state: HostState) -> None:
-        """Change the state of this host."""
+        """Change and announce the state of this host."""
         self.own = replace(self.own, state=state)
         self.announce(self.own)
 
     def announce_own(self) -> None:
-        """Tell the zone of this host, whoever has heard of it."""
+        """Send this host's record even if the record has not changed."""
         self._detected.add_host(self.own)
 
     def on_tick(self) -> None:
-        """Let news go out again."""
+        """Allow the next flush to send news."""
         self._may_flush = True
 
     def flush(self) -> None:
-        """Send what has changed, at most once between two ticks.
+        """Send the changed records, at most once between two ticks.
 
-        The first change goes out at once; those that crowd behind it
-        go together.
+        The first change is sent immediately. The changes that follow before
+        the next tick are sent together.
         """
         if self.relay_index is None:
             self._received.take()
--- a/packages/core/src/trefoilpulley_core/membership/news_batch.py
+++ b/packages/core/src/trefoilpulley_core/membership/news_batch.py
@@ -1,4 +1,4 @@
-"""Records that wait to be sent together."""
+"""Batch of changed records that are sent together."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing waits."""
+        """Whether the batch has no records."""
         return not self._hosts and not self._zones
 
     def add_host(self, record: HostRecord) -> None:
-        """Add a host's record in place of an older one."""
+        """Add a host's record, replacing an older one."""
         self._hosts[record.entry.name] = record
 
     def add_zone(self, record: ZoneRecord) -> None:
-        """Add a zone's record in place of an older one."""
+        """Add a zone's record, replacing an older one."""
         self._zones[record.zone] = record
 
     def add(self, news: News) -> None:
-        """Add several records."""
+        """Add the records of a message."""
         for record in news.hosts:
             self.add_host(record)
         for zone_record in news.zones:
             self.add_zone(zone_record)
 
     def take(self) -> News:
-        """Return what waits and begin anew."""
+        """Remove and return all records."""
         news = News(tuple(self._hosts.values()), tuple(self._zones.values()))
         self._hosts.clear()
         self._zones.clear()
--- a/packages/core/src/trefoilpulley_core/membership/outbox.py
+++ b/packages/core/src/trefoilpulley_core/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Commands on their way out, and the calls that wait for an answer."""
+"""Queue of outgoing commands and the calls that await an answer."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """What happens when a call ends."""
+    """Callbacks of a call that has no answer yet."""
 
     on_answer: Callable[[Any, float], None]
-    """Takes the answer and the time."""
+    """Called with the answer and the time of its arrival."""
 
     on_failure: Callable[[float], None]
-    """Takes the time at which the call failed."""
+    """Called with the time at which the call failed."""
 
 
 class Outbox:
-    """Collects commands until the runner takes them."""
+    """Queues commands until the runner collects them."""
 
     def __init__(self) -> None:
         self._commands: list[Command] = []
@@ -36,7 +36,7 @@
 
     @property
     def pending_calls(self) -> int:
-        """Number of calls without an answer yet."""
+        """Number of calls that have no answer yet."""
         return len(self._pending)
 
     def call(
@@ -53,19 +53,19 @@
         self._commands.append(Tell(host, message))
 
     def add(self, command: Command) -> None:
-        """Add any command."""
+        """Queue a command."""
         self._commands.append(command)
 
     def take(self) -> tuple[Command, ...]:
-        """Return the commands that have come up, oldest first."""
+        """Remove and return the queued commands, oldest first."""
         commands = tuple(self._commands)
         self._commands.clear()
         return commands
 
     def finish(self, call_id: int) -> PendingCall | None:
-        """Return what waits for a call, once."""
+        """Remove and return a pending call, or ``None`` if it is unknown."""
         return self._pending.pop(call_id, None)
 
     def discard_calls(self) -> None:
-        """Draw no conclusion from the calls that still wait."""
+        """Discard the pending calls without running their callbacks."""
         self._pending.clear()
--- a/packages/core/src/trefoilpulley_core/membership/probes.py
+++ b/packages/core/src/trefoilpulley_core/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes of other hosts and the answers to theirs."""
+"""Probes of other hosts and answers to their probes."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
     from trefoilpulley_core.membership.reconciler import Reconciler
 
 PROBE_TIMEOUT_S = 0.25
-"""Longest wait for a probe's answer inside the zone, in seconds."""
+"""Timeout of a probe inside the zone, in seconds."""
 
 
 class Prober:
-    """Sends probes and learns from both sides of them.
+    """Sends and answers probes and processes the states they carry.
 
     Parameters
     ----------
     outbox : Outbox
-        Takes the calls.
-    news : Dissemination
-        Takes what a probe tells of its parties.
+        Sends the calls.
+    dissemination : Dissemination
+        Receives the states of the hosts that take part in a probe.
     reconciler : Reconciler
-        Takes the digests that differ.
+        Receives digests that differ from this host's.
     """
 
     def __init__(
@@ -44,17 +44,17 @@
         reconciler: Reconciler,
     ) -> None:
         self.outbox = outbox
-        """Takes the calls."""
+        """Queue of outgoing commands."""
 
         self.versions = Versions()
-        """Newest documents that this host holds."""
+        """Revisions of the documents that this host holds."""
 
         self._dissemination = dissemination
         self._table = dissemination.table
         self._reconciler = reconciler
 
     def make_probe(self) -> Probe:
-        """Return a probe of this host's."""
+        """Return a probe from this host."""
         own = self._dissemination.own
         return Probe(
             own.entry.name, own.incarnation, self._table.digest, self.versions
@@ -67,7 +67,19 @@
         on_no_answer: Callable[[float], None],
         timeout_s: float = PROBE_TIMEOUT_S,
     ) -> None:
-        """Probe a host."""
+        """Probe a host.
+
+        Parameters
+        ----------
+        host : str
+            Name of the host.
+        on_reached : Callable[[float], None]
+            Called with the time if the host answers.
+        on_no_answer : Callable[[float], None]
+            Called with the time if the host does not answer.
+        timeout_s : float
+            Timeout of the probe, in seconds.
+        """
 
         def on_answer(answer: Any, now: float) -> None:
             if not isinstance(answer, ProbeAnswer):
@@ -94,7 +106,7 @@
         )
 
     def on_answer(self, host: str, answer: ProbeAnswer, now: float) -> None:
-        """Learn from the answer to a probe."""
+        """Process the state and the digests in the answer to a probe."""
         state = HostState.LEAVING if answer.is_leaving else HostState.ALIVE
         self._learn_state(host, answer.incarnation, state)
         self.outbox.add(CompareVersions(host, answer.versions))
--- a/packages/core/src/trefoilpulley_core/membership/reconciler.py
+++ b/packages/core/src/trefoilpulley_core/membership/reconciler.py
@@ -1,4 +1,4 @@
-"""Exchange of whole zones' records where two tables differ."""
+"""Anti-entropy: exchange of the records in which two tables differ."""
 
 from __future__ import annotations
 
@@ -18,26 +18,29 @@
     from trefoilpulley_core.membership.record import ZoneDigest
 
 EXCHANGE_TIMEOUT_S = 2.0
-"""Longest wait for another host's records, in seconds."""
+"""Timeout of an exchange of records, in seconds."""
 
 SETTLE_TIME_S = 1.0
-"""Time that news is given to arrive before records are exchanged."""
+"""Time without changes before an exchange, in seconds.
+
+Records that are being disseminated can arrive within this time.
+"""
 
 EXCHANGE_INTERVAL_S = 5.0
-"""Time after which records are exchanged amid changes, in seconds."""
+"""Time between two exchanges while records keep changing, in seconds."""
 
 
 class Reconciler:
-    """Mends what news has missed.
+    """Exchanges the records that were lost in the dissemination.
 
     Parameters
     ----------
-    news : Dissemination
-        Holds the records.
+    dissemination : Dissemination
+        Gives access to the table of records.
     outbox : Outbox
-        Takes the calls.
+        Sends the calls.
     learn : Callable[[News], None]
-        Takes another host's records.
+        Merges another host's records.
     """
 
     def __init__(
@@ -55,27 +58,27 @@
         self._exchanged_at = 0.0
         self._is_running = False
         self.is_joined = False
-        """Whether another host has given its records."""
+        """Whether another host has sent its records."""
 
     def on_tick(self, now: float) -> None:
-        """Note whether the table has changed."""
+        """Record the time of the last change of the table."""
         if self._table.version != self._seen_version:
             self._seen_version = self._table.version
             self._changed_at = now
 
     def on_process_resumed(self) -> None:
-        """Give up the exchange that a pause has interrupted."""
+        """Discard the exchange that a process pause interrupted."""
         self._is_running = False
 
     def join(self, host: str) -> None:
-        """Ask a host for all of its records."""
+        """Request all records of a host."""
         if not self._is_running:
             self._exchange(host, (), News((self._dissemination.own,)))
 
     def on_digest_difference(
         self, host: str, digests: Iterable[ZoneDigest], now: float
     ) -> None:
-        """Exchange the records that differ, if news had its time."""
+        """Exchange the records of the zones that differ, if one is due."""
         if self._is_running or not self._is_due(now):
             return
         zones = self._table.differing_zones(digests)
@@ -84,7 +87,7 @@
             self._exchange(host, zones, self._table.records_of(zones))
 
     def on_exchange(self, exchange: Exchange) -> News:
-        """Merge another host's records and return what it lacks."""
+        """Merge another host's records and return the ones it lacks."""
         answer = self._table.records_newer_than(exchange.zones, exchange.news)
         self._learn(exchange.news)
         return answer
--- a/packages/core/src/trefoilpulley_core/membership/record.py
+++ b/packages/core/src/trefoilpulley_core/membership/record.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other of hosts and availability zones."""
+"""Records of hosts and availability zones that the hosts exchange."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class HostState(StrEnum):
-    """States of a host."""
+    """State of a host."""
 
     ALIVE = 'alive'
-    """The host takes new work."""
+    """The host accepts new work."""
 
     LEAVING = 'leaving'
-    """The host finishes its work and takes no new."""
+    """The host completes its work and accepts no new work."""
 
     DEAD = 'dead'
-    """The host answers nobody in its availability zone."""
+    """The host answers no host in its availability zone."""
 
 
 _STATE_RANKS = {HostState.ALIVE: 0, HostState.LEAVING: 1, HostState.DEAD: 2}
@@ -29,12 +29,13 @@
     """State of one host."""
 
     entry: HostEntry
-    """Name, place and addresses of the host."""
+    """Name, location and addresses of the host."""
 
     incarnation: int
-    """Raised by the host alone, at each start and each refutation.
+    """Incarnation of the host.
 
-    0 for a host that is known from the platform's list alone.
+    Only the host itself increments its incarnation, at each start and at
+    each refutation. 0 if the host is known only from the platform's list.
     """
 
     state: HostState
@@ -53,13 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneRecord:
-    """Whether an availability zone answers its region."""
+    """State of an availability zone as seen by the other zones."""
 
     zone: str
     """Name of the availability zone."""
 
     version: int
-    """Raised at each change."""
+    """Version of the record; incremented at each change."""
 
     is_lost: bool
     """Whether no host of the zone answers."""
@@ -71,10 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDigest:
-    """Digest of the records of one availability zone's hosts."""
+    """Digest of the records of one availability zone."""
 
     zone: str
     """Name of the availability zone."""
 
     digest: int
-    """Equal where the records are equal."""
+    """Digest of the records; equal records have equal digests."""
--- a/packages/core/src/trefoilpulley_core/membership/suspicion.py
+++ b/packages/core/src/trefoilpulley_core/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Evidence on a host or a zone that does not answer."""
+"""Evaluation of the probes of a suspected host or zone."""
 
 from __future__ import annotations
 
@@ -6,36 +6,38 @@
 from enum import Enum
 
 MAX_SILENT_ROUNDS = 3
-"""Rounds without any helper's word after which silence is enough."""
+"""Rounds without any report after which a suspicion is confirmed."""
 
 
 class Verdict(Enum):
-    """Results of a round of evidence."""
+    """Result of a round of probes."""
 
     OPEN = auto()
-    """Answers are still out."""
+    """Probes of the round are still outstanding."""
 
     CLEARED = auto()
-    """Somebody has reached the subject."""
+    """A host has reached the subject."""
 
     REPEAT = auto()
-    """The evidence is not enough yet."""
+    """The reports do not suffice for a verdict; another round is needed."""
 
     CONFIRMED = auto()
-    """The subject is gone."""
+    """The subject is considered lost."""
 
 
 class SuspicionRounds:
-    """Collects what one's own probe and the helpers say.
+    """Counts the rounds of direct and indirect probes of one subject.
 
-    A helper that answers and denies is evidence. Helpers that are
-    silent too are none, since the asking host may itself be cut off;
-    only after several such rounds is the subject taken for gone.
+    An indirect prober that reports the subject as unreachable is evidence
+    of a failure. Indirect probers that do not answer are no evidence, since
+    the requesting host may itself be partitioned. Only after several rounds
+    without any report is the subject considered lost.
 
     Parameters
     ----------
     min_unreachable_rounds : int
-        Rounds with a denial after which the subject is gone.
+        Number of rounds with a report of an unreachable subject after which
+        the subject is considered lost.
     """
 
     def __init__(self, min_unreachable_rounds: int = 1) -> None:
@@ -47,22 +49,22 @@
         self._is_cleared = False
 
     def begin_round(self, probes: int) -> None:
-        """Begin a round of some questions."""
+        """Begin a round with a number of direct and indirect probes."""
         self._outstanding = probes
         self._is_reported_unreachable = False
 
     def on_reached(self) -> Verdict:
-        """Note that somebody has reached the subject."""
+        """Record that a host has reached the subject."""
         self._is_cleared = True
         return Verdict.CLEARED
 
     def on_unreachable_report(self) -> Verdict:
-        """Note that a helper could not reach the subject."""
+        """Record that an indirect prober could not reach the subject."""
         self._is_reported_unreachable = True
         return self._finish_probe()
 
     def on_no_answer(self) -> Verdict:
-        """Note a question without an answer."""
+        """Record a direct or indirect probe without an answer."""
         return self._finish_probe()
 
     def _finish_probe(self) -> Verdict:
--- a/packages/core/src/trefoilpulley_core/membership/table.py
+++ b/packages/core/src/trefoilpulley_core/membership/table.py
@@ -1,4 +1,4 @@
-"""Records of all hosts and availability zones, as one host holds them."""
+"""Table of the records of all hosts and availability zones."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class MembershipTable:
-    """Newest record seen of each host and each availability zone.
+    """Newest known record of each host and each availability zone.
 
-    Records merge in any order and any number of times to the same
-    table.
+    Merging is commutative and idempotent: the same records give the same
+    table in any order and after any number of repetitions.
 
     Parameters
     ----------
@@ -47,11 +47,11 @@
         self._stale_zones: set[str] = set()
         self._view = LiveHosts(region)
         self.version = 0
-        """Raised at each change."""
+        """Version of the table; incremented at each change."""
 
     @property
     def digest(self) -> int:
-        """Digest of all records; equal where the tables are equal."""
+        """Digest of all records; equal tables have equal digests."""
         total = 0
         for digest in self._digests.values():
             total ^= digest
@@ -59,7 +59,7 @@
 
     @property
     def live_hosts(self) -> LiveHosts:
-        """View of the live hosts; the same one until they change."""
+        """View of the live hosts; the same object until the hosts change."""
         if self._stale_zones:
             zones = self._build_zones()
             if zones != self._view.zones:
@@ -76,9 +76,11 @@
         return record is not None and record.state is not HostState.DEAD
 
     def find_entry(self, host: str) -> HostEntry | None:
-        """Return a host's entry: the platform's, else the host's own.
+        """Return a host's entry, or ``None`` if the host is unknown.
 
-        The platform lists the addresses as this zone reaches them.
+        The entry in the platform's list takes precedence over the entry in
+        the host's record, because the platform lists the addresses under
+        which this zone reaches the host.
         """
         if host in self._listed:
             return self._listed[host]
@@ -90,7 +92,7 @@
         return self._zones.get(zone)
 
     def names_in(self, zone: str) -> tuple[str, ...]:
-        """Return every known host of a zone, the dead ones too."""
+        """Return the known hosts of a zone, including dead hosts."""
         return tuple(sorted(self._by_zone.get(zone, ())))
 
     def zones_of(self, region: str) -> tuple[str, ...]:
@@ -99,12 +101,12 @@
         return tuple(v.zone for v in views if v.region == region)
 
     def zones_outside(self, region: str) -> tuple[str, ...]:
-        """Return the zones of the other regions."""
+        """Return the zones of all other regions."""
         views = self.live_hosts.zones
         return tuple(v.zone for v in views if v.region != region)
 
     def merge(self, record: HostRecord) -> bool:
-        """Take a host's record in where it is newer."""
+        """Store a host's record if it is newer; return whether it was."""
         name = record.entry.name
         if not record.supersedes(self._hosts.get(name)):
             return False
@@ -116,23 +118,23 @@
         return True
 
     def merge_zone(self, record: ZoneRecord) -> bool:
-        """Take a zone's record in where it is newer."""
+        """Store a zone's record if it is newer; return whether it was."""
         current = self._zones.get(record.zone)
         if not record.supersedes(current):
             return False
-        for kept in (current, record):
-            if kept is not None:
-                self._digests[kept.zone] ^= _zone_fingerprint(kept)
+        for changed in (current, record):
+            if changed is not None:
+                self._digests[changed.zone] ^= _zone_fingerprint(changed)
         self._zones[record.zone] = record
         self._mark_changed(record.zone)
         return True
 
     def apply_list(self, entries: Iterable[HostEntry]) -> None:
-        """Join the platform's list, which lags behind the records.
+        """Merge the platform's list, which lags behind the records.
 
-        A listed host without a record is taken for live until a probe
-        shows otherwise; a host that the list says is leaving gets no
-        new work, whatever it says itself.
+        A listed host without a record is considered live until a probe
+        fails. A host that the list reports as leaving gets no new work,
+        even if the host's own record says that it is alive.
         """
         entries = tuple(entries)
         leaving = frozenset(
@@ -146,7 +148,7 @@
             self.merge(HostRecord(entry, 0, HostState.ALIVE))
 
     def remove_unlisted_dead(self) -> None:
-        """Remove the dead hosts that the platform lists no more."""
+        """Remove the dead hosts that the platform no longer lists."""
         for name, record in list(self._hosts.items()):
             if record.state is HostState.DEAD and name not in self._listed:
                 self._remove(name)
@@ -157,7 +159,7 @@
         return tuple(ZoneDigest(z, d) for z, d in self._digests.items())
 
     def differing_zones(self, others: Iterable[ZoneDigest]) -> tuple[str, ...]:
-        """Return the zones whose records differ from another table's."""
+        """Return the zones whose digests differ from another table's."""
         other_digests = {z.zone: z.digest for z in others}
         known = other_digests.keys() | self._digests.keys()
         return tuple(
@@ -169,7 +171,7 @@
         )
 
     def records_of(self, zones: Collection[str]) -> News:
-        """Return the records of some zones, or of all where none is named."""
+        """Return the records of some zones; an empty selection means all."""
         return News(
             tuple(
                 r
@@ -183,7 +185,7 @@
         )
 
     def records_newer_than(self, zones: Collection[str], news: News) -> News:
-        """Return the records of some zones that other records lack."""
+        """Return the records of some zones that are newer than given ones."""
         hosts = {r.entry.name: r for r in news.hosts}
         lost = {z.zone: z for z in news.zones}
         own_records = self.records_of(zones)
--- a/packages/core/src/trefoilpulley_core/membership/zone_watch.py
+++ b/packages/core/src/trefoilpulley_core/membership/zone_watch.py
@@ -1,4 +1,4 @@
-"""Watch over the other availability zones, kept by a zone's relays."""
+"""Failure detection of other availability zones by a zone's relays."""
 
 from __future__ import annotations
 
@@ -15,36 +15,40 @@
     from trefoilpulley_core.membership.probes import Prober
 
 ZONE_PROBE_INTERVAL_S = 1.0
-"""Time between a relay's probes of each zone of its region."""
+"""Time between a relay's probes of each zone of its region, in seconds."""
 
 REMOTE_ZONE_PROBE_INTERVAL_S = 2.0
-"""Time between a relay's probes of a zone of another region."""
+"""Time between a relay's probes of a zone in another region, in seconds."""
 
 ZONE_PROBE_TIMEOUT_S = 0.5
-"""Longest wait for the answer of another zone's host, in seconds."""
+"""Timeout of a probe of a host in another zone, in seconds."""
 
 MIN_UNREACHABLE_ROUNDS = 2
-"""Rounds, each on another host, that show a zone to be lost."""
+"""Number of rounds with an unreachable host that confirm a zone's loss.
+
+Each round probes another host of the zone.
+"""
 
 INDIRECT_PROBE_ZONES = 2
-"""Other zones whose relays are asked to probe a silent zone."""
+"""Number of other zones whose relays are asked to probe a suspected zone."""
 
 
 class ZoneWatch:
-    """Probes the region's other zones while this host is a relay.
+    """Probes the other zones of the region while this host is a relay.
 
-    A zone is lost only where no other zone of the region reaches it
-    either: two zones that are cut off from each other alone keep their
-    hosts. Zones of other regions are never declared lost from here.
+    A zone is declared lost only if the other zones of the region cannot
+    reach it either. Two zones that are only partitioned from each other
+    therefore keep their hosts. Zones of other regions are never declared
+    lost by this host.
 
     Parameters
     ----------
-    news : Dissemination
-        Takes the verdicts.
-    probes : Probes
+    dissemination : Dissemination
+        Receives the verdicts.
+    prober : Prober
         Sends the probes.
     rng : random.Random
-        Picks hosts and zones.
+        Chooses hosts and zones.
     """
 
     def __init__(
@@ -60,7 +64,7 @@
 
     @property
     def suspected(self) -> tuple[str, ...]:
-        """Zones that did not answer and are being inquired after."""
+        """Zones that did not answer and whose suspicion is being checked."""
         return tuple(sorted(self._suspicion_checks))
 
     def on_tick(self, now: float) -> None:
@@ -76,11 +80,11 @@
             self._probe_remote()
 
     def on_process_resumed(self) -> None:
-        """Draw no conclusion from what a pause has let time out."""
+        """Discard suspicions, which may stem from a pause of this process."""
         self._suspicion_checks.clear()
 
     def on_zone_reached(self, zone: str) -> None:
-        """Note that a host of a zone has answered."""
+        """Record that a host of a zone has answered."""
         self._dissemination.reachable_zones.add(zone)
         record = self._table.find_zone(zone)
         if record is not None and record.is_lost:
