--- a/packages/core/src/trefoilpulley_core/configuration/__init__.py
+++ b/packages/core/src/trefoilpulley_core/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Spread and change of the operators' declarations."""
+"""Storage, change and dissemination of the operators' declarations."""
--- a/packages/core/src/trefoilpulley_core/configuration/change.py
+++ b/packages/core/src/trefoilpulley_core/configuration/change.py
@@ -1,4 +1,4 @@
-"""Changes of the declarations by compare-and-swap."""
+"""Compare-and-swap changes of the declarations."""
 
 from __future__ import annotations
 
@@ -25,29 +25,29 @@
     from trefoilpulley_core.platform import Platform
 
 MAX_ATTEMPTS = 5
-"""Calls that are made before a change is left unknown."""
+"""Maximum number of attempts before a change's outcome is left open."""
 
 RETRY_INTERVAL_S = 0.5
-"""Pause before a lost answer is looked up, in seconds."""
+"""Time between two attempts, in seconds."""
 
 MAX_RECENT_CHANGES = 32
-"""Earlier changes whose identifiers stay in the document."""
+"""Number of earlier changes whose identifiers the document keeps."""
 
 MAX_VALUE_BYTES = 1_000_000
-"""Greatest value that the service holds, in bytes."""
+"""Maximum size of a value that the service stores, in bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedChange:
-    """The change is in force, or was until a later one."""
+    """The change is in force, or was in force until a later change."""
 
     revision: int
-    """Revision of the change."""
+    """Revision that the change created."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeNotApplied(Failure):
-    """The change is not in force and will not be."""
+    """The change is not in force and will not come into force."""
 
     code = 'change-not-applied'
     run_state = RunState.NOT_RUN
@@ -56,7 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeConflict(ChangeNotApplied):
-    """Another change came first; this one is not in force."""
+    """Another change replaced the expected revision first.
+
+    This change is not in force.
+    """
 
     code = 'change-conflict'
     is_repeatable = False
@@ -64,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeUnknown(Failure):
-    """The change may be in force; submit it again under the same id."""
+    """The change may be in force; resubmit it with the same identifier."""
 
     code = 'change-unknown'
     is_repeatable = True
@@ -75,16 +78,16 @@
     """Configuration as read from the service."""
 
     configuration: Configuration
-    """Document, of revision 0 where there is none yet."""
+    """Stored configuration; of revision 0 if none is stored yet."""
 
     mod_revision: int
-    """Revision of the key."""
+    """Revision of the key in the service; 0 if the key does not exist."""
 
 
 def read_configuration(
     platform: Platform,
 ) -> Result[StoredConfiguration, Failure]:
-    """Return the configuration that the service holds."""
+    """Return the configuration that the service stores."""
     found = platform.get(CONFIGURATION_KEY)
     if not isinstance(found, Success):
         return found
@@ -103,11 +106,12 @@
     expected_revision: int | None = None,
     pause: Callable[[float], None] = lambda duration_s: None,
 ) -> Result[AppliedChange, Failure]:
-    """Put declarations in force, at most once for each change id.
+    """Put declarations in force, at most once per change identifier.
 
-    A lost answer is resolved by the same compare-and-swap again: it
-    either takes effect or shows what did, and a late copy of the first
-    can have no effect after it.
+    After a lost answer, the compare-and-swap is repeated on the current
+    configuration. The repetition either takes effect or shows which change
+    took effect. A delayed first request cannot take effect afterwards,
+    because its expected revision is outdated.
 
     Parameters
     ----------
@@ -116,17 +120,16 @@
     declarations : Declarations
         Checked declarations.
     change_id : str
-        Identifier of the change; kept when the change is submitted
-        again.
+        Identifier of the change; the same if the change is resubmitted.
     expected_revision : int, optional
-        Revision that the change must replace; any where left out.
+        Revision that the change must replace; by default, any revision.
     pause : Callable[[float], None]
-        Waits for some seconds before a lost answer is looked up.
+        Sleeps for a number of seconds between two attempts.
 
     Returns
     -------
-    Result[Applied, Failure]
-        `Applied`, or `ChangeNotApplied`, `ChangeConflict` or
+    Result[AppliedChange, Failure]
+        `AppliedChange`, or `ChangeNotApplied`, `ChangeConflict` or
         `ChangeUnknown`.
     """
     change = _Change(platform, declarations, change_id, expected_revision)
@@ -153,7 +156,7 @@
         self._unconfirmed_base: StoredConfiguration | None = None
 
     def attempt(self) -> Result[AppliedChange, Failure] | None:
-        """Return the outcome, or ``None`` where it is open."""
+        """Return the outcome, or ``None`` if another attempt is needed."""
         found = read_configuration(self._platform)
         if not isinstance(found, Success):
             return self._on_failure(found.failure())
@@ -162,7 +165,11 @@
         if revision is not None:
             return Success(AppliedChange(revision))
         if self._is_history_truncated(stored):
-            return Failed(ChangeUnknown('too many changes came after'))
+            return Failed(
+                ChangeUnknown(
+                    'too many later changes to determine the outcome'
+                )
+            )
         if self._is_conflict(stored):
             return Failed(
                 ChangeConflict(_describe_revision(stored.configuration))
@@ -172,8 +179,12 @@
     def final_outcome(self) -> Result[AppliedChange, Failure]:
         """Return the outcome after the last attempt."""
         if self._unconfirmed_base is None:
-            return Failed(ChangeNotApplied('other changes kept coming first'))
-        return Failed(ChangeUnknown('answers of the service were lost'))
+            return Failed(
+                ChangeNotApplied(
+                    'every attempt conflicted with another change'
+                )
+            )
+        return Failed(ChangeUnknown('answers from the service were lost'))
 
     def _on_failure(
         self, failure: Failure
--- a/packages/core/src/trefoilpulley_core/configuration/commands.py
+++ b/packages/core/src/trefoilpulley_core/configuration/commands.py
@@ -1,4 +1,4 @@
-"""What the spread's decisions ask their runner to do."""
+"""Commands by which the document dissemination instructs its runner."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadService:
-    """Read the documents that the service holds in a newer revision."""
+    """Read the documents of which the service has a newer revision."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetWatch:
-    """Begin or end the watches on the service."""
+    """Start or stop the watches on the service."""
 
     is_wanted: bool
-    """Whether the watches are to run."""
+    """Whether the watches should run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask a peer for its revision of a document."""
+    """Request a document from a peer."""
 
     host: str
     """Name of the peer."""
 
     kind: DocumentKind
-    """Which document."""
+    """Kind of the document."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,4 +46,4 @@
 
 
 Command = ReadService | SetWatch | Fetch | Push
-"""Any command."""
+"""Any command to the runner."""
--- a/packages/core/src/trefoilpulley_core/configuration/document.py
+++ b/packages/core/src/trefoilpulley_core/configuration/document.py
@@ -1,4 +1,4 @@
-"""JSON form of the documents kept in the platform's service."""
+"""JSON encoding of the documents in the platform's service."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
 
 @dataclass(frozen=True, slots=True)
 class MalformedDocument(Failure):
-    """A document of the platform's service has an unknown shape."""
+    """A document from the platform's service cannot be decoded."""
 
     code = 'malformed-document'
     run_state = RunState.NOT_RUN
 
 
 def encode_configuration(configuration: Configuration) -> bytes:
-    """Return the JSON form of a configuration."""
+    """Return the JSON encoding of a configuration."""
     document = _CONVERTER.unstructure(configuration, Configuration)
     return _dump(document)
 
 
 def decode_configuration(data: bytes) -> Result[Configuration, Failure]:
-    """Return the configuration of a JSON document."""
+    """Return the configuration in a JSON document."""
     return _decode(data, Configuration)
 
 
 def encode_databases(databases: Iterable[DatabaseEntry]) -> bytes:
-    """Return the JSON form of a list of database groups."""
+    """Return the JSON encoding of a list of database groups."""
     return _dump(
         [_COMPACT_CONVERTER.unstructure(d, DatabaseEntry) for d in databases]
     )
@@ -58,17 +58,17 @@
 def decode_databases(
     data: bytes,
 ) -> Result[tuple[DatabaseEntry, ...], Failure]:
-    """Return the database groups of a JSON document."""
+    """Return the database groups in a JSON document."""
     return _decode(data, tuple[DatabaseEntry, ...])
 
 
 def encode_hosts(hosts: Iterable[HostEntry]) -> bytes:
-    """Return the JSON form of a list of hosts."""
+    """Return the JSON encoding of a list of hosts."""
     return _dump([_COMPACT_CONVERTER.unstructure(h, HostEntry) for h in hosts])
 
 
 def decode_hosts(data: bytes) -> Result[tuple[HostEntry, ...], Failure]:
-    """Return the hosts of a JSON document."""
+    """Return the hosts in a JSON document."""
     return _decode(data, tuple[HostEntry, ...])
 
 
@@ -80,7 +80,9 @@
     try:
         document = json.loads(data)
         if isinstance(document, dict) != (kind is Configuration):
-            return Failed(MalformedDocument('not of the expected JSON type'))
+            return Failed(
+                MalformedDocument('JSON document has an unexpected type')
+            )
         return Success(_CONVERTER.structure(document, kind))
     except BaseValidationError as exc:
         return Failed(MalformedDocument('; '.join(transform_error(exc))))
--- a/packages/core/src/trefoilpulley_core/configuration/holder.py
+++ b/packages/core/src/trefoilpulley_core/configuration/holder.py
@@ -1,4 +1,4 @@
-"""Newest revision of each document that a host has seen."""
+"""Store of the newest revision of each document at one host."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ConfigurationStore:
-    """Holds the newest documents and never takes an older one."""
+    """Stores the newest revision of each document and rejects older ones."""
 
     def __init__(self) -> None:
         self._documents: dict[DocumentKind, Document] = {}
@@ -44,7 +44,7 @@
 
     @property
     def versions(self) -> Versions:
-        """Revisions held."""
+        """Revisions of the stored documents."""
         return Versions(
             self.revision_of(DocumentKind.CONFIGURATION),
             self.revision_of(DocumentKind.DATABASES),
@@ -52,22 +52,22 @@
         )
 
     def find_document(self, kind: DocumentKind) -> Document | None:
-        """Return a document, or ``None`` before the first."""
+        """Return a document, or ``None`` if none is stored yet."""
         return self._documents.get(kind)
 
     def revision_of(self, kind: DocumentKind) -> int:
-        """Return the revision held of a document; 0 before the first."""
+        """Return the stored revision of a document; 0 if none is stored."""
         document = self._documents.get(kind)
         return document.revision if document else 0
 
     def accept(self, document: Document) -> Result[bool, Failure]:
-        """Take a document in where it is newer.
+        """Store and apply a document if it is newer than the stored one.
 
         Returns
         -------
         Result[bool, Failure]
-            Whether it was newer, or `MalformedDocument`; what is held
-            then stays in force.
+            Whether the document was newer, or `MalformedDocument`. After a
+            failure, the stored document stays in force.
         """
         if document.revision <= self.revision_of(document.kind):
             return Success(False)
@@ -91,7 +91,7 @@
     try:
         text = document.text
     except zlib.error:
-        return Failed(MalformedDocument('not compressed'))
+        return Failed(MalformedDocument('body is not zlib-compressed'))
     decoded = _DECODERS[document.kind](text)
     if document.kind is not DocumentKind.CONFIGURATION:
         return decoded
@@ -102,5 +102,9 @@
     document: Document, found: Configuration
 ) -> Result[Configuration, Failure]:
     if found.revision != document.revision:
-        return Failed(MalformedDocument('revision is not the stated one'))
+        return Failed(
+            MalformedDocument(
+                'revision differs from the revision in the message'
+            )
+        )
     return Success(found)
--- a/packages/core/src/trefoilpulley_core/configuration/messages.py
+++ b/packages/core/src/trefoilpulley_core/configuration/messages.py
@@ -8,45 +8,48 @@
 
 
 class DocumentKind(StrEnum):
-    """Documents that every host holds."""
+    """Kind of a document; every host holds one document of each kind."""
 
     CONFIGURATION = 'configuration'
-    """Operators' declarations."""
+    """Declarations of the operators."""
 
     DATABASES = 'databases'
-    """Database groups, as the platform lists them."""
+    """Database groups in the platform's list."""
 
     HOSTS = 'hosts'
-    """Entry hosts, as the platform lists them."""
+    """Entry hosts in the platform's list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Document:
-    """One revision of a document; sent one way, or as an answer."""
+    """One revision of a document.
+
+    Sent as a one-way message or as an answer.
+    """
 
     kind: DocumentKind
-    """Which document."""
+    """Kind of the document."""
 
     revision: int
-    """Revision; of two, the greater one is in force."""
+    """Revision; a higher revision replaces a lower one."""
 
     body: bytes
-    """JSON text, compressed."""
+    """Compressed JSON text."""
 
     @property
     def text(self) -> bytes:
-        """JSON text."""
+        """Decompressed JSON text."""
         return zlib.decompress(self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class FetchDocument:
-    """Asks a peer for its revision of a document."""
+    """Request to a peer for its revision of a document."""
 
     kind: DocumentKind
-    """Which document."""
+    """Kind of the document."""
 
 
 def make_document(kind: DocumentKind, revision: int, text: bytes) -> Document:
-    """Return the message form of a document."""
+    """Return a message with a compressed document."""
     return Document(kind, revision, zlib.compress(text))
--- a/packages/core/src/trefoilpulley_core/configuration/spread.py
+++ b/packages/core/src/trefoilpulley_core/configuration/spread.py
@@ -1,4 +1,4 @@
-"""Spread of the documents from the service to every host."""
+"""Dissemination of the documents from the service to every host."""
 
 from __future__ import annotations
 
@@ -24,42 +24,47 @@
     from trefoilpulley_core.membership.messages import Versions
 
 POLL_INTERVAL_S = 10.0
-"""Time between a watcher's checks that it has missed nothing."""
+"""Time between two reads of the service by a polling host, in seconds."""
 
 WATCH_RETRY_INTERVAL_S = 0.5
-"""Time after which a broken watch is begun again, in seconds."""
+"""Time before a broken watch is restarted, in seconds."""
 
 WATCH_RENEWAL_INTERVAL_S = 60.0
-"""Life of a watch, in seconds.
+"""Time after which a watch is replaced, in seconds.
 
-A watch whose connection a partition has left half open says nothing.
+A partition can leave the connection of a watch half open. Such a watch
+reports neither changes nor an error.
 """
 
 FETCH_RETRY_INTERVAL_S = 1.0
-"""Time after which a document is asked for again, in seconds."""
+"""Minimum time between two requests for the same document, in seconds."""
 
 OTHER_ZONE_FETCH_DELAY_S = 5.0
-"""Time that the own zone has to bring a list of the platform's.
+"""Delay before one of the platform's lists is fetched from another zone.
 
-The lists hold addresses as each zone reaches them, so that another
-zone's copy is the second choice.
+In seconds. The addresses in a list depend on the zone that reads the list, so
+that a copy from this host's own zone is preferred.
 """
 
 TREE_FANOUT = 4
-"""Hosts to which each host passes a new document on."""
+"""Number of hosts to which each host in the tree forwards a document."""
 
 POLLERS_PER_ZONE = 2
-"""Hosts of a zone that ask the service; the first also watches."""
+"""Number of hosts in a zone that poll the service.
+
+The first of them also watches the service.
+"""
 
 
 class DocumentDissemination:
-    """One host's part in the spread.
+    """Decisions of one host in the dissemination of documents.
 
-    One host of a zone watches the service, and a second checks it now
-    and then. A new document goes down a tree of the zone's hosts, whose
-    order changes with each revision, so that each host sends it about
-    once. A host that a push has missed sees a greater revision in the
-    probes of its peers and fetches the document from them.
+    One host of each zone watches and polls the service, and a second host
+    polls it. A new document is pushed down a tree of the zone's hosts. The
+    order of the hosts in the tree changes with each revision, so that each
+    host sends about one copy per revision on average. A host that did not
+    receive a push sees a higher revision in the probes of its peers and
+    fetches the document from one of them.
 
     Parameters
     ----------
@@ -67,8 +72,8 @@
         Name of this host.
     zone : str
         Availability zone of this host.
-    holder : ConfigurationStore
-        Newest documents.
+    store : ConfigurationStore
+        Store of the newest documents.
     """
 
     def __init__(
@@ -94,24 +99,24 @@
 
     @property
     def is_poller(self) -> bool:
-        """Whether this host asks the service now and then."""
+        """Whether this host polls the service for its zone."""
         return self._host in self._ranked[:POLLERS_PER_ZONE]
 
     def take_commands(self) -> tuple[Command, ...]:
-        """Return the commands that have come up, oldest first."""
+        """Remove and return the pending commands, oldest first."""
         commands = tuple(self._commands)
         self._commands.clear()
         return commands
 
     def on_live_hosts(self, live: LiveHosts) -> None:
-        """Learn which hosts of the zone are live."""
+        """Update the live hosts of this host's zone."""
         peers = live.hosts_of(self._zone)
         if peers != self._peers:
             self._peers = peers
             self._ranked = rank_hosts(f'watcher/{self._zone}', peers)
 
     def on_tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the periodic tasks that are due."""
         self._update_watch(now)
         if now < self._next_poll_at:
             return
@@ -120,16 +125,16 @@
             self._commands.append(ReadService())
 
     def on_watch_event(self) -> None:
-        """Note that a watch has seen a change."""
+        """Read the service after a watch reported a change."""
         self._commands.append(ReadService())
 
     def on_watch_ended(self, now: float) -> None:
-        """Note that the watch has ended."""
+        """Schedule a new watch after the watch has ended."""
         self._is_watching = False
         self._next_watch_at = now + WATCH_RETRY_INTERVAL_S
 
     def on_read(self, document: Document) -> Result[bool, Failure]:
-        """Take a document that the service or a peer was asked for."""
+        """Process a document that was read from the service or a peer."""
         is_first = self._store.revision_of(document.kind) == 0
         taken = self._accept(document)
         if taken != Success(True):
@@ -141,18 +146,18 @@
         return taken
 
     def on_push(self, document: Document) -> Result[bool, Failure]:
-        """Take a document that a peer has sent, and pass it on."""
+        """Process a document that a peer pushed, and forward it if new."""
         taken = self._accept(document)
         if taken == Success(True):
             self._push(document, self._choose_children(document))
         return taken
 
     def on_service_answered(self) -> None:
-        """Note that the service has answered a read."""
+        """Record that the service has answered a read."""
         self._has_service_answered = True
 
     def on_versions(self, host: str, versions: Versions, now: float) -> None:
-        """Fetch the documents of which a peer holds a newer revision."""
+        """Fetch the documents of which a peer has a newer revision."""
         if versions == self._store.versions:
             return
         peer_revisions = {
