--- a/packages/core/src/trefoilpulley_core/membership/death_verifier.py
+++ b/packages/core/src/trefoilpulley_core/membership/death_verifier.py
@@ -77,8 +77,8 @@
         known = self._table.find_zone(record.zone)
         if not record.is_lost or not record.supersedes(known):
             return False
-        is_held_lost = known is not None and known.is_lost
-        return not is_held_lost and record.zone != self._dissemination.zone
+        is_known_lost = known is not None and known.is_lost
+        return not is_known_lost and record.zone != self._dissemination.zone
 
     def _verify_host(self, record: HostRecord) -> None:
         name = record.entry.name
--- a/packages/core/src/trefoilpulley_core/membership/failure_detector.py
+++ b/packages/core/src/trefoilpulley_core/membership/failure_detector.py
@@ -75,8 +75,8 @@
             )
             self._probe_successor()
         if now >= self._next_random_at:
-            spread = self._rng.uniform(0.5, 1.5)
-            self._next_random_at = now + RANDOM_PROBE_INTERVAL_S * spread
+            jitter = self._rng.uniform(0.5, 1.5)
+            self._next_random_at = now + RANDOM_PROBE_INTERVAL_S * jitter
             self._probe_random()
 
     def on_process_resumed(self) -> None:
--- a/packages/core/src/trefoilpulley_core/proxy/succession.py
+++ b/packages/core/src/trefoilpulley_core/proxy/succession.py
@@ -155,7 +155,7 @@
     reports: Iterable[ReachReport],
     registered: Mapping[str, str],
     zone: str,
-    is_claimed: bool,
+    is_service_available: bool,
 ) -> bool:
     """Return whether a quorum of hosts, including this one, lost a member.
 
@@ -163,8 +163,8 @@
     member. These hosts are not counted as voters if the platform's service
     is available, because the service decides which side of the partition
     acts. Without the service, only a majority of all hosts is safe: a
-    minority side that acted would promote the old primary again after the
-    partition.
+    minority side that acted would revert the majority's change of primary
+    once the partition heals.
 
     Parameters
     ----------
@@ -174,13 +174,19 @@
         Availability zone of each registered host, including this host.
     zone : str
         Availability zone of the member.
-    is_claimed : bool
+    is_service_available : bool
         Whether the service is available, so that only one side can act.
     """
     answers = {r.host: r.is_reached for r in reports}
-    lost = 1 + sum(1 for is_reached in answers.values() if not is_reached)
-    voters = {h for h, z in registered.items() if z != zone or not is_claimed}
-    return 2 * lost > max(len(voters | set(answers)), 1 + len(answers))
+    lost_count = 1 + sum(
+        1 for is_reached in answers.values() if not is_reached
+    )
+    voters = {
+        h
+        for h, z in registered.items()
+        if z != zone or not is_service_available
+    }
+    return 2 * lost_count > max(len(voters | set(answers)), 1 + len(answers))
 
 
 def can_choose_target(
@@ -227,9 +233,9 @@
 ) -> str | None:
     """Return the member to promote, or ``None`` if no member answers.
 
-    The member with the longest log is chosen, because log records that the
-    new primary lacks are lost. Among members with equal logs, a member that
-    is not leaving is preferred.
+    The member with the most advanced log is chosen, because log records
+    that the new primary lacks are lost. Among members with equal logs, a
+    member that is not leaving is preferred.
     """
     best = None
     for member, status in sorted(statuses.items()):
