--- a/packages/core/src/trefoilpulley_core/configuration/spread.py
+++ b/packages/core/src/trefoilpulley_core/configuration/spread.py
@@ -136,21 +136,21 @@
     def on_read(self, document: Document) -> Result[bool, Failure]:
         """Process a document that was read from the service or a peer."""
         is_first = self._store.revision_of(document.kind) == 0
-        taken = self._accept(document)
-        if taken != Success(True):
-            return taken
+        accepted = self._accept(document)
+        if accepted != Success(True):
+            return accepted
         if self.is_watcher:
             self._push(document, self._choose_children(document))
         elif not is_first:
             self._push(document, self._ranked[:1])
-        return taken
+        return accepted
 
     def on_push(self, document: Document) -> Result[bool, Failure]:
         """Process a document that a peer pushed, and forward it if new."""
-        taken = self._accept(document)
-        if taken == Success(True):
+        accepted = self._accept(document)
+        if accepted == Success(True):
             self._push(document, self._choose_children(document))
-        return taken
+        return accepted
 
     def on_service_answered(self) -> None:
         """Record that the service has answered a read."""
