--- a/packages/core/src/trefoilpulley_core/configuration/change.py
+++ b/packages/core/src/trefoilpulley_core/configuration/change.py
@@ -1,4 +1,4 @@
-"""Changes of the declarations by compare-and-swap."""
+"""Compare-and-swap changes of the declarations."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 
     from trefoilpulley_core.platform import Platform
 
-ATTEMPTS = 5
-"""Calls that are made before a change is left unknown."""
+MAX_ATTEMPTS = 5
+"""Maximum number of attempts before a change's outcome is left open."""
 
-PAUSE_S = 0.5
-"""Pause before a lost answer is looked up, in seconds."""
+RETRY_INTERVAL_S = 0.5
+"""Time between two attempts, in seconds."""
 
-RECENT_CHANGES = 32
-"""Earlier changes whose identifiers stay in the document."""
+MAX_RECENT_CHANGES = 32
+"""Number of earlier changes whose identifiers the document keeps."""
 
-VALUE_LIMIT_BYTES = 1_000_000
-"""Greatest value that the service holds, in bytes."""
+MAX_VALUE_BYTES = 1_000_000
+"""Maximum size of a value that the service stores, in bytes."""
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
-    """The change is in force, or was until a later one."""
+class AppliedChange:
+    """The change is in force, or was in force until a later change."""
 
     revision: int
-    """Revision of the change."""
+    """Revision that the change created."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeNotApplied(Failure):
-    """The change is not in force and will not be."""
+    """The change is not in force and will not come into force."""
 
     code = 'change-not-applied'
     run_state = RunState.NOT_RUN
@@ -56,7 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeConflict(ChangeNotApplied):
-    """Another change came first; this one is not in force."""
+    """Another change replaced the expected revision first.
+
+    This change is not in force.
+    """
 
     code = 'change-conflict'
     is_repeatable = False
@@ -64,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeUnknown(Failure):
-    """The change may be in force; submit it again under the same id."""
+    """The change may be in force; resubmit it with the same identifier."""
 
     code = 'change-unknown'
     is_repeatable = True
@@ -75,16 +78,16 @@
     """Configuration as read from the service."""
 
     configuration: Configuration
-    """Document, of revision 0 where there is none yet."""
+    """Stored configuration; of revision 0 if none is stored yet."""
 
     mod_revision: int
-    """Revision of the key."""
+    """Revision of the key in the service; 0 if the key does not exist."""
 
 
 def read_configuration(
     platform: Platform,
 ) -> Result[StoredConfiguration, Failure]:
-    """Return the configuration that the service holds."""
+    """Return the configuration that the service stores."""
     found = platform.get(CONFIGURATION_KEY)
     if not isinstance(found, Success):
         return found
@@ -102,12 +105,13 @@
     change_id: str,
     expected_revision: int | None = None,
     pause: Callable[[float], None] = lambda duration_s: None,
-) -> Result[Applied, Failure]:
-    """Put declarations in force, at most once for each change id.
+) -> Result[AppliedChange, Failure]:
+    """Put declarations in force, at most once per change identifier.
 
-    A lost answer is resolved by the same compare-and-swap again: it
-    either takes effect or shows what did, and a late copy of the first
-    can have no effect after it.
+    After a lost answer, the compare-and-swap is repeated on the current
+    configuration. The repetition either takes effect or shows which change
+    took effect. A delayed first request cannot take effect afterwards,
+    because its expected revision is outdated.
 
     Parameters
     ----------
@@ -116,26 +120,25 @@
     declarations : Declarations
         Checked declarations.
     change_id : str
-        Identifier of the change; kept when the change is submitted
-        again.
+        Identifier of the change; the same if the change is resubmitted.
     expected_revision : int, optional
-        Revision that the change must replace; any where left out.
+        Revision that the change must replace; by default, any revision.
     pause : Callable[[float], None]
-        Waits for some seconds before a lost answer is looked up.
+        Sleeps for a number of seconds between two attempts.
 
     Returns
     -------
-    Result[Applied, Failure]
-        `Applied`, or `ChangeNotApplied`, `ChangeConflict` or
+    Result[AppliedChange, Failure]
+        `AppliedChange`, or `ChangeNotApplied`, `ChangeConflict` or
         `ChangeUnknown`.
     """
     change = _Change(platform, declarations, change_id, expected_revision)
-    for _ in range(ATTEMPTS):
+    for _ in range(MAX_ATTEMPTS):
         outcome = change.attempt()
         if outcome is not None:
             return outcome
-        pause(PAUSE_S)
-    return change.give_up()
+        pause(RETRY_INTERVAL_S)
+    return change.final_outcome()
 
 
 class _Change:
@@ -149,71 +152,81 @@
         self._platform = platform
         self._declarations = declarations
         self._change_id = change_id
-        self._expected = expected_revision
-        self._written_from: StoredConfiguration | None = None
+        self._expected_revision = expected_revision
+        self._unconfirmed_base: StoredConfiguration | None = None
 
-    def attempt(self) -> Result[Applied, Failure] | None:
-        """Return the outcome, or ``None`` where it is open."""
+    def attempt(self) -> Result[AppliedChange, Failure] | None:
+        """Return the outcome, or ``None`` if another attempt is needed."""
         found = read_configuration(self._platform)
         if not isinstance(found, Success):
-            return self._on_unreadable(found.failure())
+            return self._on_failure(found.failure())
         stored = found.unwrap()
         revision = _find_change(stored.configuration, self._change_id)
         if revision is not None:
-            return Success(Applied(revision))
-        if self._is_history_short(stored):
-            return Failed(ChangeUnknown('too many changes came after'))
+            return Success(AppliedChange(revision))
+        if self._is_history_truncated(stored):
+            return Failed(
+                ChangeUnknown(
+                    'too many later changes to determine the outcome'
+                )
+            )
         if self._is_conflict(stored):
-            return Failed(ChangeConflict(_describe(stored.configuration)))
+            return Failed(
+                ChangeConflict(_describe_revision(stored.configuration))
+            )
         return self._write(stored)
 
-    def give_up(self) -> Result[Applied, Failure]:
+    def final_outcome(self) -> Result[AppliedChange, Failure]:
         """Return the outcome after the last attempt."""
-        if self._written_from is None:
-            return Failed(ChangeNotApplied('other changes kept coming first'))
-        return Failed(ChangeUnknown('answers of the service were lost'))
-
-    def _on_unreadable(
+        if self._unconfirmed_base is None:
+            return Failed(
+                ChangeNotApplied(
+                    'every attempt conflicted with another change'
+                )
+            )
+        return Failed(ChangeUnknown('answers from the service were lost'))
+
+    def _on_failure(
         self, failure: Failure
-    ) -> Result[Applied, Failure] | None:
-        if self._written_from is None:
+    ) -> Result[AppliedChange, Failure] | None:
+        if self._unconfirmed_base is None:
             return Failed(ChangeNotApplied(f'{failure.code} {failure.detail}'))
         return None
 
-    def _is_history_short(self, stored: StoredConfiguration) -> bool:
-        if self._written_from is None:
+    def _is_history_truncated(self, stored: StoredConfiguration) -> bool:
+        if self._unconfirmed_base is None:
             return False
-        first = self._written_from.configuration.revision
-        return stored.configuration.revision - first > RECENT_CHANGES
+        first = self._unconfirmed_base.configuration.revision
+        return stored.configuration.revision - first > MAX_RECENT_CHANGES
 
     def _is_conflict(self, stored: StoredConfiguration) -> bool:
-        if self._expected is None:
+        if self._expected_revision is None:
             return False
-        return stored.configuration.revision != self._expected
+        return stored.configuration.revision != self._expected_revision
 
     def _write(
         self, stored: StoredConfiguration
-    ) -> Result[Applied, Failure] | None:
+    ) -> Result[AppliedChange, Failure] | None:
         successor = self._make_successor(stored.configuration)
         value = encode_configuration(successor)
-        if len(value) > VALUE_LIMIT_BYTES:
+        if len(value) > MAX_VALUE_BYTES:
             return Failed(ChangeNotApplied('document is too large'))
         written = self._platform.compare_and_swap(
             CONFIGURATION_KEY, stored.mod_revision, value
         )
         if isinstance(written, Success):
-            return Success(Applied(successor.revision))
+            return Success(AppliedChange(successor.revision))
         return self._on_not_written(written.failure(), stored)
 
     def _on_not_written(
         self, failure: Failure, stored: StoredConfiguration
-    ) -> Result[Applied, Failure] | None:
+    ) -> Result[AppliedChange, Failure] | None:
         if isinstance(failure, PlatformAnswerLost):
-            self._written_from = self._written_from or stored
+            self._unconfirmed_base = self._unconfirmed_base or stored
             return None
         if isinstance(failure, RevisionConflict):
             return None
-        return self._on_unreadable(failure)
+        return self._on_failure(failure)
 
     def _make_successor(self, current: Configuration) -> Configuration:
         earlier = (current.change_id, *current.recent_changes)
@@ -221,7 +234,7 @@
             current.revision + 1,
             self._change_id,
             self._declarations,
-            earlier[:RECENT_CHANGES],
+            earlier[:MAX_RECENT_CHANGES],
         )
 
 
@@ -232,7 +245,7 @@
     return configuration.revision - known.index(change_id)
 
 
-def _describe(configuration: Configuration) -> str:
+def _describe_revision(configuration: Configuration) -> str:
     return (
         f'revision is {configuration.revision}, '
         f'by change {configuration.change_id}'
--- a/packages/core/src/trefoilpulley_core/membership/inquiry.py
+++ b/packages/core/src/trefoilpulley_core/membership/inquiry.py
@@ -1,4 +1,4 @@
-"""Rounds of probes and helpers' probes on a silent host or zone."""
+"""Rounds of direct and indirect probes of a suspected host or zone."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from trefoilpulley_core.membership.messages import ProbeForMe
 from trefoilpulley_core.membership.messages import ProbeReport
-from trefoilpulley_core.membership.outbox import Pending
-from trefoilpulley_core.membership.suspicion import Suspicion
+from trefoilpulley_core.membership.outbox import PendingCall
+from trefoilpulley_core.membership.suspicion import SuspicionRounds
 from trefoilpulley_core.membership.suspicion import Verdict
 
 if TYPE_CHECKING:
@@ -15,62 +15,66 @@
     from collections.abc import Sequence
     from typing import Any
 
-    from trefoilpulley_core.membership.probes import Probes
+    from trefoilpulley_core.membership.probes import Prober
 
-HELP_TIMEOUT_S = 0.35
-"""Longest wait for a helper's report, in seconds."""
+INDIRECT_PROBE_TIMEOUT_S = 0.35
+"""Timeout of the report of an indirect prober, in seconds."""
 
 
-class Inquiry:
-    """Finds out whether a silent host is gone.
+class SuspicionCheck:
+    """Checks a suspicion by direct and indirect probes.
 
     Parameters
     ----------
-    probes : Probes
-        Sends probes.
+    prober : Prober
+        Sends the probes.
     choose_host : Callable[[], str]
         Returns the host to probe in the next round.
-    choose_helpers : Callable[[], Sequence[str]]
-        Returns the hosts that are asked to probe it too.
+    choose_indirect_probers : Callable[[], Sequence[str]]
+        Returns the hosts that are asked to probe the same host.
     on_reached : Callable[[float], None]
-        Called once when somebody has reached the host.
+        Called once if any host reaches the probed host; takes the time.
     on_confirmed : Callable[[float], None]
-        Called once when the host is gone.
-    denied_rounds_needed : int
-        Rounds with a helper's denial that are needed.
+        Called once if the suspicion is confirmed; takes the time.
+    min_unreachable_rounds : int
+        Number of rounds with a report of an unreachable host that confirm
+        the suspicion.
     """
 
     def __init__(
         self,
-        probes: Probes,
+        prober: Prober,
         choose_host: Callable[[], str],
-        choose_helpers: Callable[[], Sequence[str]],
+        choose_indirect_probers: Callable[[], Sequence[str]],
         on_reached: Callable[[float], None],
         on_confirmed: Callable[[float], None],
-        denied_rounds_needed: int = 1,
+        min_unreachable_rounds: int = 1,
     ) -> None:
-        self._probes = probes
+        self._prober = prober
         self._choose_host = choose_host
-        self._choose_helpers = choose_helpers
+        self._choose_indirect_probers = choose_indirect_probers
         self._on_reached = on_reached
         self._on_confirmed = on_confirmed
-        self._suspicion = Suspicion(denied_rounds_needed)
+        self._suspicion = SuspicionRounds(min_unreachable_rounds)
         self._is_closed = False
 
     def begin_round(self) -> None:
-        """Probe the host again and ask helpers to do the same."""
+        """Probe the host and ask other hosts to probe it."""
         host = self._choose_host()
-        helpers = self._choose_helpers()
-        self._suspicion.begin_round(1 + len(helpers))
-        self._probes.send(
-            host, self._on_own_answer, self._on_silence, HELP_TIMEOUT_S
+        indirect_probers = self._choose_indirect_probers()
+        self._suspicion.begin_round(1 + len(indirect_probers))
+        self._prober.send(
+            host,
+            self._on_own_answer,
+            self._on_no_answer,
+            INDIRECT_PROBE_TIMEOUT_S,
         )
-        for helper in helpers:
-            self._probes.outbox.call(
-                helper,
+        for indirect_prober in indirect_probers:
+            self._prober.outbox.call(
+                indirect_prober,
                 ProbeForMe(host),
-                HELP_TIMEOUT_S,
-                Pending(self._on_report, self._on_silence),
+                INDIRECT_PROBE_TIMEOUT_S,
+                PendingCall(self._on_report, self._on_no_answer),
             )
 
     def _on_own_answer(self, now: float) -> None:
@@ -78,14 +82,14 @@
 
     def _on_report(self, report: Any, now: float) -> None:
         if not isinstance(report, ProbeReport):
-            self._on_silence(now)
+            self._on_no_answer(now)
         elif report.is_reachable:
             self._act(self._suspicion.on_reached(), now)
         else:
-            self._act(self._suspicion.on_denied(), now)
+            self._act(self._suspicion.on_unreachable_report(), now)
 
-    def _on_silence(self, now: float) -> None:
-        self._act(self._suspicion.on_silence(), now)
+    def _on_no_answer(self, now: float) -> None:
+        self._act(self._suspicion.on_no_answer(), now)
 
     def _act(self, verdict: Verdict, now: float) -> None:
         if self._is_closed or verdict is Verdict.OPEN:
--- a/packages/core/src/trefoilpulley_core/membership/news.py
+++ b/packages/core/src/trefoilpulley_core/membership/news.py
@@ -1,4 +1,4 @@
-"""Spread of changed records inside the zone and between zones."""
+"""Dissemination of changed records inside a zone and between zones."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from trefoilpulley_core.membership.table import MembershipTable
 
 RELAYS_PER_ZONE = 2
-"""Hosts of a zone that carry news to and from other zones."""
+"""Number of hosts in a zone that exchange news with other zones."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,12 +27,12 @@
     relays: tuple[str, ...]
 
 
-class NewsSpread:
-    """Merges records and passes on those that are new.
+class Dissemination:
+    """Merges records and forwards the ones that are new.
 
-    The host that finds a change tells every host of its zone, once. The
-    relays of the zone tell a relay of each other zone, which tells the
-    hosts of its own.
+    The host that detects a change sends it once to every host in its zone.
+    The relays of the zone forward the change to a relay in each other zone,
+    and that relay forwards the change to the hosts in its own zone.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
     table : MembershipTable
         Records of all hosts.
     outbox : Outbox
-        Takes the messages.
+        Sends the messages.
     """
 
     def __init__(
@@ -53,13 +53,13 @@
         self.table = table
         """Records of all hosts."""
 
-        self.zones_in_contact: set[str] = set()
-        """Zones whose hosts have answered this relay's last probe."""
+        self.reachable_zones: set[str] = set()
+        """Zones in which a host answered this relay's last probe."""
 
         self._outbox = outbox
         self._relays: dict[str, _Relays] = {}
-        self._found = NewsBatch()
-        self._learned = NewsBatch()
+        self._detected = NewsBatch()
+        self._received = NewsBatch()
         self._may_flush = True
 
     @property
@@ -69,13 +69,16 @@
 
     @property
     def relay_index(self) -> int | None:
-        """Rank of this host among its zone's relays, if it is one."""
+        """Rank of this host among its zone's relays.
+
+        ``None`` if this host is not a relay.
+        """
         relays = self.relays_of(self.zone)
         name = self.own.entry.name
         return relays.index(name) if name in relays else None
 
     def relays_of(self, zone: str) -> tuple[str, ...]:
-        """Return the hosts that carry a zone's news."""
+        """Return the relays of a zone, first in rank first."""
         live = self.table.live_hosts.hosts_of(zone)
         known = self._relays.get(zone)
         if known is None or known.candidates != live:
@@ -84,10 +87,12 @@
             self._relays[zone] = known
         return known.relays
 
-    def list_helpers(self, subject_zone: str) -> list[str]:
-        """Return a relay of each zone of the region but two.
+    def list_indirect_probers(self, subject_zone: str) -> list[str]:
+        """Return the hosts that may probe a zone on this host's behalf.
 
-        Neither the own zone nor the one in question can testify.
+        The result is one relay of each zone in the region. The zone of this
+        host and the probed zone are excluded, since their reports give no
+        independent evidence.
         """
         excluded = subject_zone, self.zone
         zones = self.table.zones_of(self.own.entry.region)
@@ -95,87 +100,89 @@
         return [ranked[0] for ranked in relays if ranked]
 
     def announce(self, record: HostRecord) -> None:
-        """Merge a record that this host has found out itself."""
+        """Merge and send a record that this host created."""
         if self.table.merge(record):
-            self._found.add_host(record)
+            self._detected.add_host(record)
 
     def announce_zone(self, record: ZoneRecord) -> None:
-        """Merge a zone's record that this host has found out itself."""
+        """Merge and send a zone's record that this host created."""
         if self.table.merge_zone(record):
-            self._found.add_zone(record)
+            self._detected.add_zone(record)
 
     def learn(self, news: News) -> None:
-        """Merge the records of another host."""
+        """Merge the records that another host sent."""
         for record in news.hosts:
             self.learn_host(record)
         for zone_record in news.zones:
             self.learn_zone(zone_record)
 
     def learn_host(self, record: HostRecord) -> None:
-        """Merge a record, or refute it where it is wrong on this host."""
+        """Merge a record, or refute it if it is wrong about this host."""
         if record.entry.name == self.own.entry.name:
             self._refute(record)
         elif self.table.merge(record):
-            self._learned.add_host(record)
+            self._received.add_host(record)
 
     def learn_zone(self, record: ZoneRecord) -> None:
-        """Merge a zone's record, or refute a loss that is none."""
+        """Merge a zone's record, or refute the loss of a reachable zone."""
         if not record.supersedes(self.table.find_zone(record.zone)):
             return
-        if record.is_lost and self._is_reached(record.zone):
+        if record.is_lost and self._is_zone_reachable(record.zone):
             self.refute_loss(record)
             return
         self.table.merge_zone(record)
-        self._learned.add_zone(record)
+        self._received.add_zone(record)
 
     def refute_loss(self, record: ZoneRecord) -> None:
-        """Say that a zone answers, whatever a record says."""
+        """Announce that a zone answers, with a version above a record's."""
         version = record.version + 1
         self.announce_zone(ZoneRecord(record.zone, version, is_lost=False))
 
     def change_own(self, state: HostState) -> None:
-        """Change the state of this host."""
+        """Change and announce the state of this host."""
         self.own = replace(self.own, state=state)
         self.announce(self.own)
 
-    def introduce(self) -> None:
-        """Tell the zone of this host, whoever has heard of it."""
-        self._found.add_host(self.own)
+    def announce_own(self) -> None:
+        """Send this host's record even if the record has not changed."""
+        self._detected.add_host(self.own)
 
     def on_tick(self) -> None:
-        """Let news go out again."""
+        """Allow the next flush to send news."""
         self._may_flush = True
 
     def flush(self) -> None:
-        """Send what has changed, at most once between two ticks.
+        """Send the changed records, at most once between two ticks.
 
-        The first change goes out at once; those that crowd behind it
-        go together.
+        The first change is sent immediately. The changes that follow before
+        the next tick are sent together.
         """
         if self.relay_index is None:
-            self._learned.take()
-        is_empty = self._found.is_empty and self._learned.is_empty
+            self._received.take()
+        is_empty = self._detected.is_empty and self._received.is_empty
         if is_empty or not self._may_flush:
             return
         self._may_flush = False
-        self._send(self._found.take(), self._learned.take())
+        self._send(self._detected.take(), self._received.take())
 
-    def _send(self, found: News, learned: News) -> None:
-        to_zone, to_zones = NewsBatch(), NewsBatch()
-        to_zone.add(found)
-        to_zones.add(found)
-        for record in learned.hosts:
+    def _send(self, detected: News, received: News) -> None:
+        own_zone_batch, other_zones_batch = NewsBatch(), NewsBatch()
+        own_zone_batch.add(detected)
+        other_zones_batch.add(detected)
+        for record in received.hosts:
             is_own_zone = record.entry.zone == self.zone
-            (to_zones if is_own_zone else to_zone).add_host(record)
-        for zone_record in learned.zones:
-            to_zone.add_zone(zone_record)
-            to_zones.add_zone(zone_record)
-        self._tell_zone(to_zone.take())
+            (other_zones_batch if is_own_zone else own_zone_batch).add_host(
+                record
+            )
+        for zone_record in received.zones:
+            own_zone_batch.add_zone(zone_record)
+            other_zones_batch.add_zone(zone_record)
+        self._tell_own_zone(own_zone_batch.take())
         if self.relay_index is not None:
-            self._tell_zones(to_zones.take())
+            self._tell_other_zones(other_zones_batch.take())
 
-    def _is_reached(self, zone: str) -> bool:
-        return zone == self.zone or zone in self.zones_in_contact
+    def _is_zone_reachable(self, zone: str) -> bool:
+        return zone == self.zone or zone in self.reachable_zones
 
     def _refute(self, record: HostRecord) -> None:
         if not record.supersedes(self.own):
@@ -183,14 +190,14 @@
         self.own = replace(self.own, incarnation=record.incarnation + 1)
         self.announce(self.own)
 
-    def _tell_zone(self, news: News) -> None:
+    def _tell_own_zone(self, news: News) -> None:
         if news == News():
             return
         for host in self.table.names_in(self.zone):
             if host != self.own.entry.name and self.table.is_live(host):
                 self._outbox.tell(host, news)
 
-    def _tell_zones(self, news: News) -> None:
+    def _tell_other_zones(self, news: News) -> None:
         if news == News():
             return
         index = self.relay_index or 0
--- a/packages/core/src/trefoilpulley_core/membership/suspicion.py
+++ b/packages/core/src/trefoilpulley_core/membership/suspicion.py
@@ -1,83 +1,85 @@
-"""Evidence on a host or a zone that does not answer."""
+"""Evaluation of the probes of a suspected host or zone."""
 
 from __future__ import annotations
 
 from enum import auto
 from enum import Enum
 
-INCONCLUSIVE_ROUNDS = 3
-"""Rounds without any helper's word after which silence is enough."""
+MAX_SILENT_ROUNDS = 3
+"""Rounds without any report after which a suspicion is confirmed."""
 
 
 class Verdict(Enum):
-    """Results of a round of evidence."""
+    """Result of a round of probes."""
 
     OPEN = auto()
-    """Answers are still out."""
+    """Probes of the round are still outstanding."""
 
     CLEARED = auto()
-    """Somebody has reached the subject."""
+    """A host has reached the subject."""
 
     REPEAT = auto()
-    """The evidence is not enough yet."""
+    """The reports do not suffice for a verdict; another round is needed."""
 
     CONFIRMED = auto()
-    """The subject is gone."""
+    """The subject is considered lost."""
 
 
-class Suspicion:
-    """Collects what one's own probe and the helpers say.
+class SuspicionRounds:
+    """Counts the rounds of direct and indirect probes of one subject.
 
-    A helper that answers and denies is evidence. Helpers that are
-    silent too are none, since the asking host may itself be cut off;
-    only after several such rounds is the subject taken for gone.
+    An indirect prober that reports the subject as unreachable is evidence
+    of a failure. Indirect probers that do not answer are no evidence, since
+    the requesting host may itself be partitioned. Only after several rounds
+    without any report is the subject considered lost.
 
     Parameters
     ----------
-    denied_rounds_needed : int
-        Rounds with a denial after which the subject is gone.
+    min_unreachable_rounds : int
+        Number of rounds with a report of an unreachable subject after which
+        the subject is considered lost.
     """
 
-    def __init__(self, denied_rounds_needed: int = 1) -> None:
-        self._denied_rounds_needed = denied_rounds_needed
+    def __init__(self, min_unreachable_rounds: int = 1) -> None:
+        self._min_unreachable_rounds = min_unreachable_rounds
         self._outstanding = 0
-        self._is_denied = False
-        self._denied_rounds = 0
+        self._is_reported_unreachable = False
+        self._unreachable_rounds = 0
         self._silent_rounds = 0
         self._is_cleared = False
 
-    def begin_round(self, questions: int) -> None:
-        """Begin a round of some questions."""
-        self._outstanding = questions
-        self._is_denied = False
+    def begin_round(self, probes: int) -> None:
+        """Begin a round with a number of direct and indirect probes."""
+        self._outstanding = probes
+        self._is_reported_unreachable = False
 
     def on_reached(self) -> Verdict:
-        """Note that somebody has reached the subject."""
+        """Record that a host has reached the subject."""
         self._is_cleared = True
         return Verdict.CLEARED
 
-    def on_denied(self) -> Verdict:
-        """Note that a helper could not reach the subject."""
-        self._is_denied = True
-        return self._close_question()
+    def on_unreachable_report(self) -> Verdict:
+        """Record that an indirect prober could not reach the subject."""
+        self._is_reported_unreachable = True
+        return self._finish_probe()
 
-    def on_silence(self) -> Verdict:
-        """Note a question without an answer."""
-        return self._close_question()
+    def on_no_answer(self) -> Verdict:
+        """Record a direct or indirect probe without an answer."""
+        return self._finish_probe()
 
-    def _close_question(self) -> Verdict:
+    def _finish_probe(self) -> Verdict:
         self._outstanding -= 1
         if self._is_cleared or self._outstanding > 0:
             return Verdict.OPEN
-        if self._is_denied:
-            self._denied_rounds += 1
+        if self._is_reported_unreachable:
+            self._unreachable_rounds += 1
         else:
             self._silent_rounds += 1
-        return self._judge()
+        return self._decide()
 
-    def _judge(self) -> Verdict:
-        if self._denied_rounds >= self._denied_rounds_needed:
+    def _decide(self) -> Verdict:
+        if self._unreachable_rounds >= self._min_unreachable_rounds:
             return Verdict.CONFIRMED
-        if self._silent_rounds >= INCONCLUSIVE_ROUNDS:
+        if self._silent_rounds >= MAX_SILENT_ROUNDS:
             return Verdict.CONFIRMED
         return Verdict.REPEAT
--- a/packages/core/src/trefoilpulley_core/membership/zone_watch.py
+++ b/packages/core/src/trefoilpulley_core/membership/zone_watch.py
@@ -1,141 +1,148 @@
-"""Watch over the other availability zones, kept by a zone's relays."""
+"""Failure detection of other availability zones by a zone's relays."""
 
 from __future__ import annotations
 
 from itertools import cycle
 from typing import TYPE_CHECKING
 
-from trefoilpulley_core.membership.inquiry import Inquiry
+from trefoilpulley_core.membership.inquiry import SuspicionCheck
 from trefoilpulley_core.membership.record import ZoneRecord
 
 if TYPE_CHECKING:
     import random
 
-    from trefoilpulley_core.membership.news import NewsSpread
-    from trefoilpulley_core.membership.probes import Probes
+    from trefoilpulley_core.membership.news import Dissemination
+    from trefoilpulley_core.membership.probes import Prober
 
-ZONE_INTERVAL_S = 1.0
-"""Time between a relay's probes of each zone of its region."""
+ZONE_PROBE_INTERVAL_S = 1.0
+"""Time between a relay's probes of each zone of its region, in seconds."""
 
-REMOTE_INTERVAL_S = 2.0
-"""Time between a relay's probes of a zone of another region."""
+REMOTE_ZONE_PROBE_INTERVAL_S = 2.0
+"""Time between a relay's probes of a zone in another region, in seconds."""
 
-ZONE_TIMEOUT_S = 0.5
-"""Longest wait for the answer of another zone's host, in seconds."""
+ZONE_PROBE_TIMEOUT_S = 0.5
+"""Timeout of a probe of a host in another zone, in seconds."""
 
-DENIED_ROUNDS = 2
-"""Rounds, each on another host, that show a zone to be lost."""
+MIN_UNREACHABLE_ROUNDS = 2
+"""Number of rounds with an unreachable host that confirm a zone's loss.
 
-HELPER_ZONES = 2
-"""Other zones whose relays are asked to probe a silent zone."""
+Each round probes another host of the zone.
+"""
+
+INDIRECT_PROBE_ZONES = 2
+"""Number of other zones whose relays are asked to probe a suspected zone."""
 
 
 class ZoneWatch:
-    """Probes the region's other zones while this host is a relay.
+    """Probes the other zones of the region while this host is a relay.
 
-    A zone is lost only where no other zone of the region reaches it
-    either: two zones that are cut off from each other alone keep their
-    hosts. Zones of other regions are never declared lost from here.
+    A zone is declared lost only if the other zones of the region cannot
+    reach it either. Two zones that are only partitioned from each other
+    therefore keep their hosts. Zones of other regions are never declared
+    lost by this host.
 
     Parameters
     ----------
-    news : NewsSpread
-        Takes the verdicts.
-    probes : Probes
+    dissemination : Dissemination
+        Receives the verdicts.
+    prober : Prober
         Sends the probes.
     rng : random.Random
-        Picks hosts and zones.
+        Chooses hosts and zones.
     """
 
     def __init__(
-        self, news: NewsSpread, probes: Probes, rng: random.Random
+        self, dissemination: Dissemination, prober: Prober, rng: random.Random
     ) -> None:
-        self._news = news
-        self._table = news.table
-        self._probes = probes
+        self._dissemination = dissemination
+        self._table = dissemination.table
+        self._prober = prober
         self._rng = rng
-        self._inquiries: dict[str, Inquiry] = {}
+        self._suspicion_checks: dict[str, SuspicionCheck] = {}
         self._next_at = 0.0
         self._next_remote_at = 0.0
 
     @property
     def suspected(self) -> tuple[str, ...]:
-        """Zones that did not answer and are being inquired after."""
-        return tuple(sorted(self._inquiries))
+        """Zones that did not answer and whose suspicion is being checked."""
+        return tuple(sorted(self._suspicion_checks))
 
     def on_tick(self, now: float) -> None:
         """Send the probes that are due."""
-        if self._news.relay_index is None:
-            self._news.zones_in_contact.clear()
+        if self._dissemination.relay_index is None:
+            self._dissemination.reachable_zones.clear()
             return
         if now >= self._next_at:
-            self._next_at = now + ZONE_INTERVAL_S
+            self._next_at = now + ZONE_PROBE_INTERVAL_S
             self._probe_region()
         if now >= self._next_remote_at:
-            self._next_remote_at = now + REMOTE_INTERVAL_S
+            self._next_remote_at = now + REMOTE_ZONE_PROBE_INTERVAL_S
             self._probe_remote()
 
-    def on_wake(self) -> None:
-        """Draw no conclusion from what a pause has let time out."""
-        self._inquiries.clear()
+    def on_process_resumed(self) -> None:
+        """Discard suspicions, which may stem from a pause of this process."""
+        self._suspicion_checks.clear()
 
-    def on_contact(self, zone: str) -> None:
-        """Note that a host of a zone has answered."""
-        self._news.zones_in_contact.add(zone)
+    def on_zone_reached(self, zone: str) -> None:
+        """Record that a host of a zone has answered."""
+        self._dissemination.reachable_zones.add(zone)
         record = self._table.find_zone(zone)
         if record is not None and record.is_lost:
-            self._news.refute_loss(record)
+            self._dissemination.refute_loss(record)
 
     def _probe_region(self) -> None:
-        for zone in self._table.zones_of(self._news.own.entry.region):
-            if zone != self._news.zone and zone not in self._inquiries:
+        for zone in self._table.zones_of(self._dissemination.own.entry.region):
+            if (
+                zone != self._dissemination.zone
+                and zone not in self._suspicion_checks
+            ):
                 self._probe_zone(zone)
 
     def _probe_zone(self, zone: str) -> None:
         host = self._choose_host(zone)
         if host is not None:
-            self._probes.send(
+            self._prober.send(
                 host,
-                lambda now: self.on_contact(zone),
+                lambda now: self.on_zone_reached(zone),
                 lambda now: self._suspect(zone),
-                ZONE_TIMEOUT_S,
+                ZONE_PROBE_TIMEOUT_S,
             )
 
     def _probe_remote(self) -> None:
-        zones = self._table.zones_outside(self._news.own.entry.region)
+        zones = self._table.zones_outside(self._dissemination.own.entry.region)
         if not zones:
             return
         zone = self._rng.choice(zones)
         host = self._choose_host(zone)
         if host is not None:
-            self._probes.send(
+            self._prober.send(
                 host,
-                lambda now: self.on_contact(zone),
+                lambda now: self.on_zone_reached(zone),
                 lambda now: None,
-                ZONE_TIMEOUT_S,
+                ZONE_PROBE_TIMEOUT_S,
             )
 
     def _suspect(self, zone: str) -> None:
-        self._news.zones_in_contact.discard(zone)
+        self._dissemination.reachable_zones.discard(zone)
         record = self._table.find_zone(zone)
         is_lost = record is not None and record.is_lost
-        if is_lost or zone in self._inquiries:
+        if is_lost or zone in self._suspicion_checks:
             return
         hosts = cycle(self._shuffled_hosts(zone))
-        inquiry = self._inquiries[zone] = Inquiry(
-            self._probes,
+        check = self._suspicion_checks[zone] = SuspicionCheck(
+            self._prober,
             lambda: next(hosts),
-            lambda: self._choose_helpers(zone),
+            lambda: self._choose_indirect_probers(zone),
             lambda now: self._clear(zone),
             lambda now: self._declare_lost(zone),
-            DENIED_ROUNDS,
+            MIN_UNREACHABLE_ROUNDS,
         )
-        inquiry.begin_round()
+        check.begin_round()
 
     def _choose_host(self, zone: str) -> str | None:
-        relays = self._news.relays_of(zone)
+        relays = self._dissemination.relays_of(zone)
         if relays:
-            index = self._news.relay_index or 0
+            index = self._dissemination.relay_index or 0
             return relays[min(index, len(relays) - 1)]
         hosts = self._shuffled_hosts(zone)
         return hosts[0] if hosts else None
@@ -146,16 +153,20 @@
         self._rng.shuffle(live)
         return live
 
-    def _choose_helpers(self, subject: str) -> list[str]:
-        helpers = self._news.list_helpers(subject)
-        return self._rng.sample(helpers, min(HELPER_ZONES, len(helpers)))
+    def _choose_indirect_probers(self, subject: str) -> list[str]:
+        indirect_probers = self._dissemination.list_indirect_probers(subject)
+        return self._rng.sample(
+            indirect_probers, min(INDIRECT_PROBE_ZONES, len(indirect_probers))
+        )
 
     def _clear(self, zone: str) -> None:
-        self._inquiries.pop(zone, None)
-        self.on_contact(zone)
+        self._suspicion_checks.pop(zone, None)
+        self.on_zone_reached(zone)
 
     def _declare_lost(self, zone: str) -> None:
-        self._inquiries.pop(zone, None)
+        self._suspicion_checks.pop(zone, None)
         record = self._table.find_zone(zone)
         version = record.version + 1 if record else 1
-        self._news.announce_zone(ZoneRecord(zone, version, is_lost=True))
+        self._dissemination.announce_zone(
+            ZoneRecord(zone, version, is_lost=True)
+        )
