--- a/features/steps/proxy_hedge_steps.py
+++ b/features/steps/proxy_hedge_steps.py
@@ -38,7 +38,7 @@
 from trefoilpulley_node.proxy.primary_wait import PrimaryWait
 from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
 from trefoilpulley_node.proxy.statement_runner import StatementRunner
-from trefoilpulley_node.proxy.work import Work
+from trefoilpulley_node.proxy.work import StatementRequest
 
 
 class _Upstream(UpstreamSession):
@@ -96,14 +96,14 @@
             context.dialer.gates[name] = Event()
             context.dialer.sent[name] = []
             pool = MemberPool(health, context.dialer, clock)
-            context.group.pools[name] = MemberAccess(pool)
+            context.group.accesses[name] = MemberAccess(pool)
         now = clock.now()
         context.group.state.members['second'].latency_s = 0.04
         context.group.state.members['second'].served_at = now
         context.group.state.evidence.record(now - 1.0, Position(1, 5))
         context.session = SessionState({'tz': 'utc'})
         route = Route('db', 'ledger', ReadFreshness.BOUNDED, 9.0, 0.2, 1, 8.0)
-        work = Work(
+        work = StatementRequest(
             Run('q1', 'READ a', False),
             None,
             route,
@@ -136,7 +136,7 @@
         """Let the caller go on, then free the first member."""
         context.session.values['tz'] = 'eet'
         context.dialer.gates['first'].set()
-        pool = context.group.pools['first'].own
+        pool = context.group.accesses['first'].local_pool
         while pool.health.in_flight or not pool.has_idle:
             gevent.sleep(0.001)
 
@@ -188,7 +188,7 @@
         )
         health = context.group.state.members['p']
         pool = MemberPool(health, _DeadDialer(), context.clock)
-        context.group.pools['p'] = MemberAccess(pool)
+        context.group.accesses['p'] = MemberAccess(pool)
 
     @staticmethod
     @then('a write is refused as not run')
@@ -275,7 +275,7 @@
     @when('the new primary proves itself')
     def prove(context: Any) -> None:
         """Wake the work once it waits."""
-        gevent.spawn(context.group.on_primary)
+        gevent.spawn(context.group.notify_primary_changed)
 
     @staticmethod
     @then('the next write waits for it')
@@ -284,11 +284,11 @@
         assert context.wait.wait(PrimaryWaitSteps.make_work(context))
 
     @staticmethod
-    def make_work(context: Any) -> Work:
+    def make_work(context: Any) -> StatementRequest:
         """Return a write with much time left."""
         now = context.clock.now()
         route = Route('db', 'ledger', ReadFreshness.PRIMARY, 600.0, 0.2, 1)
-        return Work(
+        return StatementRequest(
             Run('q2', 'WRITE a 1', True),
             None,
             route,
--- a/features/steps/proxy_overload_steps.py
+++ b/features/steps/proxy_overload_steps.py
@@ -41,7 +41,7 @@
 from trefoilpulley_node.proxy.primary_wait import PrimaryWait
 from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
 from trefoilpulley_node.proxy.statement_runner import StatementRunner
-from trefoilpulley_node.proxy.work import Work
+from trefoilpulley_node.proxy.work import StatementRequest
 
 FAR_S = 3600.0
 """Time that no scenario takes, in seconds."""
@@ -57,8 +57,8 @@
     @given('a limit of statements at a member of {most:d} connections')
     def make(context: Any, most: int) -> None:
         """Make the limit of one host."""
-        context.flight = FlightLimit()
-        context.flight.update(most)
+        context.in_flight_limit = FlightLimit()
+        context.in_flight_limit.update(most)
         context.now = 100.0
 
     @staticmethod
@@ -66,7 +66,7 @@
     def serve(context: Any, count: int) -> None:
         """Let the member take statements."""
         for _ in range(count):
-            context.flight.on_served(STATEMENT_S, context.now)
+            context.in_flight_limit.on_served(STATEMENT_S, context.now)
 
     @staticmethod
     @when(
@@ -76,7 +76,7 @@
     def serve_slowly(context: Any, count: int, took: int, apart: int) -> None:
         """Let statements wait at the member."""
         for _ in range(count):
-            context.flight.on_served(took / 1000, context.now)
+            context.in_flight_limit.on_served(took / 1000, context.now)
             context.now += apart / 1000
 
     @staticmethod
@@ -84,7 +84,7 @@
     def refuse(context: Any, count: int) -> None:
         """Let the member refuse all that are at it."""
         for _ in range(count):
-            context.flight.on_busy(count, context.now)
+            context.in_flight_limit.on_busy(count, context.now)
 
     @staticmethod
     @when('the member refuses {count:d} statements {later:d} ms later')
@@ -97,7 +97,9 @@
     @then('{count:d} statements may be at it at once')
     def check(context: Any, count: int) -> None:
         """Check the limit."""
-        assert context.flight.value == count, context.flight.value
+        assert context.in_flight_limit.value == count, (
+            context.in_flight_limit.value
+        )
 
 
 class _Upstream(UpstreamSession):
@@ -145,8 +147,8 @@
         context.gates = {}
         pool = MemberPool(MemberHealth(record), _Dialer(context), clock)
         pool.share.update(16, 2)
-        pool.flight.update(pool.share.most)
-        pool.flight.on_busy(1, clock.now())
+        pool.in_flight_limit.update(pool.share.most)
+        pool.in_flight_limit.on_busy(1, clock.now())
         context.access = MemberAccess(pool)
         context.exchanger = Exchanger(clock, ProxyMetrics())
 
@@ -165,7 +167,7 @@
         third: int,
     ) -> None:
         """Send work faster than the member serves it."""
-        pool = context.access.own
+        pool = context.access.local_pool
         FullMemberSteps._send(context, one, first)
         until(lambda: context.served == [one])
         for count, (name, priority) in enumerate(
@@ -210,7 +212,7 @@
     )
     def check_waits(context: Any, priority: int, left: int) -> None:
         """Check that it joins the line."""
-        pool = context.access.own
+        pool = context.access.local_pool
         before = pool.waiting
         now = context.clock.now()
         gevent.spawn(
@@ -226,7 +228,9 @@
     @then('a statement of an open transaction is sent without a wait')
     def check_transaction(context: Any) -> None:
         """Send a statement on a connection that was lent before."""
-        conn = context.access.own._dial(context.clock.now() + FAR_S).unwrap()
+        conn = context.access.local_pool._dial(
+            context.clock.now() + FAR_S
+        ).unwrap()
         FullMemberSteps._exchange(context, conn, 't')
         until(lambda: 't' in context.served)
 
@@ -265,7 +269,7 @@
     def make(context: Any) -> None:
         """Lend the only connection, and let others wait for it."""
         FullMemberSteps.make(context)
-        pool = context.access.own
+        pool = context.access.local_pool
         pool.share.update(1, 1)
         pool.share.on_refused(context.clock.now() + FAR_S)
         deadline = context.clock.now() + FAR_S
@@ -282,7 +286,7 @@
         """End work that has been handed the connection and has not run."""
         # The end takes effect once this greenlet rests, before the turn.
         context.waiting[0].kill(block=False)
-        context.access.own.release(context.lent)
+        context.access.local_pool.release(context.lent)
 
     @staticmethod
     @then('the second one has the connection')
@@ -336,7 +340,7 @@
         )
         for name, health in group.state.members.items():
             pool = MemberPool(health, _RefusingDialer(), clock)
-            group.pools[name] = MemberAccess(pool)
+            group.accesses[name] = MemberAccess(pool)
         group.state.evidence.record(clock.now() - 1.0, Position(1, 5))
         context.exchanger = Exchanger(clock, ProxyMetrics())
 
@@ -380,10 +384,10 @@
         assert done.failure().run_state is RunState.NOT_RUN, done
 
     @staticmethod
-    def _work(context: Any, freshness: ReadFreshness) -> Work:
+    def _work(context: Any, freshness: ReadFreshness) -> StatementRequest:
         now = context.clock.now()
         route = Route('db', 'ledger', freshness, FAR_S, 0.2, 1, 8.0)
-        return Work(
+        return StatementRequest(
             Run('q', 'READ a', False),
             None,
             route,
--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -40,7 +40,7 @@
 from trefoilpulley_node.clock import BoottimeClock
 from trefoilpulley_node.peer_server import PeerIdentity
 from trefoilpulley_node.peers import Peers
-from trefoilpulley_node.proxy.connection_lender import ConnectionLender
+from trefoilpulley_node.proxy.connection_lender import RelayServer
 from trefoilpulley_node.proxy.directory import Group
 from trefoilpulley_node.proxy.exchange import Exchanger
 from trefoilpulley_node.proxy.member_access import MemberAccess
@@ -216,7 +216,7 @@
         """Return whether a host knows every other one."""
         group = directory.groups.get('ledger')
         live = sum(len(z) for z in directory.live_hosts.values())
-        return live == hosts and group is not None and len(group.pools) == 3
+        return live == hosts and group is not None and len(group.accesses) == 3
 
     @staticmethod
     @then('one host alone has connected to each member')
@@ -230,7 +230,7 @@
     def check_returned(context: Any) -> None:
         """Wait until every lease has ended."""
         for host in context.deployment.hosts:
-            until(lambda host=host: host.proxy.lender.leases == 0)
+            until(lambda host=host: host.proxy.relay_server.leases == 0)
 
     @staticmethod
     @given(
@@ -241,7 +241,7 @@
         """Open a session at a host that relays."""
         primary = context.deployment.group.primary.state.member
         for host in context.deployment.hosts:
-            access = host.proxy.directory.groups['ledger'].pools[primary]
+            access = host.proxy.directory.groups['ledger'].accesses[primary]
             if access.is_relayed:
                 context.holder = access.holders[0]
                 context.caller = host.connect(database)
@@ -328,8 +328,8 @@
         # An equal share of one connection, and no growth above it.
         context.pool.share.update(1, 1)
         context.pool.share.on_refused(clock.now() + 3600)
-        context.group.pools['m'] = MemberAccess(context.pool)
-        context.lender = ConnectionLender(
+        context.group.accesses['m'] = MemberAccess(context.pool)
+        context.relay_server = RelayServer(
             {'ledger': context.group},
             Exchanger(clock, ProxyMetrics()),
             clock,
@@ -349,10 +349,10 @@
     def send_and_give_up(context: Any) -> None:
         """Send a read, then its end, while no connection is free."""
         asked = gevent.spawn(
-            context.lender.on_calls, _read(), LenderSteps.BORROWER
+            context.relay_server.on_calls, _read(), LenderSteps.BORROWER
         )
         until(lambda: context.pool.waiting == 1)
-        context.lender.on_end(EndLease(1), LenderSteps.BORROWER)
+        context.relay_server.on_end(EndLease(1), LenderSteps.BORROWER)
         context.asked = asked
 
     @staticmethod
@@ -366,8 +366,8 @@
     @when("another host's read arrives behind its end")
     def send_behind_end(context: Any) -> None:
         """Serve the end first, as a connection's reader does."""
-        context.lender.on_end(EndLease(1), LenderSteps.BORROWER)
-        answer = context.lender.on_calls(_read(), LenderSteps.BORROWER)
+        context.relay_server.on_end(EndLease(1), LenderSteps.BORROWER)
+        answer = context.relay_server.on_calls(_read(), LenderSteps.BORROWER)
         assert isinstance(answer, RelayRefused), answer
 
     @staticmethod
@@ -375,30 +375,32 @@
     def check_unsent(context: Any) -> None:
         """Check the connection."""
         assert context.dialer.upstream.sent == []
-        assert context.lender.leases == 0
+        assert context.relay_server.leases == 0
 
     @staticmethod
     @when('another host opens a transaction and its connection breaks')
     def open_and_break(context: Any) -> None:
         """Open a transaction, then lose the borrower."""
         opening = _calls(OpenTransaction(is_read_only=False))
-        context.lender.on_calls(opening, LenderSteps.BORROWER)
-        assert context.lender.leases == 1
-        context.lender.on_peer_closed(LenderSteps.BORROWER)
+        context.relay_server.on_calls(opening, LenderSteps.BORROWER)
+        assert context.relay_server.leases == 1
+        context.relay_server.on_peer_closed(LenderSteps.BORROWER)
 
     @staticmethod
     @then('the connection to the member is closed')
     def check_closed(context: Any) -> None:
         """Check that the member rolls back."""
         assert not context.dialer.upstream.is_open
-        assert context.lender.leases == 0
+        assert context.relay_server.leases == 0
 
     @staticmethod
     @when('the host sends a write of that transaction again')
     def send_late(context: Any) -> None:
         """Go on where nothing is open any more."""
         write = _calls(RunStatement('q2', 'WRITE a 1'), is_pinned=True)
-        context.answer = context.lender.on_calls(write, LenderSteps.BORROWER)
+        context.answer = context.relay_server.on_calls(
+            write, LenderSteps.BORROWER
+        )
 
     @staticmethod
     @then('it is told that the transaction is lost')
--- a/features/steps/proxy_succession_steps.py
+++ b/features/steps/proxy_succession_steps.py
@@ -24,7 +24,7 @@
 from trefoilpulley_core.proxy.succession import sees_enough
 from trefoilpulley_core.proxy.upstream_session import LogStatus
 from trefoilpulley_node.proxy.claims import claim_key
-from trefoilpulley_node.proxy.claims import ClaimBook
+from trefoilpulley_node.proxy.claims import ClaimStore
 from trefoilpulley_node.proxy.claims import read_claim
 
 
@@ -195,23 +195,23 @@
     def make_books(context: Any) -> None:
         """Store a claim and let two hosts learn it."""
         context.kv = FakePlatform()
-        context.first = ClaimBook('first', context.kv)
-        context.second = ClaimBook('second', context.kv)
-        assert context.first.take('ledger', 0, 'x') == Success(1)
+        context.first = ClaimStore('first', context.kv)
+        context.second = ClaimStore('second', context.kv)
+        assert context.first.try_claim('ledger', 0, 'x') == Success(1)
         ClaimSteps._learn(context.second, context.kv)
 
     @staticmethod
     @when('the first changes the group alone and publishes its round')
     def change_alone(context: Any) -> None:
         """Use a round without the service, then publish it."""
-        context.first.raise_round('ledger', 2)
+        context.first.advance_round('ledger', 2)
         context.first.publish()
 
     @staticmethod
     @when("the second decides after round 1 and then sees the first's claim")
     def see_claim(context: Any) -> None:
         """Let the claim arrive between decision and claim."""
-        assert context.first.take('ledger', 1, 'y') == Success(2)
+        assert context.first.try_claim('ledger', 1, 'y') == Success(2)
         ClaimSteps._learn(context.second, context.kv)
 
     @staticmethod
@@ -219,7 +219,7 @@
     @then("the second's claim is refused")
     def check_refused(context: Any) -> None:
         """Check that the claim after round 1 is refused."""
-        done = context.second.take('ledger', 1, 'z')
+        done = context.second.try_claim('ledger', 1, 'z')
         assert isinstance(done.failure(), RevisionConflict), done
 
     @staticmethod
@@ -239,10 +239,10 @@
             assert max(row) < min(later)
 
     @staticmethod
-    def _learn(book: ClaimBook, kv: FakePlatform) -> None:
+    def _learn(book: ClaimStore, kv: FakePlatform) -> None:
         entry = kv.get(claim_key('ledger')).unwrap()
         claim: Claim = read_claim(entry).unwrap()
-        book.learn('ledger', claim, entry.mod_revision)
+        book.record_claim('ledger', claim, entry.mod_revision)
 
 
 def _status(received: str) -> LogStatus:
--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_session.py
@@ -26,7 +26,7 @@
 from trefoilpulley_core.proxy.upstream_session import UnknownStatement
 from trefoilpulley_node import events
 from trefoilpulley_node.proxy.caller_transaction import CallerTransaction
-from trefoilpulley_node.proxy.work import Work
+from trefoilpulley_node.proxy.work import StatementRequest
 
 if TYPE_CHECKING:
     from returns.result import Result
@@ -41,16 +41,16 @@
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
     from trefoilpulley_node.proxy.statement_runner import StatementRunner
 
-CONFIGURATION_WAIT_S = 1.5
+CONFIGURATION_TIMEOUT_S = 1.5
 """Longest wait of a new session for the first configuration.
 
 Callers give up a connection that is not greeted within two seconds.
 """
 
-SERVED_SAMPLE = 200
+SERVED_LOG_INTERVAL = 200
 """Served requests of a session for each one that is logged."""
 
-VALUES_LIMIT = 256
+MAX_SESSION_VALUES = 256
 """Values and prepared statements that one session may keep."""
 
 
@@ -97,13 +97,13 @@
         """Return a new session for a database name."""
         return CallerSession(self, database)
 
-    def find_fault(self, database: str) -> Failure | None:
+    def find_failure(self, database: str) -> Failure | None:
         """Return why no session can be opened, or ``None``.
 
         A host that has just started waits for its configuration rather
         than deny a database that it does not know yet.
         """
-        if not self.directory.wait_loaded(CONFIGURATION_WAIT_S):
+        if not self.directory.wait_loaded(CONFIGURATION_TIMEOUT_S):
             return NoUpstream('no configuration yet')
         if self.directory.find_route(database) is None:
             return UnknownDatabase(database)
@@ -121,12 +121,12 @@
         Database name that the caller gave.
     """
 
-    def __init__(self, parts: SessionFactory, database: str) -> None:
-        self._parts = parts
+    def __init__(self, factory: SessionFactory, database: str) -> None:
+        self._factory = factory
         self._database = database
         self._state = SessionState()
         self._floor = SessionFloor()
-        self._served = 0
+        self._served_count = 0
         self._transaction: CallerTransaction | None = None
         self.is_busy = False
         """Whether a command is being handled."""
@@ -148,17 +148,17 @@
     @property
     def transaction_idle_s(self) -> float:
         """Time after which an idle transaction ends, in seconds."""
-        return self._parts.directory.table.transaction_idle_s
+        return self._factory.directory.table.transaction_idle_s
 
     def handle(self, command: Command) -> Reply:
         """Carry out one command and return its answer."""
         self.is_busy = True
-        began_at = self._parts.clock.now()
+        began_at = self._factory.clock.now()
         try:
             reply = self._handle(command)
         finally:
             self.is_busy = False
-        took_s = self._parts.clock.now() - began_at
+        took_s = self._factory.clock.now() - began_at
         if isinstance(command, Run | Commit):
             self._count(reply, took_s)
         if reply.failure is not None:
@@ -191,92 +191,106 @@
             case Rollback():
                 return self._on_rollback()
             case Assign() | Prepare() | Forget():
-                return self._on_setting(command)
+                return self._on_session_value(command)
             case Unreadable():
-                return self._refuse(CommandRefused(command.reason))
+                return self._make_failure_reply(CommandRefused(command.reason))
 
     def _on_run(self, run: Run) -> Reply:
         transaction = self._transaction
         if transaction is not None and transaction.is_failed:
-            return self._refuse(CommandRefused('transaction has failed'))
+            return self._make_failure_reply(
+                CommandRefused('transaction has failed')
+            )
         prepared = None
         if run.prepared:
             prepared = self._state.prepared.get(run.prepared)
             if prepared is None:
-                return self._refuse(UnknownStatement(run.prepared))
+                return self._make_failure_reply(UnknownStatement(run.prepared))
             run = Run(
                 run.request_id, run.text, prepared.is_write, run.prepared
             )
-        work = self._make_work(run, prepared)
-        if work is None:
-            return self._refuse(self._no_route())
+        request = self._make_request(run, prepared)
+        if request is None:
+            return self._make_failure_reply(self._route_failure())
         if transaction is not None:
-            return self._answer(transaction.run(work))
+            return self._make_reply(transaction.run(request))
         if run.is_write:
-            return self._answer(self._parts.runner.write(work))
-        return self._answer(self._parts.runner.read(work))
+            return self._make_reply(self._factory.runner.write(request))
+        return self._make_reply(self._factory.runner.read(request))
 
     def _on_begin(self, command: Begin) -> Reply:
         if self._transaction is not None:
-            return self._refuse(CommandRefused('transaction is open'))
+            return self._make_failure_reply(
+                CommandRefused('transaction is open')
+            )
         if self._route() is None:
-            return self._refuse(self._no_route())
-        parts = self._parts
+            return self._make_failure_reply(self._route_failure())
+        factory = self._factory
         self._transaction = CallerTransaction(
             command.is_read_only,
-            parts.zone,
-            parts.exchanger,
-            parts.primary_wait,
-            parts.clock,
+            factory.zone,
+            factory.exchanger,
+            factory.primary_wait,
+            factory.clock,
         )
         return Reply(state=TransactionState.OPEN)
 
     def _on_commit(self, command: Commit) -> Reply:
         transaction = self._transaction
         if transaction is None:
-            return self._refuse(CommandRefused('no transaction is open'))
+            return self._make_failure_reply(
+                CommandRefused('no transaction is open')
+            )
         if transaction.is_failed:
-            return self._refuse(CommandRefused('transaction has failed'))
-        work = self._make_work(Run(command.request_id, '', False), None)
-        if work is None:
+            return self._make_failure_reply(
+                CommandRefused('transaction has failed')
+            )
+        request = self._make_request(Run(command.request_id, '', False), None)
+        if request is None:
             transaction.roll_back()
             self._transaction = None
-            return self._refuse(self._no_route())
-        done = transaction.commit(work)
+            return self._make_failure_reply(self._route_failure())
+        done = transaction.commit(request)
         self._transaction = None
-        return self._answer(done)
+        return self._make_reply(done)
 
     def _on_rollback(self) -> Reply:
         transaction = self._transaction
         if transaction is None:
-            return self._refuse(CommandRefused('no transaction is open'))
+            return self._make_failure_reply(
+                CommandRefused('no transaction is open')
+            )
         self._transaction = None
         transaction.roll_back()
         return Reply()
 
-    def _on_setting(self, command: Assign | Prepare | Forget) -> Reply:
+    def _on_session_value(self, command: Assign | Prepare | Forget) -> Reply:
         if self._transaction is not None and self._transaction.is_failed:
-            return self._refuse(CommandRefused('transaction has failed'))
+            return self._make_failure_reply(
+                CommandRefused('transaction has failed')
+            )
         state = self._state
         if isinstance(command, Forget):
             if state.prepared.pop(command.name, None) is None:
-                return self._refuse(UnknownStatement(command.name))
-        elif len(state.values) + len(state.prepared) >= VALUES_LIMIT:
-            return self._refuse(CommandRefused('too many values'))
+                return self._make_failure_reply(UnknownStatement(command.name))
+        elif len(state.values) + len(state.prepared) >= MAX_SESSION_VALUES:
+            return self._make_failure_reply(CommandRefused('too many values'))
         elif isinstance(command, Prepare):
             state.prepared[command.name] = command
         else:
             state.values[command.name] = command.value
         return Reply(state=self.transaction_state)
 
-    def _make_work(self, run: Run, prepared: Prepare | None) -> Work | None:
+    def _make_request(
+        self, run: Run, prepared: Prepare | None
+    ) -> StatementRequest | None:
         route = self._route()
-        group = self._parts.directory.find_group(route) if route else None
+        group = self._factory.directory.find_group(route) if route else None
         if group is None:
             return None
-        now = self._parts.clock.now()
+        now = self._factory.clock.now()
         group.state.asked_at = now
-        return Work(
+        return StatementRequest(
             run,
             prepared,
             route,
@@ -288,14 +302,14 @@
         )
 
     def _route(self) -> Route | None:
-        return self._parts.directory.find_route(self._database)
+        return self._factory.directory.find_route(self._database)
 
-    def _no_route(self) -> Failure:
+    def _route_failure(self) -> Failure:
         return UnknownDatabase(self._database)
 
-    def _answer(self, done: Result[Reply, Failure]) -> Reply:
+    def _make_reply(self, done: Result[Reply, Failure]) -> Reply:
         if not isinstance(done, Success):
-            return self._refuse(done.failure())
+            return self._make_failure_reply(done.failure())
         reply = done.unwrap()
         return Reply(
             reply.rows,
@@ -305,22 +319,22 @@
             reply.position,
         )
 
-    def _refuse(self, failure: Failure) -> Reply:
+    def _make_failure_reply(self, failure: Failure) -> Reply:
         return Reply(failure=failure, state=self.transaction_state)
 
     def _count(self, reply: Reply, took_s: float) -> None:
         route = self._route()
         kind = route.freshness.value if route else 'none'
         outcome = reply.failure.code if reply.failure else 'done'
-        self._parts.metrics.count('requests', kind, outcome)
-        self._parts.metrics.observe('request_seconds', took_s, kind)
+        self._factory.metrics.count('requests', kind, outcome)
+        self._factory.metrics.observe('request_seconds', took_s, kind)
 
     def _log_served(self, run: Run, reply: Reply, took_s: float) -> None:
         """Log one served request in some, and each that took long."""
-        self._served += 1
+        self._served_count += 1
         route = self._route()
         is_late = route is not None and took_s > route.goal_s
-        if is_late or self._served % SERVED_SAMPLE == 1:
+        if is_late or self._served_count % SERVED_LOG_INTERVAL == 1:
             events.STATEMENT_SERVED.log(
                 request=run.request_id,
                 database=self._database,
@@ -341,7 +355,7 @@
             request=request,
             database=self._database,
             group=route.group if route else None,
-            configuration=self._parts.directory.table.version,
+            configuration=self._factory.directory.table.version,
             took_ms=round(1000 * took_s),
             failure=failure.code,
             detail=failure.detail,
--- a/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
@@ -21,7 +21,7 @@
 from trefoilpulley_core.proxy.upstream_session import RollBack
 from trefoilpulley_core.proxy.upstream_session import TransactionState
 from trefoilpulley_node import events
-from trefoilpulley_node.proxy.exchange import prove
+from trefoilpulley_node.proxy.exchange import record_proof
 from trefoilpulley_node.proxy.statement_runner import BUSY_BACKOFF_S
 
 if TYPE_CHECKING:
@@ -33,18 +33,18 @@
     from trefoilpulley_core.proxy.placement import Placement
     from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.proxy.exchange import Exchanger
-    from trefoilpulley_node.proxy.lent_session import LentSession
+    from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.member_access import MemberAccess
     from trefoilpulley_node.proxy.primary_wait import PrimaryWait
-    from trefoilpulley_node.proxy.work import Work
+    from trefoilpulley_node.proxy.work import StatementRequest
 
-OPEN_TRIES = 6
+MAX_OPEN_ATTEMPTS = 6
 """Members that a transaction may be opened at, repeats included."""
 
 OPEN_TIMEOUT_S = 0.3
 """Longest time to open a transaction, which needs no slot."""
 
-SILENCE_S = 0.45
+STATEMENT_TIMEOUT_S = 0.45
 """Silence after which a statement's answer counts as lost, in seconds.
 
 Above the time of the slowest statement behind a full queue of a member;
@@ -85,58 +85,62 @@
         self._exchanger = exchanger
         self._primary_wait = primary_wait
         self._clock = clock
-        self._pool: MemberAccess | None = None
-        self._conn: LentSession | None = None
+        self._access: MemberAccess | None = None
+        self._conn: MemberSession | None = None
         self._has_written = False
         self.is_failed = False
         """Whether only a rollback is possible."""
 
-        self.is_begun = False
+        self.has_sent_statement = False
         """Whether a statement of the caller was sent to a member."""
 
-    def run(self, work: Work) -> Result[Reply, Failure]:
+    def run(self, request: StatementRequest) -> Result[Reply, Failure]:
         """Run a statement inside the transaction."""
         if self._conn is None:
-            opened = self._open(work)
+            opened = self._open(request)
             if not isinstance(opened, Success):
-                return self._fail(work, opened.failure())
-        self._has_written = self._has_written or work.run.is_write
-        deadline = min(work.deadline, self._clock.now() + SILENCE_S)
-        is_first = not self.is_begun
-        self.is_begun = True
+                return self._abort(request, opened.failure())
+        self._has_written = self._has_written or request.run.is_write
+        deadline = min(
+            request.deadline, self._clock.now() + STATEMENT_TIMEOUT_S
+        )
+        is_first = not self.has_sent_statement
+        self.has_sent_statement = True
         done = self._exchanger.run(
-            self._pool, self._conn, work, None, False, deadline
+            self._access, self._conn, request, None, False, deadline
         )
         if isinstance(done, Success):
             return done
         failure = done.failure()
-        if isinstance(failure, Overloaded) and self._is_retried(
-            work, is_first
+        if isinstance(failure, Overloaded) and self._is_retry_allowed(
+            request, is_first
         ):
-            return self._again(work)
+            return self._retry(request)
         if isinstance(failure, NotPrimary):
-            work.group.state.on_not_leading(self._pool.health.record.member)
-            work.group.attention.set()
+            request.group.state.on_not_leading(
+                self._access.health.record.member
+            )
+            request.group.check_requested.set()
         if failure.run_state is not RunState.NOT_RUN:
-            work.group.attention.set()
-        return self._fail(work, failure)
+            request.group.check_requested.set()
+        return self._abort(request, failure)
 
-    def commit(self, work: Work) -> Result[Reply, Failure]:
+    def commit(self, request: StatementRequest) -> Result[Reply, Failure]:
         """Commit; a lost answer of a transaction that wrote is unknown."""
         if self._conn is None:
-            opened = self._open(work)
+            opened = self._open(request)
             if not isinstance(opened, Success):
-                return self._fail(work, opened.failure())
-        pool, conn = self._pool, self._conn
+                return self._abort(request, opened.failure())
+        access, conn = self._access, self._conn
         sent_at = self._clock.now()
         done = self._exchanger.exchange(
-            pool,
+            access,
             conn,
-            (CommitTransaction(work.run.request_id),),
-            work.deadline,
+            (CommitTransaction(request.run.request_id),),
+            request.deadline,
         )
         if not isinstance(done, Success):
-            work.group.attention.set()
+            request.group.check_requested.set()
             failure = done.failure()
             self._discard()
             if self._has_written:
@@ -145,14 +149,14 @@
         reply = done.unwrap()[0]
         if reply.failure is not None:
             if isinstance(reply.failure, NotPrimary):
-                work.group.state.on_not_leading(pool.health.record.member)
-                work.group.attention.set()
+                request.group.state.on_not_leading(access.health.record.member)
+                request.group.check_requested.set()
             self._end(reply)
             return Failed(self._commit_failure(reply.failure))
         if self._has_written:
-            prove(work.group, pool, sent_at, reply.position)
-            work.floor.at = self._clock.now()
-            work.floor.position = reply.position
+            record_proof(request.group, access, sent_at, reply.position)
+            request.floor.at = self._clock.now()
+            request.floor.position = reply.position
         self._end(reply)
         return Success(reply)
 
@@ -160,122 +164,133 @@
         """Roll back and give the connection back."""
         if self._conn is None:
             return
-        pool, conn = self._pool, self._conn
-        self._pool = self._conn = None
+        access, conn = self._access, self._conn
+        self._access = self._conn = None
         deadline = self._clock.now() + ROLLBACK_TIMEOUT_S
-        done = self._exchanger.exchange(pool, conn, (RollBack(),), deadline)
+        done = self._exchanger.exchange(access, conn, (RollBack(),), deadline)
         if not isinstance(done, Success):
-            pool.discard(conn)
+            access.discard(conn)
         elif done.unwrap()[0].state is not TransactionState.IDLE:
-            pool.discard(conn)
+            access.discard(conn)
         else:
-            pool.release(conn)
+            access.release(conn)
 
-    def _is_retried(self, work: Work, is_first: bool) -> bool:
-        return is_first and self._clock.now() < work.deadline - 0.1
+    def _is_retry_allowed(
+        self, request: StatementRequest, is_first: bool
+    ) -> bool:
+        return is_first and self._clock.now() < request.deadline - 0.1
 
-    def _again(self, work: Work) -> Result[Reply, Failure]:
+    def _retry(self, request: StatementRequest) -> Result[Reply, Failure]:
         """Open the transaction anew after its first statement met no slot."""
-        self._pool.health.on_busy(self._clock.now())
+        self._access.health.on_busy(self._clock.now())
         self.roll_back()
-        self.is_begun = False
+        self.has_sent_statement = False
         self._has_written = False
         gevent.sleep(BUSY_BACKOFF_S)
-        return self.run(work)
+        return self.run(request)
 
-    def _open(self, work: Work) -> Result[None, Failure]:
+    def _open(self, request: StatementRequest) -> Result[None, Failure]:
         failure: Failure = NoUpstream('no member may open the transaction')
         excluded: set[str] = set()
-        for _ in range(OPEN_TRIES):
-            if self._clock.now() >= work.deadline:
+        for _ in range(MAX_OPEN_ATTEMPTS):
+            if self._clock.now() >= request.deadline:
                 break
-            place = self._place(work, frozenset(excluded))
+            place = self._place(request, frozenset(excluded))
             if place is None:
-                if self._primary_wait.is_serving(work.group):
+                if self._primary_wait.is_serving(request.group):
                     # Every member has refused, for load or for lag.
                     break
-                if not self._primary_wait.wait(work):
+                if not self._primary_wait.wait(request):
                     break
                 excluded.clear()
                 continue
-            done = self._open_at(work, place)
+            done = self._open_at(request, place)
             if isinstance(done, Success):
                 return done
             failure = done.failure()
-            self._on_refused(work, place, failure, excluded)
+            self._on_open_failed(request, place, failure, excluded)
         if failure.run_state is RunState.NOT_RUN:
             return Failed(failure)
         return Failed(TransactionLost(failure.code))
 
-    def _on_refused(
+    def _on_open_failed(
         self,
-        work: Work,
+        request: StatementRequest,
         place: Placement,
         failure: Failure,
         excluded: set[str],
     ) -> None:
         now = self._clock.now()
-        state = work.group.state
+        state = request.group.state
         health = state.members.get(place.member)
         if isinstance(failure, ReplicaBehind) and place.floor and health:
             health.on_behind(now - place.floor.at, now)
         if isinstance(failure, NotPrimary) and place.floor is None:
             state.on_not_leading(place.member)
-            work.group.attention.set()
+            request.group.check_requested.set()
         else:
             excluded.add(place.member)
         is_broken = failure.run_state is not RunState.NOT_RUN
         if is_broken or isinstance(failure, NoUpstream):
-            work.group.attention.set()
+            request.group.check_requested.set()
         events.STATEMENT_RETRIED.log(
-            request=work.run.request_id,
-            group=work.route.group,
+            request=request.run.request_id,
+            group=request.route.group,
             member=place.member,
             failure=failure.code,
             detail=failure.detail,
             step='begin',
         )
 
-    def _place(self, work: Work, excluded: frozenset[str]) -> Placement | None:
-        state = work.group.state
+    def _place(
+        self, request: StatementRequest, excluded: frozenset[str]
+    ) -> Placement | None:
+        state = request.group.state
         now = self._clock.now()
         floor: Evidence | None = None
         if self._is_read_only:
-            floor = state.evidence.floor_of(work.route, work.floor, now)
-        if self._primary_wait.is_lost(work.group) and state.primary:
+            floor = state.evidence.floor_of(request.route, request.floor, now)
+        if self._primary_wait.is_lost(request.group) and state.primary:
             excluded = excluded | {state.primary}
         return place_read(state, floor, self._zone, excluded, now)
 
-    def _open_at(self, work: Work, place: Placement) -> Result[None, Failure]:
-        pool = work.group.pool_of(place.member)
-        if pool is None:
+    def _open_at(
+        self, request: StatementRequest, place: Placement
+    ) -> Result[None, Failure]:
+        access = request.group.find_access(place.member)
+        if access is None:
             return Failed(NoUpstream('member has left'))
-        lent = pool.acquire(
-            work.route.priority, work.deadline, work.session, work.admit_by
+        acquired = access.acquire(
+            request.route.priority,
+            request.deadline,
+            request.session,
+            request.admit_by,
         )
-        if not isinstance(lent, Success):
-            return lent
-        conn = lent.unwrap()
-        is_plain = place.floor is None
-        floor = None if is_plain else place.floor.position
-        call = OpenTransaction(not is_plain, floor)
-        deadline = min(work.deadline, self._clock.now() + OPEN_TIMEOUT_S)
+        if not isinstance(acquired, Success):
+            return acquired
+        conn = acquired.unwrap()
+        is_read_write = place.floor is None
+        floor = None if is_read_write else place.floor.position
+        call = OpenTransaction(not is_read_write, floor)
+        deadline = min(request.deadline, self._clock.now() + OPEN_TIMEOUT_S)
         done = self._exchanger.open_transaction(
-            pool, conn, work.group, call, deadline
+            access, conn, request.group, call, deadline
         )
         if not isinstance(done, Success):
-            pool.release(conn)
+            access.release(conn)
             return done
-        self._pool, self._conn = pool, conn
+        self._access, self._conn = access, conn
         return done
 
-    def _fail(self, work: Work, failure: Failure) -> Result[Reply, Failure]:
+    def _abort(
+        self, request: StatementRequest, failure: Failure
+    ) -> Result[Reply, Failure]:
         """End the transaction; nothing of it is kept."""
         self.is_failed = True
         self._discard()
         events.TRANSACTION_ABORTED.log(
-            request=work.run.request_id,
-            group=work.route.group,
+            request=request.run.request_id,
+            group=request.route.group,
             failure=failure.code,
             detail=failure.detail,
         )
@@ -291,15 +306,15 @@
         return TransactionLost(failure.code)
 
     def _end(self, reply: Reply) -> None:
-        pool, conn = self._pool, self._conn
+        access, conn = self._access, self._conn
         if reply.state is TransactionState.IDLE:
-            self._pool = self._conn = None
-            pool.release(conn)
+            self._access = self._conn = None
+            access.release(conn)
         else:
             self.roll_back()
 
     def _discard(self) -> None:
         if self._conn is not None:
-            pool, conn = self._pool, self._conn
-            self._pool = self._conn = None
-            pool.discard(conn)
+            access, conn = self._access, self._conn
+            self._access = self._conn = None
+            access.discard(conn)
--- a/packages/node/src/trefoilpulley_node/proxy/claims.py
+++ b/packages/node/src/trefoilpulley_node/proxy/claims.py
@@ -39,7 +39,7 @@
     """Revision in the service."""
 
 
-class ClaimBook:
+class ClaimStore:
     """Newest claims of every group.
 
     Parameters
@@ -61,7 +61,7 @@
         known = self._known.get(group)
         return known.claim.round if known else 0
 
-    def learn(self, group: str, claim: Claim, revision: int) -> bool:
+    def record_claim(self, group: str, claim: Claim, revision: int) -> bool:
         """Take a claim; return whether it is newer than the known one."""
         known = self._known.get(group)
         if known is not None and known.revision >= revision:
@@ -74,7 +74,7 @@
         self._known[group] = KnownClaim(claim, revision)
         return True
 
-    def raise_round(self, group: str, round_number: int) -> None:
+    def advance_round(self, group: str, round_number: int) -> None:
         """Note a number that was used without the service."""
         known = self._known.get(group)
         revision = known.revision if known else 0
@@ -101,7 +101,7 @@
                 # Another host has published the round or a later one.
                 self._unpublished.discard(group)
 
-    def take(
+    def try_claim(
         self, group: str, after_round: int, target: str
     ) -> Result[int, Failure]:
         """Claim the change of a group that follows a round.
@@ -127,7 +127,7 @@
             return Failed(PlatformAnswerLost('no answer in time'))
         if not isinstance(done, Success):
             return done
-        self.learn(group, claim, done.unwrap())
+        self.record_claim(group, claim, done.unwrap())
         return Success(claim.round)
 
 
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -18,7 +18,7 @@
 from trefoilpulley_core.proxy.upstream_session import OpenTransaction
 from trefoilpulley_core.proxy.upstream_session import TransactionState
 from trefoilpulley_node.peer_server import make_reply
-from trefoilpulley_node.proxy.exchange import prove
+from trefoilpulley_node.proxy.exchange import record_proof
 from trefoilpulley_node.proxy.lent_session import SessionSetting
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
 The borrowing host ends an idle transaction first, where it still runs.
 """
 
-ENDED_KEPT_S = 5.0
+ENDED_LEASE_TTL_S = 5.0
 """Time for which the end of a lease without a request is kept, in seconds.
 
 Both are read together, or the connection breaks.
@@ -66,17 +66,17 @@
     conn: PooledSession | None = None
     """Connection; none while the lease waits for one."""
 
-    is_running: bool = True
+    is_busy: bool = True
     """Whether a request is being served."""
 
-    is_open: bool = False
+    has_transaction: bool = False
     """Whether a transaction is open on the connection."""
 
-    is_ended: bool = False
+    is_abandoned: bool = False
     """Whether the borrowing host has given it up."""
 
 
-class ConnectionLender:
+class RelayServer:
     """Serves the statements that other hosts send through this one.
 
     Parameters
@@ -96,7 +96,7 @@
         self._exchanger = exchanger
         self._clock = clock
         self._leases: dict[tuple[int, int], _Lease] = {}
-        self._ended: dict[tuple[int, int], float] = {}
+        self._ended_leases: dict[tuple[int, int], float] = {}
 
     @property
     def leases(self) -> int:
@@ -109,17 +109,17 @@
         """Send requests to the member and return its replies."""
         deadline = self._clock.now() + message.remaining_ms / 1000
         key = peer.connection, message.lease
-        if key in self._ended:
-            return _refuse(NoUpstream('given up before it was read'))
+        if key in self._ended_leases:
+            return _make_refusal(NoUpstream('given up before it was read'))
         lease = self._leases.get(key)
         if lease is None:
             if message.is_pinned:
                 return make_reply(TransactionLost('lease has ended'))
-            refusal = self._take(key, message, deadline)
+            refusal = self._open_lease(key, message, deadline)
             if refusal is not None:
                 return refusal
             lease = self._leases[key]
-        lease.is_running = True
+        lease.is_busy = True
         sent_at = self._clock.now()
         done = self._exchanger.exchange(
             lease.access,
@@ -129,15 +129,15 @@
             _setting_of(message),
         )
         now = lease.used_at = self._clock.now()
-        lease.is_running = False
+        lease.is_busy = False
         if not isinstance(done, Success):
-            self._end(key, lease)
+            self._close_lease(key, lease)
             return make_reply(done.failure())
         replies = done.unwrap()
-        lease.is_open = replies[-1].state is not TransactionState.IDLE
-        if lease.is_ended or not lease.is_open:
-            self._end(key, lease)
-        _note_proofs(lease, message, replies, sent_at)
+        lease.has_transaction = replies[-1].state is not TransactionState.IDLE
+        if lease.is_abandoned or not lease.has_transaction:
+            self._close_lease(key, lease)
+        _record_proofs(lease, message, replies, sent_at)
         return RelayedReplies(
             tuple(pack_reply(r) for r in replies),
             round(1000 * lease.access.health.expected_s(now), 1),
@@ -149,69 +149,75 @@
         key = peer.connection, message.lease
         if key not in self._leases:
             # A host that was paused reads the end with the request.
-            self._ended[key] = self._clock.now()
-        self._give_up(key)
+            self._ended_leases[key] = self._clock.now()
+        self._abandon(key)
         return PooledDone()
 
     def on_peer_closed(self, peer: PeerIdentity) -> None:
         """End the leases of a connection that has ended."""
         for key in [k for k in self._leases if k[0] == peer.connection]:
-            self._give_up(key)
+            self._abandon(key)
 
     def end_idle(self, transaction_idle_s: float) -> None:
         """End the leases of hosts that fell silent."""
         now = self._clock.now()
-        self._ended = {
-            k: t for k, t in self._ended.items() if now - t < ENDED_KEPT_S
+        self._ended_leases = {
+            k: t
+            for k, t in self._ended_leases.items()
+            if now - t < ENDED_LEASE_TTL_S
         }
         oldest = now - transaction_idle_s - LEASE_MARGIN_S
         for key, lease in list(self._leases.items()):
-            if lease.used_at < oldest and not lease.is_running:
-                self._give_up(key)
+            if lease.used_at < oldest and not lease.is_busy:
+                self._abandon(key)
 
-    def _take(
+    def _open_lease(
         self, key: tuple[int, int], message: RelayedCalls, deadline: float
     ) -> RelayRefused | None:
         """Take a connection for a new lease, or say why there is none."""
         group = self._groups.get(message.group)
-        access = group.pool_of(message.member) if group else None
+        access = group.find_access(message.member) if group else None
         if access is None:
-            return _refuse(NoUpstream('member is not known here'))
+            return _make_refusal(NoUpstream('member is not known here'))
         lease = self._leases[key] = _Lease(group, access, self._clock.now())
         values = SessionState(message.values or {})
         admit_by = self._clock.now() + message.admit_ms / 1000
-        lent = access.own.acquire(message.priority, deadline, values, admit_by)
-        if not isinstance(lent, Success):
+        acquired = access.local_pool.acquire(
+            message.priority, deadline, values, admit_by
+        )
+        if not isinstance(acquired, Success):
             del self._leases[key]
-            is_missed = access.health.failing_since is not None
-            return _refuse(lent.failure(), is_missed)
-        lease.conn = lent.unwrap()
-        if lease.is_ended:
+            is_unreachable = access.health.failing_since is not None
+            return _make_refusal(acquired.failure(), is_unreachable)
+        lease.conn = acquired.unwrap()
+        if lease.is_abandoned:
             # The session may have other values by now.
-            self._end(key, lease)
-            return _refuse(NoUpstream('given up before it was sent'))
+            self._close_lease(key, lease)
+            return _make_refusal(NoUpstream('given up before it was sent'))
         return None
 
-    def _give_up(self, key: tuple[int, int]) -> None:
+    def _abandon(self, key: tuple[int, int]) -> None:
         lease = self._leases.get(key)
         if lease is None:
             return
-        lease.is_ended = True
-        if not lease.is_running:
-            self._end(key, lease)
+        lease.is_abandoned = True
+        if not lease.is_busy:
+            self._close_lease(key, lease)
 
-    def _end(self, key: tuple[int, int], lease: _Lease) -> None:
+    def _close_lease(self, key: tuple[int, int], lease: _Lease) -> None:
         """Give a connection back; one in a transaction is closed."""
         self._leases.pop(key, None)
         if lease.conn is None:
             return
-        if lease.is_open:
-            lease.access.own.discard(lease.conn)
+        if lease.has_transaction:
+            lease.access.local_pool.discard(lease.conn)
         else:
-            lease.access.own.release(lease.conn)
+            lease.access.local_pool.release(lease.conn)
 
 
-def _refuse(failure: Failure, is_member_missed: bool = False) -> RelayRefused:
+def _make_refusal(
+    failure: Failure, is_member_missed: bool = False
+) -> RelayRefused:
     return RelayRefused(make_reply(failure), is_member_missed)
 
 
@@ -221,7 +227,7 @@
     return SessionSetting(SessionState(message.values), message.prepared)
 
 
-def _note_proofs(
+def _record_proofs(
     lease: _Lease,
     message: RelayedCalls,
     replies: Sequence[Reply],
@@ -232,4 +238,4 @@
         if not isinstance(call, OpenTransaction) or call.is_read_only:
             continue
         if reply.failure is None:
-            prove(lease.group, lease.access, sent_at, reply.position)
+            record_proof(lease.group, lease.access, sent_at, reply.position)
--- a/packages/node/src/trefoilpulley_node/proxy/directory.py
+++ b/packages/node/src/trefoilpulley_node/proxy/directory.py
@@ -12,7 +12,7 @@
 from trefoilpulley_node import events
 from trefoilpulley_node.proxy.member_access import MemberAccess
 from trefoilpulley_node.proxy.member_pool import MemberPool
-from trefoilpulley_node.proxy.relayed_session import RelayedAccess
+from trefoilpulley_node.proxy.relayed_session import RelayClient
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -36,21 +36,21 @@
 
     def __init__(self, name: str) -> None:
         self.state = GroupState(name)
-        self.pools: dict[str, MemberAccess] = {}
+        self.accesses: dict[str, MemberAccess] = {}
         """Ways to the members, by member."""
 
         self.limits: GroupLimits | None = None
         """Limits in the configuration."""
 
-        self.changed = Event()
+        self.primary_changed = Event()
         """Set for a moment whenever a primary has proved itself."""
 
-        self.attention = Event()
+        self.check_requested = Event()
         """Set where the primary may be lost."""
 
-    def on_primary(self) -> None:
+    def notify_primary_changed(self) -> None:
         """Wake the work that waits for a primary."""
-        waiting, self.changed = self.changed, Event()
+        waiting, self.primary_changed = self.primary_changed, Event()
         waiting.set()
 
     @property
@@ -58,9 +58,9 @@
         """Replicas that receive a commit before it is acknowledged."""
         return self.limits.synchronous_replicas if self.limits else 0
 
-    def pool_of(self, member: str) -> MemberAccess | None:
+    def find_access(self, member: str) -> MemberAccess | None:
         """Return the way to a member, or ``None``."""
-        return self.pools.get(member)
+        return self.accesses.get(member)
 
 
 class ProxyDirectory:
@@ -176,9 +176,11 @@
         """Close connections that are not needed."""
         now = self._clock.now()
         for group in self.groups.values():
-            for member, pool in group.pools.items():
-                is_near = pool.health.record.zone == self._zone
-                pool.tend(now, is_near or member == group.state.primary)
+            for member, access in group.accesses.items():
+                is_local_zone = access.health.record.zone == self._zone
+                access.maintain(
+                    now, is_local_zone or member == group.state.primary
+                )
 
     def _ensure_group(self, name: str) -> None:
         if name in self.groups:
@@ -196,16 +198,16 @@
         group.state.update(
             r for r in self._records.values() if r.group == name
         )
-        for member, pool in list(group.pools.items()):
+        for member, access in list(group.accesses.items()):
             health = group.state.members.get(member)
-            if health is not pool.health:
-                pool.close()
-                del group.pools[member]
+            if health is not access.health:
+                access.close()
+                del group.accesses[member]
         for member, health in group.state.members.items():
-            if member not in group.pools:
-                group.pools[member] = MemberAccess(
+            if member not in group.accesses:
+                group.accesses[member] = MemberAccess(
                     MemberPool(health, self._dialer, self._clock),
-                    RelayedAccess(
+                    RelayClient(
                         self._host,
                         group.state,
                         health,
@@ -214,9 +216,9 @@
                     ),
                 )
         self._update_shares()
-        group.attention.set()
+        group.check_requested.set()
         if group.state.primary not in (None, primary):
-            group.on_primary()
+            group.notify_primary_changed()
 
     def _update_shares(self) -> None:
         for name, group in self.groups.items():
@@ -224,12 +226,12 @@
             if limits is None:
                 continue
             group.limits = limits
-            for pool in group.pools.values():
-                pool.update(
+            for access in group.accesses.values():
+                access.update(
                     limits.max_connections,
                     choose_holders(
                         name,
-                        pool.health.record.zone,
+                        access.health.record.zone,
                         self._live,
                         limits.max_connections,
                     ),
--- a/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
@@ -26,7 +26,7 @@
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_node.proxy.directory import Group
 
-HOSTS_ASKED = 2
+MAX_HOSTS_ASKED = 2
 """Hosts that are asked at once; one may be as badly off as this one."""
 
 ANSWER_TIMEOUT_S = 0.2
@@ -63,21 +63,27 @@
     ) -> None:
         self._host = host
         self._peers = peers
-        self._registered = registered_hosts
+        self._registered_hosts = registered_hosts
         self._groups = groups
         self._clock = clock
         self._rng = rng
 
-    def ask(self, group: Group) -> None:
+    def request_evidence(self, group: Group) -> None:
         """Take newer evidence of a group from some other hosts."""
-        access = group.pool_of(group.state.primary or '')
+        access = group.find_access(group.state.primary or '')
         if access is not None and access.is_relayed:
             # Those of this host's own statements: their channel is open.
             chosen = access.holders[:1]
         else:
-            others = sorted(h for h in self._registered() if h != self._host)
-            chosen = self._rng.sample(others, min(HOSTS_ASKED, len(others)))
-        gevent.joinall([gevent.spawn(self._ask, group, h) for h in chosen])
+            others = sorted(
+                h for h in self._registered_hosts() if h != self._host
+            )
+            chosen = self._rng.sample(
+                others, min(MAX_HOSTS_ASKED, len(others))
+            )
+        gevent.joinall(
+            [gevent.spawn(self._request_from, group, h) for h in chosen]
+        )
 
     def on_question(self, question: EvidenceQuestion) -> EvidenceReport:
         """Return this host's newest evidence."""
@@ -88,7 +94,7 @@
         newest = group.state.evidence.newest if group else None
         return make_report(newest, self._clock.now())
 
-    def _ask(self, group: Group, host: str) -> None:
+    def _request_from(self, group: Group, host: str) -> None:
         asked_at = self._clock.now()
         question = EvidenceQuestion(group.state.group)
         done = self._peers.call_host(host, question, ANSWER_TIMEOUT_S)
--- a/packages/node/src/trefoilpulley_node/proxy/exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/exchange.py
@@ -25,10 +25,10 @@
     from trefoilpulley_core.proxy.upstream_session import Call
     from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.lent_session import LentSession
+    from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.member_access import MemberAccess
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
-    from trefoilpulley_node.proxy.work import Work
+    from trefoilpulley_node.proxy.work import StatementRequest
 
 
 class Exchanger:
@@ -48,14 +48,14 @@
 
     def exchange(
         self,
-        pool: MemberAccess,
-        conn: LentSession,
+        access: MemberAccess,
+        conn: MemberSession,
         calls: Sequence[Call],
         deadline: float,
         setting: SessionSetting | None = None,
     ) -> Result[tuple[Reply, ...], Failure]:
         """Send requests and note how the member answered."""
-        health = pool.health
+        health = access.health
         sent_at = self._clock.now()
         timeout_s = max(0.001, deadline - sent_at)
         health.in_flight += 1
@@ -66,19 +66,19 @@
             done = conn.exchange(calls, timeout_s, setting)
         finally:
             health.in_flight -= 1
-            pool.own.serve_line()
+            access.local_pool.serve_queue()
         now = self._clock.now()
         if isinstance(done, Success):
             health.on_answer(now, done.unwrap()[-1].position)
             health.on_served(now - sent_at, now)
-            pool.on_replies(conn, done.unwrap(), in_flight)
+            access.on_replies(conn, done.unwrap(), in_flight)
         return done
 
     def run(
         self,
-        pool: MemberAccess,
-        conn: LentSession,
-        work: Work,
+        access: MemberAccess,
+        conn: MemberSession,
+        request: StatementRequest,
         floor: Position | None,
         is_proof_needed: bool,
         deadline: float,
@@ -88,32 +88,34 @@
         The proof is a plain transaction opened behind the statement: a
         member that still leads then led while the statement ran.
         """
-        done = self._run(pool, conn, work, floor, is_proof_needed, deadline)
+        done = self._run(
+            access, conn, request, floor, is_proof_needed, deadline
+        )
         is_done = isinstance(done, Success)
         self._metrics.count(
             'tries',
-            work.route.freshness.value,
-            'write' if work.run.is_write else 'read',
-            _role_of(pool, work),
+            request.route.freshness.value,
+            'write' if request.run.is_write else 'read',
+            _role_of(access, request),
             'done' if is_done else done.failure().code,
         )
         return done
 
     def _run(
         self,
-        pool: MemberAccess,
-        conn: LentSession,
-        work: Work,
+        access: MemberAccess,
+        conn: MemberSession,
+        request: StatementRequest,
         floor: Position | None,
         is_proof_needed: bool,
         deadline: float,
     ) -> Result[Reply, Failure]:
-        calls: list[Call] = [_statement(work, floor)]
+        calls: list[Call] = [_statement(request, floor)]
         if is_proof_needed:
             calls += (OpenTransaction(is_read_only=False), RollBack())
-        setting = SessionSetting(work.session, work.prepared)
+        setting = SessionSetting(request.session, request.prepared)
         sent_at = self._clock.now()
-        done = self.exchange(pool, conn, calls, deadline, setting)
+        done = self.exchange(access, conn, calls, deadline, setting)
         if not isinstance(done, Success):
             return done
         reply, *others = done.unwrap()
@@ -123,44 +125,46 @@
             proof = others[0]
             if proof.failure is not None:
                 return Failed(NotPrimary('lead could not be proved'))
-            prove(work.group, pool, sent_at, proof.position)
+            record_proof(request.group, access, sent_at, proof.position)
         return Success(reply)
 
     def open_transaction(
         self,
-        pool: MemberAccess,
-        conn: LentSession,
+        access: MemberAccess,
+        conn: MemberSession,
         group: Group,
         call: OpenTransaction,
         deadline: float,
     ) -> Result[None, Failure]:
         """Open a transaction; a plain one proves the lead."""
         sent_at = self._clock.now()
-        done = self.exchange(pool, conn, (call,), deadline)
+        done = self.exchange(access, conn, (call,), deadline)
         if not isinstance(done, Success):
             return done
         reply = done.unwrap()[0]
         if reply.failure is not None:
             return Failed(reply.failure)
         if not call.is_read_only:
-            prove(group, pool, sent_at, reply.position)
+            record_proof(group, access, sent_at, reply.position)
         return Success(None)
 
 
-def prove(
-    group: Group, pool: MemberAccess, sent_at: float, position: Position
+def record_proof(
+    group: Group, access: MemberAccess, sent_at: float, position: Position
 ) -> None:
     """Note that a pool's member has proved to lead its group."""
-    member = pool.health.record.member
+    member = access.health.record.member
     if group.state.on_proof(member, sent_at, position):
-        group.on_primary()
+        group.notify_primary_changed()
 
 
-def _role_of(pool: MemberAccess, work: Work) -> str:
-    is_primary = pool.health.record.member == work.group.state.primary
+def _role_of(access: MemberAccess, request: StatementRequest) -> str:
+    is_primary = access.health.record.member == request.group.state.primary
     return 'primary' if is_primary else 'replica'
 
 
-def _statement(work: Work, floor: Position | None) -> RunStatement:
-    alias = alias_of(work.prepared) if work.prepared else ''
-    return RunStatement(work.run.request_id, work.run.text, alias, floor)
+def _statement(
+    request: StatementRequest, floor: Position | None
+) -> RunStatement:
+    alias = alias_of(request.prepared) if request.prepared else ''
+    return RunStatement(request.run.request_id, request.run.text, alias, floor)
--- a/packages/node/src/trefoilpulley_node/proxy/host_registration.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_registration.py
@@ -25,13 +25,13 @@
     from trefoilpulley_core.platform import KeyValue
     from trefoilpulley_core.platform import Platform
 
-LEASE_S = 30
+LEASE_TTL_S = 30
 """Time to live of a host's lease; probes notice a death sooner."""
 
-RENEW_S = 10.0
+RENEW_INTERVAL_S = 10.0
 """Time between two renewals of the lease, in seconds."""
 
-RETRY_S = 1.0
+RETRY_INTERVAL_S = 1.0
 """Pause after a call that failed, in seconds."""
 
 
@@ -49,11 +49,11 @@
     """
 
     def __init__(
-        self, me: HostEntry, platform: Platform, clock: Clock
+        self, host_entry: HostEntry, platform: Platform, clock: Clock
     ) -> None:
         self._clock = clock
         self._renewed_at = clock.now()
-        self._me = me
+        self._host_entry = host_entry
         self._platform = platform
         self._lease_id = 0
         self._holder_id: int | None = None
@@ -78,16 +78,16 @@
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         if self._lease_id:
-            with gevent.Timeout(RETRY_S / 2, False):
+            with gevent.Timeout(RETRY_INTERVAL_S / 2, False):
                 self._platform.revoke_lease(self._lease_id)
 
     def _run(self) -> None:
         while True:
             is_listed = self._renew() if self._lease_id else self._register()
-            gevent.sleep(RENEW_S if is_listed else RETRY_S)
+            gevent.sleep(RENEW_INTERVAL_S if is_listed else RETRY_INTERVAL_S)
 
     def _register(self) -> bool:
-        granted = self._platform.grant_lease(LEASE_S)
+        granted = self._platform.grant_lease(LEASE_TTL_S)
         if not isinstance(granted, Success):
             return False
         lease_id = granted.unwrap().lease_id
@@ -98,8 +98,8 @@
         return bool(self._lease_id)
 
     def _put(self, lease_id: int) -> Result[int, Failure]:
-        key = f'{HOST_PREFIX}{self._me.name}'
-        value = write_host(self._me)
+        key = f'{HOST_PREFIX}{self._host_entry.name}'
+        value = write_host(self._host_entry)
         done = self._platform.compare_and_swap(key, 0, value, lease_id)
         if isinstance(done, Success):
             return done
--- a/packages/node/src/trefoilpulley_node/proxy/host_vote.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_vote.py
@@ -25,13 +25,13 @@
 VOTE_TIMEOUT_S = 0.35
 """Longest wait for what other hosts say of a member, in seconds."""
 
-VOTE_VALID_S = 1.5
+VOTE_TTL_S = 1.5
 """Time for which a vote tells how many hosts answer, in seconds.
 
 Votes follow each other sooner while a primary is missed.
 """
 
-RECENT_ANSWER_S = 0.15
+MAX_RECENT_ANSWER_AGE_S = 0.15
 """Age up to which an answer shows that a member is reached."""
 
 
@@ -66,21 +66,23 @@
         self._host = host
         self._prober = prober
         self._peers = peers
-        self._registered = registered_hosts
+        self._registered_hosts = registered_hosts
         self._groups = groups
         self._clock = clock
-        self._answers = 1.0
-        self._asked_at = float('-inf')
+        self._answer_rate = 1.0
+        self._voted_at = float('-inf')
 
-    def ask(self, group: Group, lost: str | None) -> tuple[ReachReport, ...]:
+    def collect_reports(
+        self, group: Group, lost_member: str | None
+    ) -> tuple[ReachReport, ...]:
         """Return what the hosts say that answer in time."""
-        if lost is None:
+        if lost_member is None:
             return ()
-        question = ReachQuestion(group.state.group, lost)
-        jury = [h for h in self.jury(group) if h != self._host]
+        question = ReachQuestion(group.state.group, lost_member)
+        voters = [h for h in self.voters(group) if h != self._host]
         asked = [
             gevent.spawn(self._peers.call_host, host, question, VOTE_TIMEOUT_S)
-            for host in jury
+            for host in voters
         ]
         reports: tuple[ReachReport, ...] = ()
         for done in gevent.iwait(asked, timeout=VOTE_TIMEOUT_S):
@@ -88,19 +90,19 @@
             if not isinstance(report, ReachReport):
                 continue
             reports = (*reports, report)
-            if self.is_lost(group, lost, reports, is_claimed=False):
+            if self.is_lost(group, lost_member, reports, is_claimed=False):
                 # No answer that is still out can change the outcome.
                 break
         gevent.killall(asked, block=False)
-        self._answers = (1 + len(reports)) / (1 + len(jury))
-        self._asked_at = self._clock.now()
+        self._answer_rate = (1 + len(reports)) / (1 + len(voters))
+        self._voted_at = self._clock.now()
         return reports
 
-    def jury(self, group: Group) -> dict[str, str]:
+    def voters(self, group: Group) -> dict[str, str]:
         """Return the zones of the hosts that vote, this one included."""
-        jury = choose_jury(group.state.group, self._registered())
-        jury.setdefault(self._host, self._registered()[self._host])
-        return jury
+        voters = choose_jury(group.state.group, self._registered_hosts())
+        voters.setdefault(self._host, self._registered_hosts()[self._host])
+        return voters
 
     def is_reached(
         self, group: Group, member: str, hosts: Iterable[str]
@@ -120,14 +122,14 @@
     def is_lost(
         self,
         group: Group,
-        lost: str,
+        lost_member: str,
         reports: Sequence[ReachReport],
         is_claimed: bool,
     ) -> bool:
         """Return whether enough hosts miss a member."""
-        health = group.state.members.get(lost)
+        health = group.state.members.get(lost_member)
         zone = health.record.zone if health else ''
-        return is_lost_to_most(reports, self.jury(group), zone, is_claimed)
+        return is_lost_to_most(reports, self.voters(group), zone, is_claimed)
 
     def on_reach_question(self, question: ReachQuestion) -> ReachReport:
         """Return whether a member answers this host."""
@@ -136,19 +138,19 @@
             return ReachReport(self._host, is_reached=False)
         health = group.state.members.get(question.member)
         now = self._clock.now()
-        if health and now - health.last_answer_at < RECENT_ANSWER_S:
+        if health and now - health.last_answer_at < MAX_RECENT_ANSWER_AGE_S:
             return ReachReport(self._host, is_reached=True)
-        reached = self._prober.reach(group, question.member)
+        reached = self._prober.can_connect(group, question.member)
         if not reached:
-            access = group.pool_of(question.member)
+            access = group.find_access(question.member)
             if access is not None and access.is_relayed:
                 # Without statements of its own it would not notice.
                 access.health.on_unreachable(now)
-            group.attention.set()
+            group.check_requested.set()
         return ReachReport(self._host, reached)
 
-    def recent_answers(self, now: float) -> float | None:
+    def recent_answer_rate(self, now: float) -> float | None:
         """Return the part of the hosts that answered a recent vote."""
-        if now - self._asked_at > VOTE_VALID_S:
+        if now - self._voted_at > VOTE_TTL_S:
             return None
-        return self._answers
+        return self._answer_rate
--- a/packages/node/src/trefoilpulley_node/proxy/lent_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/lent_session.py
@@ -38,7 +38,7 @@
     """Prepared statement that will run, if any."""
 
 
-class LentSession(abc.ABC):
+class MemberSession(abc.ABC):
     """Session with a member, on a connection of this host or of another."""
 
     @property
@@ -65,7 +65,7 @@
             What is set on the connection first, where it is not yet.
         """
 
-    def withdraw(self) -> None:
+    def cancel_unsent(self) -> None:
         """Make sure that what no member has been sent yet never is."""
 
     @abc.abstractmethod
--- a/packages/node/src/trefoilpulley_node/proxy/member_access.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_access.py
@@ -18,9 +18,9 @@
     from trefoilpulley_core.proxy.group_state import MemberHealth
     from trefoilpulley_core.proxy.session_state import SessionState
     from trefoilpulley_core.proxy.upstream_session import Reply
-    from trefoilpulley_node.proxy.lent_session import LentSession
+    from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.member_pool import MemberPool
-    from trefoilpulley_node.proxy.relayed_session import RelayedAccess
+    from trefoilpulley_node.proxy.relayed_session import RelayClient
 
 
 class MemberAccess:
@@ -30,37 +30,37 @@
     ----------
     own : MemberPool
         Connections of this host.
-    relayed : RelayedAccess, optional
+    relayed : RelayClient, optional
         Connections of other hosts; without it there are only own ones.
     """
 
     def __init__(
-        self, own: MemberPool, relayed: RelayedAccess | None = None
+        self, local_pool: MemberPool, relay_client: RelayClient | None = None
     ) -> None:
-        self.own = own
-        self._relayed = relayed
+        self.local_pool = local_pool
+        self._relay_client = relay_client
 
     @property
     def health(self) -> MemberHealth:
         """How the member answers this host."""
-        return self.own.health
+        return self.local_pool.health
 
     @property
     def is_relayed(self) -> bool:
         """Whether other hosts hold the connections to the member."""
-        return self._relayed is not None and self._relayed.is_used
+        return self._relay_client is not None and self._relay_client.is_active
 
     @property
     def holders(self) -> tuple[str, ...]:
         """Hosts to reach the member through; none with own connections."""
-        return self._relayed.holders if self.is_relayed else ()
+        return self._relay_client.holders if self.is_relayed else ()
 
     def update(self, max_connections: int, holders: Holders) -> None:
         """Take the member's limit and the hosts that share it."""
-        self.own.share.update(max_connections, holders.sharing)
-        self.own.flight.update(self.own.share.most)
-        if self._relayed is not None:
-            self._relayed.update(holders)
+        self.local_pool.share.update(max_connections, holders.sharing)
+        self.local_pool.in_flight_limit.update(self.local_pool.share.most)
+        if self._relay_client is not None:
+            self._relay_client.update(holders)
 
     def acquire(
         self,
@@ -68,47 +68,47 @@
         deadline: float,
         session: SessionState,
         admit_by: float | None = None,
-    ) -> Result[LentSession, Failure]:
+    ) -> Result[MemberSession, Failure]:
         """Lend a session, or say why none can be had in time."""
         if self.is_relayed:
-            return Success(self._relayed.open(priority, admit_by))
-        return self.own.acquire(priority, deadline, session, admit_by)
+            return Success(self._relay_client.open(priority, admit_by))
+        return self.local_pool.acquire(priority, deadline, session, admit_by)
 
     def on_replies(
-        self, conn: LentSession, replies: Sequence[Reply], in_flight: int
+        self, conn: MemberSession, replies: Sequence[Reply], in_flight: int
     ) -> None:
         """Learn from the replies on a session whether the member is full."""
         if isinstance(conn, PooledSession):
-            self.own.on_replies(replies, in_flight)
+            self.local_pool.on_replies(replies, in_flight)
 
-    def release(self, conn: LentSession) -> None:
+    def release(self, conn: MemberSession) -> None:
         """Take a session back for the next work."""
         if isinstance(conn, PooledSession):
-            self.own.release(conn)
+            self.local_pool.release(conn)
         elif not conn.is_usable:
             conn.close()
 
-    def discard(self, conn: LentSession) -> None:
+    def discard(self, conn: MemberSession) -> None:
         """End a session; its transaction is rolled back."""
         if isinstance(conn, PooledSession):
-            self.own.discard(conn)
+            self.local_pool.discard(conn)
         else:
             conn.close()
 
-    def tend(self, now: float, is_wanted: bool) -> None:
+    def maintain(self, now: float, is_idle_wanted: bool) -> None:
         """Close connections that are not needed, open one that is.
 
         Parameters
         ----------
         now : float
             Present time in seconds.
-        is_wanted : bool
+        is_idle_wanted : bool
             Whether idle connections of this host are worth keeping.
         """
-        self.own.is_kept = is_wanted and not self.is_relayed
-        self.own.trim(now)
-        self.own.warm()
+        self.local_pool.is_idle_kept = is_idle_wanted and not self.is_relayed
+        self.local_pool.trim(now)
+        self.local_pool.open_ahead()
 
     def close(self) -> None:
         """Close idle connections; those lent close when they return."""
-        self.own.close()
+        self.local_pool.close()
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -22,7 +22,7 @@
 from trefoilpulley_core.proxy.upstream_session import ConnectionLimitReached
 from trefoilpulley_core.proxy.upstream_session import UnknownStatement
 from trefoilpulley_core.proxy.waiting_line import WaitingLine
-from trefoilpulley_node.proxy.lent_session import LentSession
+from trefoilpulley_node.proxy.lent_session import MemberSession
 from trefoilpulley_node.proxy.lent_session import SetupFailed
 
 if TYPE_CHECKING:
@@ -44,12 +44,12 @@
 DIAL_TIMEOUT_S = 0.4
 """Longest time to open a connection; a busy member takes tens of ms."""
 
-LIMIT_RETRY_S = 0.05
+LIMIT_RETRY_INTERVAL_S = 0.05
 """Time between two tries to connect to a member that is full."""
 
 
 @dataclass(eq=False, slots=True)
-class PooledSession(LentSession):
+class PooledSession(MemberSession):
     """Connection to a member with what is set on it."""
 
     upstream: UpstreamSession
@@ -113,18 +113,18 @@
         self.share = ConnectionShare()
         """Connections that this host may open."""
 
-        self.flight = FlightLimit()
+        self.in_flight_limit = FlightLimit()
         """Statements that may be at the member at once."""
 
-        self.is_kept = True
+        self.is_idle_kept = True
         """Whether idle connections are kept at all."""
 
         self._dialer = dialer
         self._clock = clock
         self._idle: list[PooledSession] = []
-        self._line = WaitingLine()
+        self._queue = WaitingLine()
         self._open = 0
-        self._handed = 0
+        self._assigned = 0
         self._is_closed = False
 
     @property
@@ -135,7 +135,7 @@
     @property
     def waiting(self) -> int:
         """Pieces of work that wait for a connection."""
-        return len(self._line)
+        return len(self._queue)
 
     @property
     def has_idle(self) -> bool:
@@ -168,7 +168,7 @@
         while not self._is_closed:
             now = self._clock.now()
             if self._has_room:
-                conn = self._take_idle(session)
+                conn = self._pop_idle(session)
                 if conn is not None:
                     return Success(conn)
                 if now >= deadline:
@@ -180,15 +180,15 @@
                         return dialled
                     self.share.on_refused(now)
                     if self._open == 0:
-                        wait_s = min(LIMIT_RETRY_S, deadline - now)
-                        conn = self._wait(priority, deadline, wait_s)
+                        wait_s = min(LIMIT_RETRY_INTERVAL_S, deadline - now)
+                        conn = self._wait_for_retry(priority, deadline, wait_s)
                         if conn is not None:
                             return Success(conn)
                         continue
-            work = self._join(priority, turn_by, now)
-            if work is None:
+            waiter = self._enqueue(priority, turn_by, now)
+            if waiter is None:
                 return Failed(Overloaded('line for connections is too long'))
-            conn = self._await(work, turn_by - now)
+            conn = self._wait_for_turn(waiter, turn_by - now)
             if conn is not None:
                 return Success(conn)
         if self._is_closed:
@@ -198,32 +198,32 @@
     def release(self, conn: PooledSession) -> None:
         """Take a connection back for the next work."""
         now = self._clock.now()
-        self._line.on_held(now - conn.since)
+        self._queue.on_held(now - conn.since)
         if not conn.is_usable or self._is_closed:
-            self._drop(conn)
+            self._close_connection(conn)
             return
         if self._open > self.share.most:
-            self._drop(conn)
+            self._close_connection(conn)
             return
         conn.since = now
         self._idle.append(conn)
-        self.serve_line()
+        self.serve_queue()
 
-    def serve_line(self) -> None:
+    def serve_queue(self) -> None:
         """Let waiting work go on where there is room for it."""
         now = self._clock.now()
-        while len(self._line) and self._has_room:
+        while len(self._queue) and self._has_room:
             can_dial = self._open < self.share.limit(now)
             if not self._idle and not can_dial:
                 return
-            work = self._line.take(now)
-            if work is None:
+            waiter = self._queue.take(now)
+            if waiter is None:
                 return
             conn = self._idle.pop() if self._idle else None
             if conn is not None:
                 conn.since = now
-            self._handed += 1
-            work.handle.set(conn)
+            self._assigned += 1
+            waiter.handle.set(conn)
             if conn is None:
                 # It looks for itself; more may not fit.
                 return
@@ -232,27 +232,27 @@
         """Learn from the replies whether the member is full."""
         now = self._clock.now()
         if any(isinstance(r.failure, Overloaded) for r in replies):
-            self.flight.on_busy(in_flight, now)
+            self.in_flight_limit.on_busy(in_flight, now)
         else:
-            self.flight.on_served(self.health.expected_s(now), now)
+            self.in_flight_limit.on_served(self.health.expected_s(now), now)
 
     def discard(self, conn: PooledSession) -> None:
         """Close a connection; its transaction is rolled back."""
-        self._drop(conn)
+        self._close_connection(conn)
 
-    def warm(self) -> None:
+    def open_ahead(self) -> None:
         """Open a connection ahead of the work where none is open."""
-        if self._open or not self.is_kept or self._is_closed:
+        if self._open or not self.is_idle_kept or self._is_closed:
             return
         if self.health.failing_since is None:
-            gevent.spawn(self._warm)
+            gevent.spawn(self._open_ahead)
 
     def trim(self, now: float) -> None:
         """Close idle connections that are not kept."""
-        while self._idle and self._open > self._kept:
+        while self._idle and self._open > self._max_kept:
             if now - self._idle[0].since < SURPLUS_IDLE_S:
                 return
-            self._drop(self._idle.pop(0))
+            self._close_connection(self._idle.pop(0))
 
     def close(self) -> None:
         """Close idle connections; those lent close when they return."""
@@ -261,24 +261,24 @@
             conn.close()
             self._open -= 1
         self._idle.clear()
-        for work in self._line.drain():
-            self._handed += 1
-            work.handle.set(None)
+        for waiter in self._queue.drain():
+            self._assigned += 1
+            waiter.handle.set(None)
 
     @property
-    def _kept(self) -> int:
-        return self.share.kept if self.is_kept else 0
+    def _max_kept(self) -> int:
+        return self.share.kept if self.is_idle_kept else 0
 
-    def _take_idle(self, session: SessionState) -> PooledSession | None:
+    def _pop_idle(self, session: SessionState) -> PooledSession | None:
         while self._idle:
-            conn = self._pick(session)
+            conn = self._pop_matching(session)
             if conn.is_usable:
                 conn.since = self._clock.now()
                 return conn
-            self._drop(conn)
+            self._close_connection(conn)
         return None
 
-    def _pick(self, session: SessionState) -> PooledSession:
+    def _pop_matching(self, session: SessionState) -> PooledSession:
         for i in range(len(self._idle) - 1, -1, -1):
             if self._idle[i].state.fits(session):
                 return self._idle.pop(i)
@@ -300,83 +300,87 @@
             return dialled
         if timeout_s >= DIAL_TIMEOUT_S or not _is_timeout(failure):
             self.health.on_unreachable(now)
-            self._wake_all()
+            self._wake_waiters()
         # Nothing of the caller's was sent.
         return Failed(NoUpstream(f'{failure.code} {failure.detail}'))
 
-    def _warm(self) -> None:
+    def _open_ahead(self) -> None:
         dialled = self._dial(self._clock.now() + DIAL_TIMEOUT_S)
         if isinstance(dialled, Success):
             self.release(dialled.unwrap())
 
-    def _wake_all(self) -> None:
+    def _wake_waiters(self) -> None:
         """Let waiting work try again, so that it fails at once."""
         if self._open:
             return
-        for work in self._line.drain():
-            self._handed += 1
-            work.handle.set(None)
+        for waiter in self._queue.drain():
+            self._assigned += 1
+            waiter.handle.set(None)
 
     @property
     def _has_room(self) -> bool:
         """Whether one statement more may be sent to the member."""
-        return self.health.in_flight + self._handed < self.flight.value
+        return (
+            self.health.in_flight + self._assigned < self.in_flight_limit.value
+        )
 
-    def _join(
+    def _enqueue(
         self, priority: int, turn_by: float, now: float
     ) -> WaitingWork | None:
         """Wait for a turn; ``None`` where it would come too late."""
         if self._has_room:
-            servers, hold_s = self._open, self._line.hold_s
+            servers, hold_s = self._open, self._queue.hold_s
         else:
-            servers = self.flight.value
+            servers = self.in_flight_limit.value
             hold_s = self.health.expected_s(now)
-        return self._line.join(
+        return self._queue.join(
             priority, turn_by, now, servers, hold_s, AsyncResult()
         )
 
-    def _wait(
+    def _wait_for_retry(
         self, priority: int, deadline: float, wait_s: float
     ) -> PooledSession | None:
         now = self._clock.now()
-        work = self._line.join(
-            priority, deadline, now, 1, self._line.hold_s, AsyncResult()
+        waiter = self._queue.join(
+            priority, deadline, now, 1, self._queue.hold_s, AsyncResult()
         )
-        if work is None:
+        if waiter is None:
             return None
-        return self._await(work, wait_s)
+        return self._wait_for_turn(waiter, wait_s)
 
-    def _await(self, work: WaitingWork, wait_s: float) -> PooledSession | None:
+    def _wait_for_turn(
+        self, waiter: WaitingWork, wait_s: float
+    ) -> PooledSession | None:
         try:
-            conn = work.handle.get(timeout=wait_s)
+            conn = waiter.handle.get(timeout=wait_s)
         except Timeout:
-            if not work.is_done:
-                self._line.leave(work)
+            if not waiter.is_done:
+                self._queue.leave(waiter)
                 return None
             # Its turn came in the same moment.
-            conn = work.handle.get()
+            conn = waiter.handle.get()
         except gevent.GreenletExit:
-            self._give_up(work)
+            self._abandon(waiter)
             raise
-        self._handed -= 1
+        self._assigned -= 1
         return conn
 
-    def _give_up(self, work: WaitingWork) -> None:
+    def _abandon(self, waiter: WaitingWork) -> None:
         """Let nothing be lost that was handed to work that has ended."""
-        if not work.is_done:
-            self._line.leave(work)
+        if not waiter.is_done:
+            self._queue.leave(waiter)
             return
-        self._handed -= 1
-        conn = work.handle.get()
+        self._assigned -= 1
+        conn = waiter.handle.get()
         if conn is None:
-            self.serve_line()
+            self.serve_queue()
         else:
             self.release(conn)
 
-    def _drop(self, conn: PooledSession) -> None:
+    def _close_connection(self, conn: PooledSession) -> None:
         conn.close()
         self._open -= 1
-        self.serve_line()
+        self.serve_queue()
 
 
 def _failure_of(result: Result) -> Failure | None:
--- a/packages/node/src/trefoilpulley_node/proxy/member_prober.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_prober.py
@@ -16,7 +16,7 @@
 from trefoilpulley_core.proxy.upstream_session import OpenTransaction
 from trefoilpulley_core.proxy.upstream_session import ResumeReplication
 from trefoilpulley_core.proxy.upstream_session import RollBack
-from trefoilpulley_node.proxy.exchange import prove
+from trefoilpulley_node.proxy.exchange import record_proof
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -36,13 +36,13 @@
 PROBE_TIMEOUT_S = 0.25
 """Longest time of a question to a member, in seconds."""
 
-LAST_STATUS_S = 0.06
+LAST_STATUS_TIMEOUT_S = 0.06
 """Wait for the last member once most have answered, in seconds."""
 
-STATUS_TRIES = 4
+MAX_STATUS_ATTEMPTS = 4
 """Times that a member without a free slot is asked for its status."""
 
-STATUS_PAUSE_S = 0.03
+STATUS_RETRY_INTERVAL_S = 0.03
 """Pause before a busy member is asked again, in seconds."""
 
 _NO_VALUES = SessionState()
@@ -69,21 +69,21 @@
         self._dialer = dialer
         self._clock = clock
 
-    def prove_lead(self, group: Group, member: str) -> bool:
+    def verify_leader(self, group: Group, member: str) -> bool:
         """Return whether a member proves to lead, and note it."""
         sent_at = self._clock.now()
-        opened = self._ask(
+        reply = self._send(
             group, member, (OpenTransaction(is_read_only=False), RollBack())
         )
-        if opened is None or opened.failure is not None:
+        if reply is None or reply.failure is not None:
             return False
-        prove(group, group.pools[member], sent_at, opened.position)
+        record_proof(group, group.accesses[member], sent_at, reply.position)
         return True
 
     def find_leader(self, group: Group) -> bool:
         """Ask every member at once; return whether one leads."""
         asked = [
-            gevent.spawn(self.prove_lead, group, member)
+            gevent.spawn(self.verify_leader, group, member)
             for member in group.state.members
         ]
         for _ in gevent.iwait(asked, timeout=PROBE_TIMEOUT_S):
@@ -91,19 +91,19 @@
                 return True
         return group.state.primary is not None
 
-    def reach(self, group: Group, member: str) -> bool:
+    def can_connect(self, group: Group, member: str) -> bool:
         """Return whether a member takes a new connection."""
-        pool = group.pool_of(member)
-        if pool is None:
+        access = group.find_access(member)
+        if access is None:
             return False
-        dialled = self._dialer.dial(pool.health.record, PROBE_TIMEOUT_S)
+        dialled = self._dialer.dial(access.health.record, PROBE_TIMEOUT_S)
         now = self._clock.now()
         if isinstance(dialled, Success):
             dialled.unwrap().close()
-            pool.health.on_answer(now, pool.health.position)
+            access.health.on_answer(now, access.health.position)
             return True
         if isinstance(dialled.failure(), ConnectionLimitReached):
-            pool.health.on_answer(now, pool.health.position)
+            access.health.on_answer(now, access.health.position)
             return True
         return False
 
@@ -114,18 +114,18 @@
         call: AskStatus | HoldReplication = _ASK_STATUS,
     ) -> LogStatus | None:
         """Return what a member says of its log, or ``None``."""
-        for _ in range(STATUS_TRIES):
-            reply = self._ask(group, member, (call,))
+        for _ in range(MAX_STATUS_ATTEMPTS):
+            reply = self._send(group, member, (call,))
             if reply is None:
                 return None
             if reply.status is not None:
                 return reply.status
             if not isinstance(reply.failure, Overloaded):
                 return None
-            gevent.sleep(STATUS_PAUSE_S)
+            gevent.sleep(STATUS_RETRY_INTERVAL_S)
         return None
 
-    def hold(
+    def pause_replication(
         self, group: Group, statuses: Mapping[str, LogStatus]
     ) -> dict[str, LogStatus]:
         """Stop the replicas from receiving; return how far they got.
@@ -138,10 +138,10 @@
             group, tuple(statuses), HoldReplication(term)
         )
 
-    def resume(self, group: Group, members: Iterable[str]) -> None:
+    def resume_replication(self, group: Group, members: Iterable[str]) -> None:
         """Let replicas receive again after a change was abandoned."""
         for member in members:
-            gevent.spawn(self._ask, group, member, (ResumeReplication(),))
+            gevent.spawn(self._send, group, member, (ResumeReplication(),))
 
     def read_statuses(
         self,
@@ -161,31 +161,31 @@
             answers += done.value is not None
             if answers >= enough:
                 break
-        gevent.joinall(list(asked.values()), timeout=LAST_STATUS_S)
+        gevent.joinall(list(asked.values()), timeout=LAST_STATUS_TIMEOUT_S)
         found = {m: g.value for m, g in asked.items()}
         gevent.killall(list(asked.values()), block=False)
         return {m: s for m, s in found.items() if s is not None}
 
     def demote(self, group: Group, member: str, term: int) -> LogStatus | None:
         """Make a primary of a lower term a replica."""
-        reply = self._ask(group, member, (Demote(term),))
+        reply = self._send(group, member, (Demote(term),))
         return reply.status if reply else None
 
-    def _ask(
+    def _send(
         self, group: Group, member: str, calls: tuple[Call, ...]
     ) -> Reply | None:
-        pool = group.pool_of(member)
-        if pool is None:
+        access = group.find_access(member)
+        if access is None:
             return None
         deadline = self._clock.now() + PROBE_TIMEOUT_S
-        lent = pool.acquire(PROBE_PRIORITY, deadline, _NO_VALUES)
-        if not isinstance(lent, Success):
+        acquired = access.acquire(PROBE_PRIORITY, deadline, _NO_VALUES)
+        if not isinstance(acquired, Success):
             return None
-        conn = lent.unwrap()
+        conn = acquired.unwrap()
         try:
-            done = self._exchanger.exchange(pool, conn, calls, deadline)
+            done = self._exchanger.exchange(access, conn, calls, deadline)
         except gevent.GreenletExit:
-            pool.discard(conn)
+            access.discard(conn)
             raise
-        pool.release(conn)
+        access.release(conn)
         return done.unwrap()[0] if isinstance(done, Success) else None
--- a/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
@@ -37,16 +37,16 @@
 after its return.
 """
 
-PROOF_S = 0.6
+WATCH_STABLE_S = 0.6
 """Time for which a new watch must hold to count as in force, in seconds.
 
 Longer than a connection takes to fail.
 """
 
-FIRST_BACKOFF_S = 0.2
+MIN_BACKOFF_S = 0.2
 """Pause after the first failure of the service, in seconds."""
 
-LAST_BACKOFF_S = 1.0
+MAX_BACKOFF_S = 1.0
 """Longest pause between two tries to reach the service, in seconds."""
 
 
@@ -86,11 +86,11 @@
         self._clock = clock
         self._revisions: dict[str, int] = {}
         self._hosts: dict[str, HostEntry] = {}
-        self._removals: dict[str, float] = {}
+        self._removals_due: dict[str, float] = {}
         self._unreadable: set[str] = set()
         self._greenlet: gevent.Greenlet | None = None
         self._watch: Watch | None = None
-        self._broken = Event()
+        self._watch_failed = Event()
         self._failure: Failure | None = None
         self.is_following = False
         """Whether a watch is in force."""
@@ -114,19 +114,19 @@
         if self._watch is not None:
             self._watch.cancel()
 
-    def tick(self) -> None:
+    def remove_expired(self) -> None:
         """Forget the members whose grace is over."""
         now = self._clock.now()
-        for member, at in list(self._removals.items()):
+        for member, at in list(self._removals_due.items()):
             if now >= at:
-                del self._removals[member]
+                del self._removals_due[member]
                 self._directory.remove_member(member)
 
     def _run(self) -> None:
-        backoff_s = FIRST_BACKOFF_S
+        backoff_s = MIN_BACKOFF_S
         is_synchronized = False
         while True:
-            self._broken.clear()
+            self._watch_failed.clear()
             self._failure = None
             self._watch = self._platform.watch(
                 '', self._on_change, self._on_failure
@@ -135,23 +135,23 @@
                 is_synchronized = self._synchronize()
                 self.is_synchronized |= is_synchronized
             if self._failure is None and is_synchronized:
-                if not self._broken.wait(timeout=PROOF_S):
-                    self._show_following(True)
-                    backoff_s = FIRST_BACKOFF_S
-                    self._broken.wait()
+                if not self._watch_failed.wait(timeout=WATCH_STABLE_S):
+                    self._set_following(True)
+                    backoff_s = MIN_BACKOFF_S
+                    self._watch_failed.wait()
             self._watch.cancel()
             if isinstance(self._failure, WatchExpired):
                 is_synchronized = False
                 continue
-            self._show_following(False)
+            self._set_following(False)
             gevent.sleep(backoff_s)
-            backoff_s = min(LAST_BACKOFF_S, 2 * backoff_s)
+            backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
     def _on_failure(self, failure: Failure) -> None:
         self._failure = failure
-        self._broken.set()
+        self._watch_failed.set()
 
-    def _show_following(self, is_following: bool) -> None:
+    def _set_following(self, is_following: bool) -> None:
         if is_following == self.is_following:
             return
         self.is_following = is_following
@@ -197,18 +197,20 @@
         if isinstance(read, Success):
             self._directory.set_routes(read.unwrap())
         else:
-            self._refuse(entry, read.failure())
+            self._log_unreadable(entry, read.failure())
 
     def _on_member(self, entry: KeyValue) -> None:
         member = entry.key.removeprefix(self._documents.members_prefix)
         if entry.value:
             read = self._documents.read_member(entry.key, entry.value)
             if isinstance(read, Success):
-                self._removals.pop(member, None)
+                self._removals_due.pop(member, None)
                 self._directory.set_member(read.unwrap())
                 return
-            self._refuse(entry, read.failure())
-        self._removals.setdefault(member, self._clock.now() + REMOVAL_GRACE_S)
+            self._log_unreadable(entry, read.failure())
+        self._removals_due.setdefault(
+            member, self._clock.now() + REMOVAL_GRACE_S
+        )
 
     def _on_host(self, entry: KeyValue) -> None:
         name = entry.key.removeprefix(HOST_PREFIX)
@@ -218,7 +220,7 @@
         else:
             self._hosts.pop(name, None)
             if read is not None:
-                self._refuse(entry, read.failure())
+                self._log_unreadable(entry, read.failure())
         self._on_hosts(tuple(self._hosts.values()))
 
     def _on_claim_entry(self, entry: KeyValue) -> None:
@@ -227,9 +229,9 @@
             group = entry.key.removeprefix(CLAIM_PREFIX)
             self._on_claim(group, read.unwrap(), entry.mod_revision)
         else:
-            self._refuse(entry, read.failure())
+            self._log_unreadable(entry, read.failure())
 
-    def _refuse(self, entry: KeyValue, failure: Failure) -> None:
+    def _log_unreadable(self, entry: KeyValue, failure: Failure) -> None:
         if entry.key in self._unreadable:
             return
         self._unreadable.add(entry.key)
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -28,7 +28,7 @@
     from trefoilpulley_core.proxy.succession import ReachReport
     from trefoilpulley_core.proxy.upstream_session import LogStatus
     from trefoilpulley_node.peers import Peers
-    from trefoilpulley_node.proxy.claims import ClaimBook
+    from trefoilpulley_node.proxy.claims import ClaimStore
     from trefoilpulley_node.proxy.directory import Group
     from trefoilpulley_node.proxy.host_vote import HostVote
     from trefoilpulley_node.proxy.member_prober import MemberProber
@@ -37,28 +37,28 @@
 NOTICE_TIMEOUT_S = 0.35
 """Longest time to tell another host who leads, in seconds."""
 
-PROMOTION_S = 0.8
+EXPECTED_PROMOTION_S = 0.8
 """Time that the platform takes to carry out a promotion, with slack."""
 
-ORDER_TRIES = 4
+MAX_ORDER_ATTEMPTS = 4
 """Times that an order without an answer is sent."""
 
-CATCH_UP_S = 1.5
+CATCH_UP_TIMEOUT_S = 1.5
 """Longest wait for the next primary to have the whole log, in seconds."""
 
-RESPITE_S = 1.1
+CLAIM_HOLDER_TIMEOUT_S = 1.1
 """Time that the host with the claim has before another one acts."""
 
-LEAD_POLL_S = 0.03
+LEAD_POLL_INTERVAL_S = 0.03
 """Pause between two questions whether the new primary leads."""
 
 LEAD_TIMEOUT_S = 1.5
 """Time after which a promotion that shows no effect is ordered anew."""
 
-KEPT_PAUSE_S = 0.7
+FAILOVER_BACKOFF_S = 0.7
 """Pause after most hosts still reached a primary missed here."""
 
-DEMOTE_AFTER_S = 0.42
+DEMOTION_DELAY_S = 0.42
 """Time from the order until the leaving primary is demoted.
 
 The platform takes some hundred ms more to finish, in which the last
@@ -77,7 +77,7 @@
         Asks the members.
     vote : HostVote
         Asks the other hosts.
-    claims : ClaimBook
+    claims : ClaimStore
         Claims of the groups.
     promotions : PromotionService
         Orders promotions.
@@ -101,7 +101,7 @@
         host: str,
         prober: MemberProber,
         vote: HostVote,
-        claims: ClaimBook,
+        claims: ClaimStore,
         promotions: PromotionService,
         peers: Peers,
         registered_hosts: Callable[[], Mapping[str, str]],
@@ -117,13 +117,13 @@
         self._claims = claims
         self._promotions = promotions
         self._peers = peers
-        self._registered = registered_hosts
+        self._registered_hosts = registered_hosts
         self._groups = groups
         self._holder_id = holder_id
         self._clock = clock
-        self._kept_until: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
 
-    def replace(self, group: Group, lost: str | None) -> None:
+    def fail_over(self, group: Group, lost_primary: str | None) -> None:
         """Promote another member where most hosts miss the primary.
 
         Parameters
@@ -137,38 +137,47 @@
         state = group.state
         if now < state.change_due_at:
             return
-        if now < self._kept_until.get(state.group, now):
+        if now < self._backoff_until.get(state.group, now):
             return
         after_round = self._claims.last_round(state.group)
         if not self._wait_turn(group, after_round, is_service_out=False):
             return
-        asked = gevent.spawn(self._vote.ask, group, lost)
-        statuses = self._prober.read_statuses(group, state.others(lost))
+        asked = gevent.spawn(self._vote.collect_reports, group, lost_primary)
+        statuses = self._prober.read_statuses(
+            group, state.others(lost_primary)
+        )
         reports = asked.get()
-        if lost and not self._vote.is_lost(group, lost, reports, True):
-            self._keep(group, lost, reports)
+        if lost_primary and not self._vote.is_lost(
+            group, lost_primary, reports, True
+        ):
+            self._keep_primary(group, lost_primary, reports)
             return
-        if self._has_leader(group, lost, statuses):
+        if self._has_leader(group, lost_primary, statuses):
             return
         if not sees_enough(
-            len(state.members), len(statuses), reports, self._vote.jury(group)
+            len(state.members),
+            len(statuses),
+            reports,
+            self._vote.voters(group),
         ):
-            self._pause(group)
+            self._back_off(group)
             return
         target = choose_target(state, statuses)
         if target is None:
             return
-        round_number = self._take_round(group, after_round, target)
+        round_number = self._claim_round(group, after_round, target)
         if round_number is None:
-            round_number = self._go_on_alone(
-                group, after_round, target, lost, reports
+            round_number = self._claim_without_service(
+                group, after_round, target, lost_primary, reports
             )
         if round_number is not None and group.synchronous_replicas:
-            target = self._choose_held(group, lost, statuses)
+            target = self._choose_complete_replica(
+                group, lost_primary, statuses
+            )
         if round_number is None or target is None:
-            self._pause(group)
+            self._back_off(group)
         else:
-            self._change(group, target, round_number, None)
+            self._promote(group, target, round_number, None)
 
     def hand_over(self, group: Group, leaving: str) -> None:
         """Move the lead away from a primary that is about to stop."""
@@ -181,41 +190,41 @@
         if state.primary != leaving:
             return
         statuses = self._prober.read_statuses(group, tuple(state.members))
-        old = statuses.pop(leaving, None)
+        old_status = statuses.pop(leaving, None)
         staying = {
             m: s
             for m, s in statuses.items()
             if m in state.members and not state.members[m].record.is_leaving
         }
         target = choose_target(state, staying)
-        if target is None or old is None:
+        if target is None or old_status is None:
             return
-        round_number = self._take_round(group, after_round, target)
+        round_number = self._claim_round(group, after_round, target)
         if round_number is None:
             return
         if not group.synchronous_replicas:
-            self._change(group, target, round_number, (leaving, old))
-        elif self._catch_up(group, leaving, old, target):
-            self._change(group, target, round_number, None)
+            self._promote(group, target, round_number, (leaving, old_status))
+        elif self._demote_and_catch_up(group, leaving, old_status, target):
+            self._promote(group, target, round_number, None)
 
     def on_leader_notice(self, notice: LeaderNotice) -> LeaderNotice:
         """Ask a member that another host says leads; return the notice."""
-        self._claims.raise_round(notice.group, notice.round)
+        self._claims.advance_round(notice.group, notice.round)
         group = self._groups.get(notice.group)
         if group is not None and group.state.primary != notice.member:
-            self._prober.prove_lead(group, notice.member)
+            self._prober.verify_leader(group, notice.member)
         return notice
 
-    def _pause(self, group: Group) -> None:
+    def _back_off(self, group: Group) -> None:
         """Leave a group alone for a while; nobody need wait for it."""
-        until = self._clock.now() + KEPT_PAUSE_S
-        self._kept_until[group.state.group] = until
-        group.state.hopeless_until = until
+        deadline = self._clock.now() + FAILOVER_BACKOFF_S
+        self._backoff_until[group.state.group] = deadline
+        group.state.hopeless_until = deadline
 
-    def _choose_held(
+    def _choose_complete_replica(
         self,
         group: Group,
-        lost: str | None,
+        lost_primary: str | None,
         statuses: dict[str, LogStatus],
     ) -> str | None:
         """Return the member to promote where replicas confirm commits.
@@ -224,31 +233,31 @@
         hold that another host ended would let a commit slip by.
         """
         synchronous = group.synchronous_replicas
-        held = self._prober.hold(group, statuses)
+        paused_statuses = self._prober.pause_replication(group, statuses)
         replicas = len(group.state.members) - 1
-        if holds_every_commit(replicas, len(held), synchronous):
-            return choose_target(group.state, held)
-        self._prober.resume(group, statuses)
+        if holds_every_commit(replicas, len(paused_statuses), synchronous):
+            return choose_target(group.state, paused_statuses)
+        self._prober.resume_replication(group, statuses)
         events.PRIMARY_KEPT.log(
             group=group.state.group,
-            member=lost,
+            member=lost_primary,
             replicas=replicas,
-            answering=len(held),
+            answering=len(paused_statuses),
             synchronous=synchronous,
         )
         return None
 
-    def _catch_up(
-        self, group: Group, leaving: str, old: LogStatus, target: str
+    def _demote_and_catch_up(
+        self, group: Group, leaving: str, old_status: LogStatus, target: str
     ) -> bool:
         """Demote a leaving primary and wait until the next has its log."""
-        demoted = self._demote_now(group, leaving, old)
-        until = self._clock.now() + CATCH_UP_S
-        while demoted is not None and self._clock.now() < until:
+        demoted = self._demote_member(group, leaving, old_status)
+        deadline = self._clock.now() + CATCH_UP_TIMEOUT_S
+        while demoted is not None and self._clock.now() < deadline:
             status = self._prober.read_status(group, target)
             if status is not None and status.received >= demoted.received:
                 return True
-            gevent.sleep(LEAD_POLL_S)
+            gevent.sleep(LEAD_POLL_INTERVAL_S)
         return False
 
     def _wait_turn(
@@ -257,7 +266,7 @@
         """Give the hosts before this one their head start."""
         state = group.state
         delay_s = act_delay_s(
-            state.group, self._host, self._registered(), is_service_out
+            state.group, self._host, self._registered_hosts(), is_service_out
         )
         gevent.sleep(delay_s)
         if self._claims.last_round(state.group) != after_round:
@@ -265,35 +274,38 @@
         return self._clock.now() >= state.change_due_at
 
     def _has_leader(
-        self, group: Group, lost: str | None, statuses: dict[str, LogStatus]
+        self,
+        group: Group,
+        lost_primary: str | None,
+        statuses: dict[str, LogStatus],
     ) -> bool:
         """Return whether a member leads after all."""
-        health = group.state.members.get(lost or '')
+        health = group.state.members.get(lost_primary or '')
         if health is not None and health.failing_since is None:
             return True
         return any(
-            s.is_primary and self._prober.prove_lead(group, m)
+            s.is_primary and self._prober.verify_leader(group, m)
             for m, s in statuses.items()
         )
 
-    def _keep(
-        self, group: Group, lost: str, reports: Sequence[ReachReport]
+    def _keep_primary(
+        self, group: Group, lost_primary: str, reports: Sequence[ReachReport]
     ) -> None:
-        self._pause(group)
+        self._back_off(group)
         events.PRIMARY_KEPT.log(
             group=group.state.group,
-            member=lost,
+            member=lost_primary,
             missed_by=1 + sum(1 for r in reports if not r.is_reached),
             reached_by=sum(1 for r in reports if r.is_reached),
-            hosts=len(self._vote.jury(group)),
+            hosts=len(self._vote.voters(group)),
         )
 
-    def _change(
+    def _promote(
         self,
         group: Group,
         target: str,
         round_number: int,
-        old: tuple[str, LogStatus] | None,
+        old_status: tuple[str, LogStatus] | None,
     ) -> None:
         """Order one promotion and see it through.
 
@@ -302,41 +314,41 @@
         """
         state = group.state
         began_at = self._clock.now()
-        if not self._order(group, target, round_number):
+        if not self._order_promotion(group, target, round_number):
             return
-        state.change_due_at = self._clock.now() + PROMOTION_S
-        if old is not None:
-            self._demote(group, *old)
-        is_over = self._await_lead(group, target)
-        cause = 'lost' if old is None else 'leaving'
-        outcome = 'over' if is_over else 'no-effect'
+        state.change_due_at = self._clock.now() + EXPECTED_PROMOTION_S
+        if old_status is not None:
+            self._demote_after_delay(group, *old_status)
+        has_taken_effect = self._wait_for_lead(group, target)
+        cause = 'lost' if old_status is None else 'leaving'
+        outcome = 'over' if has_taken_effect else 'no-effect'
         self._metrics.count('primary_changes', cause, outcome)
-        if is_over:
+        if has_taken_effect:
             took_s = self._clock.now() - began_at
             events.CHANGE_OVER.log(
                 group=state.group, member=target, took_ms=round(1000 * took_s)
             )
-            self._tell_hosts(group, target, round_number)
+            self._announce_leader(group, target, round_number)
         state.change_due_at = float('-inf')
 
-    def _tell_hosts(
+    def _announce_leader(
         self, group: Group, member: str, round_number: int
     ) -> None:
         """Let the hosts that can't see the service know the leader."""
         notice = LeaderNotice(group.state.group, member, round_number)
-        for host in self._registered():
+        for host in self._registered_hosts():
             if host != self._host:
                 gevent.spawn(
                     self._peers.call_host, host, notice, NOTICE_TIMEOUT_S
                 )
 
-    def _take_round(
+    def _claim_round(
         self, group: Group, after_round: int, target: str
     ) -> int | None:
         """Claim the change; ``None`` where another acts or none can say."""
         name = group.state.group
-        taken = self._claims.take(name, after_round, target)
-        failure = None if isinstance(taken, Success) else taken.failure()
+        claimed = self._claims.try_claim(name, after_round, target)
+        failure = None if isinstance(claimed, Success) else claimed.failure()
         events.CHANGE_CLAIMED.log(
             group=name,
             target=target,
@@ -344,18 +356,20 @@
             failure=failure.code if failure else None,
         )
         if failure is None:
-            return taken.unwrap()
+            return claimed.unwrap()
         if isinstance(failure, RevisionConflict):
             # Another host acts; give it the time to finish.
-            group.state.change_due_at = self._clock.now() + RESPITE_S
+            group.state.change_due_at = (
+                self._clock.now() + CLAIM_HOLDER_TIMEOUT_S
+            )
         return None
 
-    def _go_on_alone(
+    def _claim_without_service(
         self,
         group: Group,
         after_round: int,
         target: str,
-        lost: str | None,
+        lost_primary: str | None,
         reports: Sequence[ReachReport],
     ) -> int | None:
         """Return a round of this side's own while the service is out.
@@ -363,35 +377,44 @@
         Only the side with most of all hosts may, one host after the
         other, and only while no member has come to lead meanwhile.
         """
-        if self._clock.now() < group.state.change_due_at or lost is None:
+        if (
+            self._clock.now() < group.state.change_due_at
+            or lost_primary is None
+        ):
             return None
-        if not self._vote.is_lost(group, lost, reports, is_claimed=False):
+        if not self._vote.is_lost(
+            group, lost_primary, reports, is_claimed=False
+        ):
             return None
         if not self._wait_turn(group, after_round, is_service_out=True):
             return None
-        if self._prober.reach(group, lost) or self._leads_now(group):
+        if self._prober.can_connect(
+            group, lost_primary
+        ) or self._has_leading_member(group):
             return None
         name = group.state.group
-        self._claims.raise_round(name, after_round + 1)
+        self._claims.advance_round(name, after_round + 1)
         events.CHANGE_CLAIMED.log(
             group=name, target=target, round=after_round + 1, failure='alone'
         )
         return after_round + 1
 
-    def _leads_now(self, group: Group) -> bool:
+    def _has_leading_member(self, group: Group) -> bool:
         return any(
-            self._prober.prove_lead(group, m)
+            self._prober.verify_leader(group, m)
             for m in tuple(group.state.members)
         )
 
-    def _order(self, group: Group, target: str, round_number: int) -> bool:
+    def _order_promotion(
+        self, group: Group, target: str, round_number: int
+    ) -> bool:
         """Order a promotion; return whether it may have been taken."""
         holder_id = self._holder_id()
         if holder_id is None:
             return False
         name = group.state.group
         token = fencing_token(round_number, holder_id)
-        for _ in range(ORDER_TRIES):
+        for _ in range(MAX_ORDER_ATTEMPTS):
             # The same order again is harmless: once it is carried out, a
             # late repeat finds the member leading, or a higher token.
             done = self._promotions.promote(name, target, self._host, token)
@@ -406,31 +429,33 @@
             detail=failure.detail if failure else None,
         )
         if isinstance(failure, PromotionRefused):
-            self._claims.raise_round(name, round_number)
+            self._claims.advance_round(name, round_number)
         return failure is None or isinstance(failure, PlatformAnswerLost)
 
-    def _demote(self, group: Group, leaving: str, old: LogStatus) -> None:
-        gevent.sleep(DEMOTE_AFTER_S)
+    def _demote_after_delay(
+        self, group: Group, leaving: str, old_status: LogStatus
+    ) -> None:
+        gevent.sleep(DEMOTION_DELAY_S)
         if group.state.primary == leaving:
-            self._demote_now(group, leaving, old)
+            self._demote_member(group, leaving, old_status)
 
-    def _demote_now(
-        self, group: Group, leaving: str, old: LogStatus
+    def _demote_member(
+        self, group: Group, leaving: str, old_status: LogStatus
     ) -> LogStatus | None:
-        demoted = self._prober.demote(group, leaving, old.term + 1)
+        demoted = self._prober.demote(group, leaving, old_status.term + 1)
         events.HANDOVER_STEP.log(
             group=group.state.group,
             step='demote',
             member=leaving,
-            term=old.term + 1,
+            term=old_status.term + 1,
             received=str(demoted.received) if demoted else None,
         )
         return demoted
 
-    def _await_lead(self, group: Group, target: str) -> bool:
-        until = self._clock.now() + LEAD_TIMEOUT_S
-        while self._clock.now() < until:
-            if self._prober.prove_lead(group, target):
+    def _wait_for_lead(self, group: Group, target: str) -> bool:
+        deadline = self._clock.now() + LEAD_TIMEOUT_S
+        while self._clock.now() < deadline:
+            if self._prober.verify_leader(group, target):
                 return True
-            gevent.sleep(LEAD_POLL_S)
+            gevent.sleep(LEAD_POLL_INTERVAL_S)
         return False
--- a/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
@@ -13,27 +13,27 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.work import Work
+    from trefoilpulley_node.proxy.work import StatementRequest
 
-FAILOVER_S = 1.3
+EXPECTED_FAILOVER_S = 1.3
 """Time from the loss of a primary to the lead of the next, in seconds.
 
 Detection, agreement and the platform's promotion together.
 """
 
-SEARCH_S = 0.15
+EXPECTED_SEARCH_S = 0.15
 """Time to find a primary that moved, in seconds."""
 
-LOST_AFTER_S = 0.1
+LOST_TIMEOUT_S = 0.1
 """Time without an answer after a failure that makes a primary lost."""
 
-LEAVING_WORK_S = 5.0
+MAX_LEAVING_S = 5.0
 """Time for which a leaving primary takes new work, in seconds.
 
 A handover takes less than a second; two may fail before.
 """
 
-RUN_SHARE = 0.15
+RUN_TIME_FACTOR = 0.15
 """Part of a statement's time that is kept for running it."""
 
 
@@ -57,10 +57,10 @@
             return True
         now = self._clock.now()
         leaving = health.leaving_since
-        if leaving is not None and now - leaving > LEAVING_WORK_S:
+        if leaving is not None and now - leaving > MAX_LEAVING_S:
             return True
         failing = health.failing_since
-        return failing is not None and now - failing > LOST_AFTER_S
+        return failing is not None and now - failing > LOST_TIMEOUT_S
 
     def is_serving(self, group: Group) -> bool:
         """Return whether the primary answers, so that no other comes."""
@@ -70,22 +70,25 @@
             return False
         return not self.is_lost(group)
 
-    def wait(self, work: Work) -> bool:
+    def wait(self, request: StatementRequest) -> bool:
         """Wait for a primary; false where it would come too late."""
         now = self._clock.now()
-        if now < work.group.state.hopeless_until:
+        if now < request.group.state.hopeless_until:
             return False
-        spare_s = RUN_SHARE * (work.deadline - work.arrived_at)
-        latest = work.deadline - spare_s
-        if self._due_at(work.group, now) > latest:
+        spare_s = RUN_TIME_FACTOR * (request.deadline - request.arrived_at)
+        wait_until = request.deadline - spare_s
+        if self._expected_at(request.group, now) > wait_until:
             return False
-        return work.group.changed.wait(max(0.0, latest - now))
+        return request.group.primary_changed.wait(max(0.0, wait_until - now))
 
-    def _due_at(self, group: Group, now: float) -> float:
+    def _expected_at(self, group: Group, now: float) -> float:
         state = group.state
         if state.change_due_at > now:
             return state.change_due_at
         health = state.members.get(state.primary or '')
         if health is not None and health.failing_since is not None:
-            return max(now + SEARCH_S, health.failing_since + FAILOVER_S)
-        return now + SEARCH_S
+            return max(
+                now + EXPECTED_SEARCH_S,
+                health.failing_since + EXPECTED_FAILOVER_S,
+            )
+        return now + EXPECTED_SEARCH_S
--- a/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
@@ -22,60 +22,60 @@
     from trefoilpulley_node.proxy.primary_changer import PrimaryChanger
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
 
-TICK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 """Time between two looks at the primary, in seconds."""
 
-FAR_TICK_S = 0.4
+RELAY_CHECK_INTERVAL_S = 0.4
 """The same on a host that holds no connection to the group, in seconds.
 
 Whoever holds one looks at the primary; trouble with a statement wakes the
 watch at once.
 """
 
-SILENCE_S = 0.25
+SILENCE_TIMEOUT_S = 0.25
 """Silence of a primary with statements in flight that needs a look.
 
 Above the time of the slowest statement behind a full queue.
 """
 
-EVIDENCE_AGE_S = 0.4
+MAX_EVIDENCE_AGE_S = 0.4
 """Age at which evidence is renewed while the group is in use."""
 
-BORROW_AGE_S = 0.7
+EVIDENCE_REQUEST_AGE_S = 0.7
 """Age of the newest evidence at which other hosts are asked for theirs."""
 
-BORROW_PAUSE_S = 0.3
+EVIDENCE_REQUEST_INTERVAL_S = 0.3
 """Time between two questions for evidence, in seconds.
 
 Others may have none either, as long as nobody has written.
 """
 
-RELAYED_AGE_S = 0.8
+RELAY_EVIDENCE_REQUEST_AGE_S = 0.8
 """The same where the holders of the primary prove its lead, in seconds.
 
 Replies of holders bring evidence along; with one look more it stays below
 1.5 s, the least age that routes accept.
 """
 
-IN_USE_S = 2.0
+IN_USE_TIMEOUT_S = 2.0
 """Time after its last request for which a group counts as in use."""
 
-LEADERLESS_S = 0.4
+LEADERLESS_TIMEOUT_S = 0.4
 """Time without a leader, at members that answer, before one is chosen."""
 
-REVIVE_S = 0.4
+REPLICA_CHECK_INTERVAL_S = 0.4
 """Time between two questions to a replica that does not answer."""
 
-SEARCH_S = 0.5
+LEADER_SEARCH_INTERVAL_S = 0.5
 """Time between two searches for a leader through other hosts, in seconds.
 
 Its notice and its entry come without a search in most cases.
 """
 
-HOSTS_ASKED = 2
+MAX_HOSTS_PER_ROLE = 2
 """Holders, and voters, that are asked for a member together."""
 
-REPORT_S = 1.0
+LOG_INTERVAL_S = 1.0
 """Time between two log lines on one primary that is missed."""
 
 
@@ -119,14 +119,14 @@
         self._clock = clock
         self._greenlet: gevent.Greenlet | None = None
         self._leaderless_since: float | None = None
-        self._shown: str | None = None
+        self._reported_primary: str | None = None
         self._lost_at: float | None = None
-        self._acting: gevent.Greenlet | None = None
-        self._borrowing: gevent.Greenlet | None = None
-        self._reported_at = float('-inf')
+        self._change_greenlet: gevent.Greenlet | None = None
+        self._evidence_greenlet: gevent.Greenlet | None = None
+        self._logged_at = float('-inf')
         self._searched_at = float('-inf')
-        self._borrowed_at = float('-inf')
-        self._revived_at = float('-inf')
+        self._evidence_requested_at = float('-inf')
+        self._replicas_checked_at = float('-inf')
 
     def start(self) -> None:
         """Begin to watch."""
@@ -134,31 +134,39 @@
 
     def stop(self) -> None:
         """Stop to watch."""
-        for greenlet in (self._greenlet, self._acting, self._borrowing):
+        for greenlet in (
+            self._greenlet,
+            self._change_greenlet,
+            self._evidence_greenlet,
+        ):
             if greenlet is not None:
                 greenlet.kill(block=False)
 
     def _run(self) -> None:
         while True:
-            tick_s = FAR_TICK_S if self._is_far else TICK_S
-            self._group.attention.wait(timeout=tick_s)
-            self._group.attention.clear()
+            interval_s = (
+                RELAY_CHECK_INTERVAL_S
+                if self._is_relay_only
+                else CHECK_INTERVAL_S
+            )
+            self._group.check_requested.wait(timeout=interval_s)
+            self._group.check_requested.clear()
             try:
-                self._look()
+                self._check_primary()
             except Exception as exc:  # a fault here must not end the watch
                 events.HANDLER_CRASHED.log(
                     message='primary-watch', error=repr(exc)
                 )
             gevent.sleep(0.01)
 
-    def _look(self) -> None:
+    def _check_primary(self) -> None:
         state = self._group.state
-        self._show()
-        self._revive()
-        self._borrow_evidence()
+        self._report_primary()
+        self._check_failed_replicas()
+        self._request_evidence()
         health = state.members.get(state.primary or '')
         if health is None:
-            self._look_for_leader()
+            self._search_leader()
             return
         self._leaderless_since = None
         now = self._clock.now()
@@ -167,12 +175,12 @@
             self._on_suspect(health)
         elif health.record.is_leaving:
             member = health.record.member
-            self._act(self._changer.hand_over, self._group, member)
+            self._spawn_change(self._changer.hand_over, self._group, member)
         elif self._is_evidence_due(now):
-            self._prober.prove_lead(self._group, health.record.member)
+            self._prober.verify_leader(self._group, health.record.member)
 
-    def _look_for_leader(self) -> None:
-        if not self._group.state.members or not self._may_search():
+    def _search_leader(self) -> None:
+        if not self._group.state.members or not self._is_search_allowed():
             return
         if self._prober.find_leader(self._group):
             self._leaderless_since = None
@@ -180,101 +188,115 @@
         now = self._clock.now()
         if self._leaderless_since is None:
             self._leaderless_since = now
-        if now - self._leaderless_since > LEADERLESS_S:
-            self._act(self._changer.replace, self._group, None)
+        if now - self._leaderless_since > LEADERLESS_TIMEOUT_S:
+            self._spawn_change(self._changer.fail_over, self._group, None)
 
-    def _may_search(self) -> bool:
+    def _is_search_allowed(self) -> bool:
         """Return whether to ask the members now which one leads."""
         now = self._clock.now()
-        if self._is_far and now - self._searched_at < SEARCH_S:
+        if (
+            self._is_relay_only
+            and now - self._searched_at < LEADER_SEARCH_INTERVAL_S
+        ):
             return False
         self._searched_at = now
         return True
 
-    def _reach(self, member: str) -> bool:
+    def _is_member_reachable(self, member: str) -> bool:
         """Return whether a member answers, at the least cost to it."""
-        access = self._group.pool_of(member)
-        jury = list(self._vote.jury(self._group))
+        access = self._group.find_access(member)
+        voters = list(self._vote.voters(self._group))
         if access is None or not access.is_relayed:
-            return self._prober.reach(self._group, member)
-        asked = {*access.holders[:HOSTS_ASKED], *jury[:HOSTS_ASKED]}
-        if not self._vote.is_reached(self._group, member, sorted(asked)):
+            return self._prober.can_connect(self._group, member)
+        hosts = {
+            *access.holders[:MAX_HOSTS_PER_ROLE],
+            *voters[:MAX_HOSTS_PER_ROLE],
+        }
+        if not self._vote.is_reached(self._group, member, sorted(hosts)):
             return False
         access.health.on_answer(self._clock.now(), access.health.position)
         return True
 
     def _on_suspect(self, health: MemberHealth) -> None:
         member = health.record.member
-        if self._reach(member):
+        if self._is_member_reachable(member):
             return
         now = self._clock.now()
         if health.failing_since is None:
             health.on_unreachable(now)
-        if now - self._reported_at > REPORT_S:
-            self._reported_at = now
+        if now - self._logged_at > LOG_INTERVAL_S:
+            self._logged_at = now
             events.PRIMARY_MISSED.log(
                 group=self._group.state.group,
                 member=member,
                 failing_ms=round(1000 * (now - health.failing_since)),
             )
-        self._act(self._changer.replace, self._group, member)
+        self._spawn_change(self._changer.fail_over, self._group, member)
         if self._group.state.primary == member:
             self._prober.find_leader(self._group)
 
-    def _act(self, change: Callable[..., None], *arguments: Any) -> None:
+    def _spawn_change(
+        self, change: Callable[..., None], *arguments: Any
+    ) -> None:
         """Run a change beside the watch, one at a time."""
-        if self._acting is None or self._acting.ready():
-            self._acting = gevent.spawn(change, *arguments)
+        if self._change_greenlet is None or self._change_greenlet.ready():
+            self._change_greenlet = gevent.spawn(change, *arguments)
 
-    def _revive(self) -> None:
+    def _check_failed_replicas(self) -> None:
         """Ask the replicas that stopped to answer, now and then."""
         now = self._clock.now()
-        if now - self._revived_at < REVIVE_S:
+        if now - self._replicas_checked_at < REPLICA_CHECK_INTERVAL_S:
             return
-        self._revived_at = now
+        self._replicas_checked_at = now
         state = self._group.state
         for member, health in state.members.items():
             if health.failing_since is not None and member != state.primary:
-                gevent.spawn(self._reach, member)
+                gevent.spawn(self._is_member_reachable, member)
 
-    def _borrow_evidence(self) -> None:
+    def _request_evidence(self) -> None:
         """Ask other hosts while this one has no proof of its own."""
         state = self._group.state
         now = self._clock.now()
-        if now - state.asked_at > IN_USE_S:
+        if now - state.asked_at > IN_USE_TIMEOUT_S:
             return
         newest = state.evidence.newest
-        most_s = RELAYED_AGE_S if self._is_relayed else BORROW_AGE_S
-        if newest is not None and now - newest.at < most_s:
+        max_age_s = (
+            RELAY_EVIDENCE_REQUEST_AGE_S
+            if self._is_primary_relayed
+            else EVIDENCE_REQUEST_AGE_S
+        )
+        if newest is not None and now - newest.at < max_age_s:
             return
-        if now - self._borrowed_at < BORROW_PAUSE_S:
+        if now - self._evidence_requested_at < EVIDENCE_REQUEST_INTERVAL_S:
             return
-        self._borrowed_at = now
-        if self._borrowing is None or self._borrowing.ready():
-            self._borrowing = gevent.spawn(self._evidence.ask, self._group)
+        self._evidence_requested_at = now
+        if self._evidence_greenlet is None or self._evidence_greenlet.ready():
+            self._evidence_greenlet = gevent.spawn(
+                self._evidence.request_evidence, self._group
+            )
 
     @property
-    def _is_far(self) -> bool:
+    def _is_relay_only(self) -> bool:
         """Whether this host holds no connection to the group."""
-        pools = self._group.pools.values()
-        return bool(pools) and all(p.is_relayed for p in pools)
+        accesses = self._group.accesses.values()
+        return bool(accesses) and all(p.is_relayed for p in accesses)
 
     @property
-    def _is_relayed(self) -> bool:
+    def _is_primary_relayed(self) -> bool:
         """Whether other hosts hold the connections to the primary."""
-        access = self._group.pool_of(self._group.state.primary or '')
+        access = self._group.find_access(self._group.state.primary or '')
         return access is not None and access.is_relayed
 
     def _is_evidence_due(self, now: float) -> bool:
         state = self._group.state
-        if self._is_relayed:
+        if self._is_primary_relayed:
             # The holders prove it for every host.
             return False
-        if now - state.asked_at > IN_USE_S:
+        if now - state.asked_at > IN_USE_TIMEOUT_S:
             return False
-        return now - state.proved_at > EVIDENCE_AGE_S
+        return now - state.proved_at > MAX_EVIDENCE_AGE_S
 
-    def _measure_gap(self, health: MemberHealth | None) -> None:
+    def _record_gap(self, health: MemberHealth | None) -> None:
         """Note how long the group has had no primary that answers."""
         now = self._clock.now()
         is_lost = health is None or health.failing_since is not None
@@ -284,11 +306,11 @@
             self._metrics.observe('primary_gap_seconds', now - self._lost_at)
             self._lost_at = None
 
-    def _show(self) -> None:
+    def _report_primary(self) -> None:
         state = self._group.state
-        self._measure_gap(state.members.get(state.primary or ''))
-        if state.primary != self._shown:
-            self._shown = state.primary
+        self._record_gap(state.members.get(state.primary or ''))
+        if state.primary != self._reported_primary:
+            self._reported_primary = state.primary
             events.PRIMARY_PROVED.log(
                 group=state.group, member=state.primary, term=state.term
             )
@@ -299,4 +321,7 @@
         return True
     if not health.in_flight:
         return False
-    return now - max(health.last_answer_at, health.silent_since) > SILENCE_S
+    return (
+        now - max(health.last_answer_at, health.silent_since)
+        > SILENCE_TIMEOUT_S
+    )
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -24,8 +24,8 @@
 from trefoilpulley_node.peer_server import PeerServer
 from trefoilpulley_node.peers import Peers
 from trefoilpulley_node.proxy.caller_session import SessionFactory
-from trefoilpulley_node.proxy.claims import ClaimBook
-from trefoilpulley_node.proxy.connection_lender import ConnectionLender
+from trefoilpulley_node.proxy.claims import ClaimStore
+from trefoilpulley_node.proxy.connection_lender import RelayServer
 from trefoilpulley_node.proxy.directory import ProxyDirectory
 from trefoilpulley_node.proxy.evidence_exchange import EvidenceExchange
 from trefoilpulley_node.proxy.exchange import Exchanger
@@ -33,13 +33,13 @@
 from trefoilpulley_node.proxy.host_vote import HostVote
 from trefoilpulley_node.proxy.member_prober import MemberProber
 from trefoilpulley_node.proxy.platform_follower import PlatformFollower
+from trefoilpulley_node.proxy.primary_changer import CLAIM_HOLDER_TIMEOUT_S
 from trefoilpulley_node.proxy.primary_changer import PrimaryChanger
-from trefoilpulley_node.proxy.primary_changer import RESPITE_S
 from trefoilpulley_node.proxy.primary_wait import PrimaryWait
 from trefoilpulley_node.proxy.primary_watch import PrimaryWatch
 from trefoilpulley_node.proxy.proxy_state import make_state
 from trefoilpulley_node.proxy.proxy_state import ProxyState
-from trefoilpulley_node.proxy.session_registry import NOTICE_S
+from trefoilpulley_node.proxy.session_registry import BALANCER_NOTICE_S
 from trefoilpulley_node.proxy.session_registry import SessionRegistry
 from trefoilpulley_node.proxy.statement_runner import StatementRunner
 from trefoilpulley_wire.listener import Listener
@@ -58,7 +58,7 @@
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
     from trefoilpulley_node.proxy.proxy_settings import ProxySettings
 
-UPKEEP_S = 0.25
+MAINTENANCE_INTERVAL_S = 0.25
 """Time between two rounds of upkeep, in seconds."""
 
 
@@ -108,7 +108,7 @@
         self._watches: list[PrimaryWatch] = []
         self._isolation = Isolation()
         self._is_cut_off = False
-        self._upkeep: gevent.Greenlet | None = None
+        self._maintenance: gevent.Greenlet | None = None
 
     def start(self) -> None:
         """Start the parts that work in the background."""
@@ -127,15 +127,15 @@
             EvidenceQuestion,
             lambda question, _: self._evidence.on_question(question),
         )
-        self._peer_server.register(RelayedCalls, self.lender.on_calls)
-        self._peer_server.register(EndLease, self.lender.on_end)
-        self._peer_server.register_close(self.lender.on_peer_closed)
+        self._peer_server.register(RelayedCalls, self.relay_server.on_calls)
+        self._peer_server.register(EndLease, self.relay_server.on_end)
+        self._peer_server.register_close(self.relay_server.on_peer_closed)
         self._register_gauges()
         self._peer_listener.start()
         self._membership.start()
         self._follower.start()
         self._registration.start()
-        self._upkeep = gevent.spawn(self._run_upkeep)
+        self._maintenance = gevent.spawn(self._run_maintenance)
         events.HOST_STARTED.log(host=self._cfg.host, zone=self._cfg.zone)
 
     def on_settings_changed(self) -> None:
@@ -148,7 +148,9 @@
             host=self._cfg.host, sessions=len(self.sessions)
         )
         leave = gevent.spawn(self._membership.leave)
-        self.sessions.drain(self._cfg.grace_s, lambda: self.lender.leases)
+        self.sessions.drain(
+            self._cfg.grace_s, lambda: self.relay_server.leases
+        )
         leave.join(timeout=0)
         self.stop()
 
@@ -158,8 +160,8 @@
         for watch in self._watches:
             watch.stop()
         self._follower.stop()
-        if self._upkeep is not None:
-            self._upkeep.kill(block=False)
+        if self._maintenance is not None:
+            self._maintenance.kill(block=False)
         self._membership.stop()
         self._peers.close()
         events.HOST_STOPPED.log(host=self._cfg.host)
@@ -216,7 +218,7 @@
         return PrimaryWait(self._clock)
 
     @cached_property
-    def _me(self) -> HostEntry:
+    def _host_entry(self) -> HostEntry:
         cfg = self._cfg
         return HostEntry(
             cfg.host, cfg.region, cfg.zone, cfg.listen, cfg.peer_listen
@@ -225,7 +227,7 @@
     @cached_property
     def _membership(self) -> MembershipRunner:
         membership = Membership(
-            self._me,
+            self._host_entry,
             self._incarnation,
             [s.name for s in self._cfg.seeds],
             self._rng,
@@ -253,11 +255,11 @@
 
     @cached_property
     def _registration(self) -> HostRegistration:
-        return HostRegistration(self._me, self._platform, self._clock)
+        return HostRegistration(self._host_entry, self._platform, self._clock)
 
     @cached_property
-    def _claims(self) -> ClaimBook:
-        return ClaimBook(self._cfg.host, self._platform)
+    def _claims(self) -> ClaimStore:
+        return ClaimStore(self._cfg.host, self._platform)
 
     @cached_property
     def _prober(self) -> MemberProber:
@@ -275,11 +277,9 @@
         )
 
     @cached_property
-    def lender(self) -> ConnectionLender:
+    def relay_server(self) -> RelayServer:
         """Lends connections to other hosts."""
-        return ConnectionLender(
-            self.directory.groups, self._exchanger, self._clock
-        )
+        return RelayServer(self.directory.groups, self._exchanger, self._clock)
 
     @cached_property
     def _vote(self) -> HostVote:
@@ -320,13 +320,13 @@
             self._clock,
         )
 
-    def _hosts_reached(self, now: float) -> int:
+    def _reachable_hosts(self, now: float) -> int:
         """Return how many hosts answer; a vote tells it first."""
         live = len(self._live_hosts())
-        answering = self._vote.recent_answers(now)
-        if answering is None:
+        answer_rate = self._vote.recent_answer_rate(now)
+        if answer_rate is None:
             return live
-        return min(live, round(answering * len(self._registered_hosts())))
+        return min(live, round(answer_rate * len(self._registered_hosts())))
 
     def _registered_hosts(self) -> dict[str, str]:
         hosts = {h.name: h.zone for h in self._follower.hosts}
@@ -349,16 +349,18 @@
         self.directory.set_hosts(self._live_zones())
 
     def _on_claim(self, name: str, claim: Claim, revision: int) -> None:
-        if not self._claims.learn(name, claim, revision):
+        if not self._claims.record_claim(name, claim, revision):
             return
         group = self.directory.groups.get(name)
         if group is None or claim.holder == self._cfg.host:
             return
         # A claim that was there before this host started is over.
         if self._follower.is_synchronized:
-            group.state.change_due_at = self._clock.now() + RESPITE_S
+            group.state.change_due_at = (
+                self._clock.now() + CLAIM_HOLDER_TIMEOUT_S
+            )
             group.state.hopeless_until = float('-inf')
-            group.attention.set()
+            group.check_requested.set()
 
     def _register_gauges(self) -> None:
         register = self.metrics.register_gauge
@@ -366,12 +368,18 @@
         register('sessions', lambda: len(self.sessions))
         register(
             'connections',
-            lambda: sum(p.own.open_connections for p in self._pools()),
+            lambda: sum(
+                p.local_pool.open_connections for p in self._accesses()
+            ),
+        )
+        register('leases', lambda: self.relay_server.leases)
+        register(
+            'waiting',
+            lambda: sum(p.local_pool.waiting for p in self._accesses()),
         )
-        register('leases', lambda: self.lender.leases)
-        register('waiting', lambda: sum(p.own.waiting for p in self._pools()))
         register(
-            'in_flight', lambda: sum(p.health.in_flight for p in self._pools())
+            'in_flight',
+            lambda: sum(p.health.in_flight for p in self._accesses()),
         )
         register(
             'groups_lost',
@@ -384,9 +392,9 @@
         register('lease_age_seconds', lambda: self._registration.lease_age_s)
         register('live_hosts', lambda: len(self._live_hosts()))
 
-    def _pools(self) -> list[MemberAccess]:
+    def _accesses(self) -> list[MemberAccess]:
         groups = self.directory.groups.values()
-        return [p for g in groups for p in g.pools.values()]
+        return [p for g in groups for p in g.accesses.values()]
 
     def dump(self) -> ProxyState:
         """Return the state of the host."""
@@ -413,17 +421,17 @@
         self._watches.append(watch)
         watch.start()
 
-    def _run_upkeep(self) -> None:
+    def _run_maintenance(self) -> None:
         while True:
-            gevent.sleep(UPKEEP_S)
-            self._follower.tick()
+            gevent.sleep(MAINTENANCE_INTERVAL_S)
+            self._follower.remove_expired()
             self.directory.trim()
-            self.lender.end_idle(self.directory.table.transaction_idle_s)
-            self._look_around()
+            self.relay_server.end_idle(self.directory.table.transaction_idle_s)
+            self._update_isolation()
             if self._follower.is_following:
                 self._claims.publish()
 
-    def _look_around(self) -> None:
+    def _update_isolation(self) -> None:
         now = self._clock.now()
         groups = self.directory.groups.values()
         self._isolation.update(
@@ -431,7 +439,7 @@
                 len(groups),
                 sum(1 for g in groups if self._primary_wait.is_lost(g)),
                 len(self._registered_hosts()),
-                self._hosts_reached(now),
+                self._reachable_hosts(now),
             ),
             now,
         )
@@ -439,5 +447,5 @@
         if self._is_cut_off != (cut_off_s > 0):
             self._is_cut_off = cut_off_s > 0
             events.ISOLATION_CHANGED.log(is_cut_off=cut_off_s > 0)
-        if cut_off_s > NOTICE_S:
+        if cut_off_s > BALANCER_NOTICE_S:
             self.sessions.close_idle()
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_metrics.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_metrics.py
@@ -19,7 +19,7 @@
 PREFIX = 'trefoilpulley_'
 """First part of every name."""
 
-BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0)
+BUCKET_BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0)
 """Upper bounds of the histograms, in seconds."""
 
 COUNTERS: dict[str, tuple[str, tuple[str, ...]]] = {
@@ -85,7 +85,7 @@
             name: defaultdict(_Buckets) for name in HISTOGRAMS
         }
         self._gauges: dict[str, Callable[[], float]] = {}
-        self._dropped: Callable[[], Mapping[str, int]] = dict
+        self._read_dropped: Callable[[], Mapping[str, int]] = dict
 
     def count(self, name: str, *labels: str) -> None:
         """Add one to a counter."""
@@ -103,7 +103,7 @@
 
     def register_dropped(self, read: Callable[[], Mapping[str, int]]) -> None:
         """Read the dropped log lines by event."""
-        self._dropped = read
+        self._read_dropped = read
 
     def render(self) -> bytes:
         """Return every metric in the text format of Prometheus."""
@@ -119,19 +119,19 @@
         """Yield the families of metrics, as the library asks for them."""
         from prometheus_client import core
 
-        for name, (text, labels) in COUNTERS.items():
+        for name, (help_text, labels) in COUNTERS.items():
             family = core.CounterMetricFamily(
-                PREFIX + name, text, labels=labels
+                PREFIX + name, help_text, labels=labels
             )
             for values, count in sorted(self._counters[name].items()):
                 family.add_metric(values, count)
             yield family
-        for name, (text, labels) in HISTOGRAMS.items():
+        for name, (help_text, labels) in HISTOGRAMS.items():
             family = core.HistogramMetricFamily(
-                PREFIX + name, text, labels=labels
+                PREFIX + name, help_text, labels=labels
             )
             for values, buckets in sorted(self._histograms[name].items()):
-                family.add_metric(values, buckets.cumulated(), buckets.total)
+                family.add_metric(values, buckets.cumulative(), buckets.total)
             yield family
         for name, read in sorted(self._gauges.items()):
             yield core.GaugeMetricFamily(
@@ -142,24 +142,24 @@
             'Log lines that were dropped, by event.',
             labels=('event',),
         )
-        for event, count in sorted(self._dropped().items()):
+        for event, count in sorted(self._read_dropped().items()):
             dropped.add_metric((event,), count)
         yield dropped
 
 
 class _Buckets:
     def __init__(self) -> None:
-        self._counts = [0] * (len(BOUNDS_S) + 1)
+        self._counts = [0] * (len(BUCKET_BOUNDS_S) + 1)
         self.total = 0.0
 
     def add(self, seconds: float) -> None:
-        self._counts[bisect_left(BOUNDS_S, seconds)] += 1
+        self._counts[bisect_left(BUCKET_BOUNDS_S, seconds)] += 1
         self.total += seconds
 
-    def cumulated(self) -> list[tuple[str, float]]:
+    def cumulative(self) -> list[tuple[str, float]]:
         found = []
         count = 0
-        for bound, n in zip((*BOUNDS_S, float('inf')), self._counts):
+        for bound, n in zip((*BUCKET_BOUNDS_S, float('inf')), self._counts):
             count += n
             label = '+Inf' if bound == float('inf') else str(bound)
             found.append((label, count))
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
@@ -136,12 +136,12 @@
         state.primary,
         state.term,
         round(1000 * (now - newest.at)) if newest else None,
-        tuple(_dump_member(p, now) for p in group.pools.values()),
+        tuple(_dump_member(p, now) for p in group.accesses.values()),
     )
 
 
-def _dump_member(pool: MemberAccess, now: float) -> MemberDump:
-    health = pool.health
+def _dump_member(access: MemberAccess, now: float) -> MemberDump:
+    health = access.health
     failing = health.failing_since
     return MemberDump(
         health.record.member,
@@ -151,8 +151,8 @@
         round(1000 * health.expected_s(now), 1),
         round(1000 * health.expected_lag_s(now)),
         f'{health.position.term}.{health.position.index}',
-        pool.own.open_connections,
-        pool.own.share.equal,
-        pool.own.waiting,
-        pool.holders,
+        access.local_pool.open_connections,
+        access.local_pool.share.equal,
+        access.local_pool.waiting,
+        access.holders,
     )
--- a/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
@@ -21,7 +21,7 @@
 from trefoilpulley_core.proxy.upstream_session import TransactionState
 from trefoilpulley_node import events
 from trefoilpulley_node.peers import read_failure
-from trefoilpulley_node.proxy.lent_session import LentSession
+from trefoilpulley_node.proxy.lent_session import MemberSession
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -40,32 +40,32 @@
     from trefoilpulley_node.proxy.lent_session import SessionSetting
     from trefoilpulley_wire.channel import Channel
 
-HOLDER_TRIES = 3
+MAX_HOLDER_ATTEMPTS = 3
 """Holders that a request may be offered to before it is given up."""
 
-HOLDER_PAUSE_S = 0.8
+HOLDER_BACKOFF_S = 0.8
 """Time for which a holder that did not answer is passed over, in seconds.
 
 Membership takes about as long to find that a host is dead.
 """
 
-HOLDER_DIAL_S = 0.15
+HOLDER_DIAL_TIMEOUT_S = 0.15
 """Longest wait for a connection to a holder, in seconds."""
 
-WITHDRAW_TIMEOUT_S = 0.1
+CANCEL_TIMEOUT_S = 0.1
 """Longest wait for a holder to confirm that a lease has ended, in seconds.
 
 A holder that is paused reads the request and its end together.
 """
 
-REPLY_SLACK_S = 0.03
+REPLY_MARGIN_S = 0.03
 """Time that a holder's answer may take beyond the member's, in seconds.
 
 A holder tells a member that stays silent apart from its own silence.
 """
 
 
-class RelayedAccess:
+class RelayClient:
     """Sessions of this host with one member, through its holders.
 
     Parameters
@@ -82,7 +82,7 @@
         Monotonic time.
     """
 
-    _leases = count(1)
+    _lease_numbers = count(1)
 
     def __init__(
         self,
@@ -98,21 +98,21 @@
         self._peers = peers
         self._clock = clock
         self._holders: tuple[str, ...] = ()
-        self._passed_over: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
 
     @property
     def holders(self) -> tuple[str, ...]:
         """Holders to try, those that answered first."""
         now = self._clock.now()
-        self._passed_over = {
-            h: t for h, t in self._passed_over.items() if now < t
+        self._backoff_until = {
+            h: t for h, t in self._backoff_until.items() if now < t
         }
         return tuple(
-            sorted(self._holders, key=lambda h: h in self._passed_over)
+            sorted(self._holders, key=lambda h: h in self._backoff_until)
         )
 
     @property
-    def is_used(self) -> bool:
+    def is_active(self) -> bool:
         """Whether the member is reached through other hosts."""
         return bool(self._holders) and self._host not in self._holders
 
@@ -123,13 +123,15 @@
 
     def open(self, priority: int, admit_by: float | None) -> RelayedSession:
         """Return a session; it takes a connection with its first use."""
-        return RelayedSession(self, next(self._leases), priority, admit_by)
+        return RelayedSession(
+            self, next(self._lease_numbers), priority, admit_by
+        )
 
     def find_channel(self, holder: str) -> Result[Channel, Failure]:
         """Return the channel to a holder."""
-        found = self._peers.open_channel(holder, HOLDER_DIAL_S)
+        found = self._peers.open_channel(holder, HOLDER_DIAL_TIMEOUT_S)
         if not isinstance(found, Success):
-            self.on_silent(holder)
+            self.on_holder_timeout(holder)
         return found
 
     @property
@@ -148,26 +150,26 @@
         if found is not None:
             self._group.evidence.record(found.at, found.position)
 
-    def on_silent(self, holder: str) -> None:
+    def on_holder_timeout(self, holder: str) -> None:
         """Pass a holder over for a while."""
         now = self._clock.now()
-        if holder not in self._passed_over:
+        if holder not in self._backoff_until:
             events.HOLDER_PASSED_OVER.log(
                 member=self._health.record.member, holder=holder
             )
-        self._passed_over[holder] = now + HOLDER_PAUSE_S
+        self._backoff_until[holder] = now + HOLDER_BACKOFF_S
 
-    def on_member_missed(self) -> None:
+    def on_member_unreachable(self) -> None:
         """Note that the member does not answer its holders."""
         self._health.on_unreachable(self._clock.now())
 
 
-class RelayedSession(LentSession):
+class RelayedSession(MemberSession):
     """One session with a member on a connection of a holder's.
 
     Parameters
     ----------
-    access : RelayedAccess
+    access : RelayClient
         Way to the holders.
     lease : int
         Number of the session, unique on this host.
@@ -180,19 +182,19 @@
 
     def __init__(
         self,
-        access: RelayedAccess,
+        relay_client: RelayClient,
         lease: int,
         priority: int,
         admit_by: float | None,
     ) -> None:
-        self._access = access
+        self._relay_client = relay_client
         self._lease = lease
         self._priority = priority
         self._admit_by = admit_by
         self._holder: str | None = None
         self._channel: Channel | None = None
         self._is_pinned = False
-        self._is_withdrawn = False
+        self._is_cancelled = False
 
     @property
     def is_usable(self) -> bool:
@@ -206,43 +208,43 @@
         setting: SessionSetting | None = None,
     ) -> Result[tuple[Reply, ...], Failure]:
         """Send requests through a holder and return the replies."""
-        until = self._access.now() + timeout_s
+        deadline = self._relay_client.now() + timeout_s
         if self._is_pinned:
-            done = self._ask(calls, until, setting)
+            done = self._send(calls, deadline, setting)
             if not isinstance(done, RelayRefused):
                 return done
             self.close()
             return Failed(read_failure(done.failure))
         failure: Failure = NoUpstream('no holder answers')
-        missed = 0
-        for holder in self._access.holders[:HOLDER_TRIES]:
-            if self._is_withdrawn or self._access.now() >= until:
+        unreachable_reports = 0
+        for holder in self._relay_client.holders[:MAX_HOLDER_ATTEMPTS]:
+            if self._is_cancelled or self._relay_client.now() >= deadline:
                 break
-            found = self._access.find_channel(holder)
+            found = self._relay_client.find_channel(holder)
             if not isinstance(found, Success):
                 continue
-            if self._is_withdrawn:
+            if self._is_cancelled:
                 break
             self._holder, self._channel = holder, found.unwrap()
-            done = self._ask(calls, until, setting)
+            done = self._send(calls, deadline, setting)
             if not isinstance(done, RelayRefused):
                 return done
             failure = read_failure(done.failure)
-            missed += done.is_member_missed
-        if missed > 1:
-            self._access.on_member_missed()
+            unreachable_reports += done.is_member_missed
+        if unreachable_reports > 1:
+            self._relay_client.on_member_unreachable()
         return Failed(failure)
 
-    def withdraw(self) -> None:
+    def cancel_unsent(self) -> None:
         """Wait until the holder sends nothing of it any more.
 
         The caller goes on after an answer from elsewhere and may change
         its values, which a statement sent later would run without.
         """
-        self._is_withdrawn = True
+        self._is_cancelled = True
         channel = self._channel
         if channel is not None and channel.is_open:
-            channel.call(EndLease(self._lease), WITHDRAW_TIMEOUT_S)
+            channel.call(EndLease(self._lease), CANCEL_TIMEOUT_S)
 
     def close(self) -> None:
         """End the lease; the holder rolls back what is open."""
@@ -251,40 +253,40 @@
         if channel is not None and channel.is_open:
             channel.notify(EndLease(self._lease))
 
-    def _ask(
+    def _send(
         self,
         calls: Sequence[Call],
-        until: float,
+        deadline: float,
         setting: SessionSetting | None,
     ) -> Result[tuple[Reply, ...], Failure] | RelayRefused:
         """Ask the holder; a refusal says that nothing was sent."""
-        asked_at = self._access.now()
-        remaining_s = max(0.001, until - asked_at)
-        admit_by = until if self._admit_by is None else self._admit_by
-        record = self._access.record
+        asked_at = self._relay_client.now()
+        remaining_s = max(0.001, deadline - asked_at)
+        admit_by = deadline if self._admit_by is None else self._admit_by
+        record = self._relay_client.record
         message = RelayedCalls(
             record.group,
             record.member,
             self._lease,
             self._priority,
             round(1000 * remaining_s),
-            round(1000 * max(0.0, min(admit_by, until) - asked_at)),
+            round(1000 * max(0.0, min(admit_by, deadline) - asked_at)),
             tuple(calls),
             dict(setting.session.values) if setting else None,
             setting.prepared if setting else None,
             self._is_pinned,
         )
-        answered = self._channel.call(message, remaining_s + REPLY_SLACK_S)
+        answered = self._channel.call(message, remaining_s + REPLY_MARGIN_S)
         if not isinstance(answered, Success):
-            self._access.on_silent(self._holder)
+            self._relay_client.on_holder_timeout(self._holder)
             self.close()
             return Failed(PeerUnreachable('holder gave no answer'))
         match answered.unwrap():
             case RelayRefused() as refusal:
                 return refusal
             case RelayedReplies() as answer:
-                self._access.on_replies(answer, asked_at)
-                replies = tuple(_unpack(r) for r in answer.replies)
+                self._relay_client.on_replies(answer, asked_at)
+                replies = tuple(_unpack_reply(r) for r in answer.replies)
                 state = replies[-1].state
                 self._is_pinned = state is not TransactionState.IDLE
                 return Success(replies)
@@ -296,7 +298,7 @@
                 return Failed(PeerUnreachable('unknown answer of a holder'))
 
 
-def _unpack(packed: RelayedReply) -> Reply:
+def _unpack_reply(packed: RelayedReply) -> Reply:
     failure = packed.failure
     return Reply(
         packed.rows,
--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/proxy/session_registry.py
@@ -13,7 +13,7 @@
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_node.proxy.caller_session import CallerSession
 
-NOTICE_S = 2.2
+BALANCER_NOTICE_S = 2.2
 """Time in which the balancer notices that this host is not ready.
 
 It asks once a second and gives up after two refusals.
@@ -22,19 +22,19 @@
 EXIT_MARGIN_S = 0.7
 """Part of the grace left for the process to end, in seconds."""
 
-QUIET_S = 0.6
+QUIET_PERIOD_S = 0.6
 """Time without a connection after which none is expected any more.
 
 Connections that the balancer sent before it noticed are on their way.
 """
 
-REFUSE_SHARE = 0.3
+REFUSE_FACTOR = 0.3
 """Last part of the grace in which new work is refused.
 
 Of 6 s it leaves more than the exit margin and most statements together.
 """
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 """Time between two looks at the sessions while draining."""
 
 
@@ -94,7 +94,7 @@
     def close_idle(self) -> None:
         """Close the sessions without work, so that they go elsewhere."""
         for session, conn in list(self._sessions.items()):
-            self._end(session, conn, is_late=False)
+            self._close_if_idle(session, conn, is_late=False)
 
     def refuse(self) -> None:
         """Refuse what comes from now on."""
@@ -116,7 +116,7 @@
         """
         self.is_draining = True
         began_at = self._clock.now()
-        gevent.sleep(min(NOTICE_S, grace_s / 2))
+        gevent.sleep(min(BALANCER_NOTICE_S, grace_s / 2))
         self.is_closing = True
         quiet_since = self._clock.now()
         while True:
@@ -124,17 +124,17 @@
             passed_s = now - began_at
             if passed_s > grace_s - EXIT_MARGIN_S:
                 return False
-            if passed_s > (1 - REFUSE_SHARE) * grace_s:
+            if passed_s > (1 - REFUSE_FACTOR) * grace_s:
                 self.refuse()
             for session, conn in list(self._sessions.items()):
-                self._end(session, conn, passed_s > grace_s / 2)
+                self._close_if_idle(session, conn, passed_s > grace_s / 2)
             if self._connections or count_leases():
                 quiet_since = now
-            elif now - quiet_since > QUIET_S:
+            elif now - quiet_since > QUIET_PERIOD_S:
                 return True
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
 
-    def _end(
+    def _close_if_idle(
         self, session: CallerSession, conn: CallerConnection, is_late: bool
     ) -> None:
         if session.is_busy or conn.has_input():
--- a/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
@@ -21,7 +21,7 @@
 from trefoilpulley_core.proxy.upstream_session import UpstreamFailed
 from trefoilpulley_core.proxy.upstream_session import UpstreamTimedOut
 from trefoilpulley_node import events
-from trefoilpulley_node.proxy.exchange import prove
+from trefoilpulley_node.proxy.exchange import record_proof
 
 if TYPE_CHECKING:
     from returns.result import Result
@@ -31,45 +31,45 @@
     from trefoilpulley_core.proxy.placement import Placement
     from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.proxy.exchange import Exchanger
-    from trefoilpulley_node.proxy.lent_session import LentSession
+    from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.primary_wait import PrimaryWait
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
-    from trefoilpulley_node.proxy.work import Work
+    from trefoilpulley_node.proxy.work import StatementRequest
 
-READ_TRIES = 5
+MAX_READ_ATTEMPTS = 5
 """Members that a read may be sent to, repeats included."""
 
-HEDGE_S = 0.25
+MIN_HEDGE_DELAY_S = 0.25
 """Silence after which a read is sent to another member as well.
 
 Above the time of the slowest statement behind a full queue of a member.
 """
 
-HEDGE_FACTOR = 6.0
+HEDGE_DELAY_FACTOR = 6.0
 """The same in mean times of a statement, where that is longer."""
 
 BUSY_BACKOFF_S = 0.01
 """Pause before a statement that met no free slot is sent again."""
 
-WRITE_TRIES = 6
+MAX_WRITE_ATTEMPTS = 6
 """Times that a write which has not run may be sent."""
 
 
-class _Race:
+class _HedgedRead:
     """Tries of one read; the first whole answer counts."""
 
     def __init__(self) -> None:
         self.results: SimpleQueue = SimpleQueue()
-        self.sessions: set[LentSession] = set()
-        self.is_over = False
+        self.sessions: set[MemberSession] = set()
+        self.is_ended = False
 
     def end(self) -> None:
         """Let no try be sent any more that has not been sent yet.
 
         The caller may change its values as soon as it has its answer.
         """
-        self.is_over = True
-        gevent.joinall([gevent.spawn(s.withdraw) for s in self.sessions])
+        self.is_ended = True
+        gevent.joinall([gevent.spawn(s.cancel_unsent) for s in self.sessions])
 
 
 class StatementRunner:
@@ -103,41 +103,43 @@
         self._primary_wait = primary_wait
         self._clock = clock
 
-    def read(self, work: Work) -> Result[Reply, Failure]:
+    def read(self, request: StatementRequest) -> Result[Reply, Failure]:
         """Run a read where its route allows it.
 
         A member that refuses, breaks or stays silent is passed over for
         another; the first whole answer counts.
         """
-        race = _Race()
+        hedged = _HedgedRead()
         try:
-            return self._race(work, race)
+            return self._run_hedged(request, hedged)
         finally:
-            race.end()
+            hedged.end()
 
-    def _race(self, work: Work, race: _Race) -> Result[Reply, Failure]:
+    def _run_hedged(
+        self, request: StatementRequest, hedged: _HedgedRead
+    ) -> Result[Reply, Failure]:
         excluded: set[str] = set()
-        running = 0
+        pending = 0
         has_run = False
         failure: Failure = NoUpstream('no member may serve the read')
-        for _ in range(READ_TRIES):
-            place = self._place(work, frozenset(excluded))
-            if place is None and running == 0:
-                if self._primary_wait.is_serving(work.group):
+        for _ in range(MAX_READ_ATTEMPTS):
+            place = self._place(request, frozenset(excluded))
+            if place is None and pending == 0:
+                if self._primary_wait.is_serving(request.group):
                     # Every member has refused, for load or for lag.
                     break
-                if not self._primary_wait.wait(work):
+                if not self._primary_wait.wait(request):
                     break
                 excluded.clear()
                 continue
             if place is not None:
                 excluded.add(place.member)
-                gevent.spawn(self._try_read, work, place, race)
-                running += 1
-            outcome = self._next_outcome(work, place, race)
+                gevent.spawn(self._try_read, request, place, hedged)
+                pending += 1
+            outcome = self._wait_for_outcome(request, place, hedged)
             if outcome is None:
                 continue
-            running -= 1
+            pending -= 1
             if isinstance(outcome, Success):
                 return outcome
             failure = outcome.failure()
@@ -148,98 +150,111 @@
                 excluded.discard(place.member if place else '')
             if isinstance(failure, UpstreamFailed):
                 break
-        while running and self._clock.now() < work.deadline:
-            outcome = self._next_outcome(work, None, race)
+        while pending and self._clock.now() < request.deadline:
+            outcome = self._wait_for_outcome(request, None, hedged)
             if outcome is None:
                 break
-            running -= 1
+            pending -= 1
             if isinstance(outcome, Success):
                 return outcome
             failure = outcome.failure()
-        return Failed(_read_failure(failure, has_run or running > 0))
+        return Failed(_read_failure(failure, has_run or pending > 0))
 
-    def write(self, work: Work) -> Result[Reply, Failure]:
+    def write(self, request: StatementRequest) -> Result[Reply, Failure]:
         """Run a write at the primary, at most once.
 
         It is sent again only after a member said that it has not run.
         """
         failure: Failure = NoUpstream('no primary is known')
-        for _ in range(WRITE_TRIES):
-            primary = work.group.state.primary
-            pool = work.group.pool_of(primary) if primary else None
-            if pool is None or self._primary_wait.is_lost(work.group):
-                if not self._primary_wait.wait(work):
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            primary = request.group.state.primary
+            access = request.group.find_access(primary) if primary else None
+            if access is None or self._primary_wait.is_lost(request.group):
+                if not self._primary_wait.wait(request):
                     return Failed(failure)
                 continue
-            done = self._try_write(work, pool)
+            done = self._try_write(request, access)
             if isinstance(done, Success):
                 return done
             failure = done.failure()
             if failure.run_state is not RunState.NOT_RUN:
                 return Failed(_write_failure(failure))
             if isinstance(failure, NotPrimary):
-                work.group.state.on_not_leading(primary)
-                work.group.attention.set()
+                request.group.state.on_not_leading(primary)
+                request.group.check_requested.set()
             elif isinstance(failure, Overloaded):
                 gevent.sleep(BUSY_BACKOFF_S)
             elif isinstance(failure, NoUpstream):
-                if not self._primary_wait.wait(work):
+                if not self._primary_wait.wait(request):
                     break
-            if self._clock.now() >= work.deadline:
+            if self._clock.now() >= request.deadline:
                 break
         return Failed(failure)
 
-    def _place(self, work: Work, excluded: frozenset[str]) -> Placement | None:
+    def _place(
+        self, request: StatementRequest, excluded: frozenset[str]
+    ) -> Placement | None:
         now = self._clock.now()
-        state = work.group.state
-        floor = state.evidence.floor_of(work.route, work.floor, now)
-        if self._primary_wait.is_lost(work.group) and state.primary:
+        state = request.group.state
+        floor = state.evidence.floor_of(request.route, request.floor, now)
+        if self._primary_wait.is_lost(request.group) and state.primary:
             excluded = excluded | {state.primary}
         return place_read(state, floor, self._zone, excluded, now)
 
-    def _next_outcome(
-        self, work: Work, place: Placement | None, race: _Race
+    def _wait_for_outcome(
+        self,
+        request: StatementRequest,
+        place: Placement | None,
+        hedged: _HedgedRead,
     ) -> Result[Reply, Failure] | None:
         now = self._clock.now()
-        left_s = work.deadline - now
+        timeout_s = request.deadline - now
         if place is not None:
-            health = work.group.state.members.get(place.member)
+            health = request.group.state.members.get(place.member)
             if health is not None:
-                hedge_s = max(HEDGE_S, HEDGE_FACTOR * health.expected_s(now))
-                left_s = min(left_s, hedge_s)
+                hedge_delay_s = max(
+                    MIN_HEDGE_DELAY_S,
+                    HEDGE_DELAY_FACTOR * health.expected_s(now),
+                )
+                timeout_s = min(timeout_s, hedge_delay_s)
         try:
-            return race.results.get(timeout=max(0.0, left_s))
+            return hedged.results.get(timeout=max(0.0, timeout_s))
         except Empty:
             return None
 
-    def _try_read(self, work: Work, place: Placement, race: _Race) -> None:
-        race.results.put(self._read_at(work, place, race))
+    def _try_read(
+        self, request: StatementRequest, place: Placement, hedged: _HedgedRead
+    ) -> None:
+        hedged.results.put(self._read_at(request, place, hedged))
 
     def _read_at(
-        self, work: Work, place: Placement, race: _Race
+        self, request: StatementRequest, place: Placement, hedged: _HedgedRead
     ) -> Result[Reply, Failure]:
-        pool = work.group.pool_of(place.member)
-        if pool is None:
+        access = request.group.find_access(place.member)
+        if access is None:
             return Failed(NoUpstream('member has left'))
-        lent = pool.acquire(
-            work.route.priority, work.deadline, work.session, work.admit_by
+        acquired = access.acquire(
+            request.route.priority,
+            request.deadline,
+            request.session,
+            request.admit_by,
         )
-        if not isinstance(lent, Success):
-            return lent
-        conn = lent.unwrap()
-        if race.is_over:
-            pool.release(conn)
+        if not isinstance(acquired, Success):
+            return acquired
+        conn = acquired.unwrap()
+        if hedged.is_ended:
+            access.release(conn)
             return Failed(NoUpstream('answered elsewhere'))
         floor = place.floor
         position = floor.position if floor else None
-        race.sessions.add(conn)
+        hedged.sessions.add(conn)
         done = self._exchanger.run(
-            pool, conn, work, position, floor is None, work.deadline
+            access, conn, request, position, floor is None, request.deadline
         )
-        race.sessions.discard(conn)
-        pool.release(conn)
+        hedged.sessions.discard(conn)
+        access.release(conn)
         now = self._clock.now()
-        health = pool.health
+        health = access.health
         if isinstance(done, Success):
             if floor is not None:
                 health.on_held(now - floor.at)
@@ -251,13 +266,13 @@
         elif isinstance(failure, Overloaded):
             health.on_busy(now)
         elif isinstance(failure, NotPrimary) and floor is None:
-            work.group.state.on_not_leading(place.member)
-            work.group.attention.set()
+            request.group.state.on_not_leading(place.member)
+            request.group.check_requested.set()
         elif not isinstance(failure, UnknownStatement):
-            self._note_trouble(work, failure)
+            self._request_check(request, failure)
         events.STATEMENT_RETRIED.log(
-            request=work.run.request_id,
-            group=work.route.group,
+            request=request.run.request_id,
+            group=request.route.group,
             member=place.member,
             failure=failure.code,
             detail=failure.detail,
@@ -265,33 +280,40 @@
         )
         return done
 
-    def _try_write(self, work: Work, pool) -> Result[Reply, Failure]:
-        lent = pool.acquire(
-            work.route.priority, work.deadline, work.session, work.admit_by
+    def _try_write(
+        self, request: StatementRequest, access
+    ) -> Result[Reply, Failure]:
+        acquired = access.acquire(
+            request.route.priority,
+            request.deadline,
+            request.session,
+            request.admit_by,
         )
-        if not isinstance(lent, Success):
-            return lent
-        conn = lent.unwrap()
+        if not isinstance(acquired, Success):
+            return acquired
+        conn = acquired.unwrap()
         sent_at = self._clock.now()
         done = self._exchanger.run(
-            pool, conn, work, None, False, work.deadline
+            access, conn, request, None, False, request.deadline
         )
-        pool.release(conn)
+        access.release(conn)
         if isinstance(done, Success):
             reply = done.unwrap()
-            prove(work.group, pool, sent_at, reply.position)
-            work.floor.at = self._clock.now()
-            work.floor.position = reply.position
+            record_proof(request.group, access, sent_at, reply.position)
+            request.floor.at = self._clock.now()
+            request.floor.position = reply.position
         elif isinstance(done.failure(), Overloaded):
-            pool.health.on_busy(self._clock.now())
+            access.health.on_busy(self._clock.now())
         else:
-            self._note_trouble(work, done.failure())
+            self._request_check(request, done.failure())
         return done
 
-    def _note_trouble(self, work: Work, failure: Failure) -> None:
+    def _request_check(
+        self, request: StatementRequest, failure: Failure
+    ) -> None:
         is_broken = failure.run_state is not RunState.NOT_RUN
         if is_broken or isinstance(failure, NoUpstream):
-            work.group.attention.set()
+            request.group.check_requested.set()
 
 
 def _read_failure(failure: Failure, has_run: bool) -> Failure:
--- a/packages/node/src/trefoilpulley_node/proxy/work.py
+++ b/packages/node/src/trefoilpulley_node/proxy/work.py
@@ -13,7 +13,7 @@
     from trefoilpulley_core.proxy.session_state import SessionState
     from trefoilpulley_node.proxy.directory import Group
 
-ADMIT_SHARE = 0.5
+QUEUE_TIME_FACTOR = 0.5
 """Part of a route's goal in which a statement's turn must come.
 
 What waits longer hardly meets the goal; it is refused at once, so that its
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class StatementRequest:
     """One statement of a caller with what it needs."""
 
     run: Run
@@ -52,4 +52,4 @@
     @property
     def admit_by(self) -> float:
         """Time by which its turn must come, in seconds."""
-        return self.arrived_at + ADMIT_SHARE * self.route.goal_s
+        return self.arrived_at + QUEUE_TIME_FACTOR * self.route.goal_s
