--- a/packages/node/src/trefoilpulley_node/proxy/host_vote.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_vote.py
@@ -1,4 +1,4 @@
-"""Asks the hosts whether a primary is lost, and answers them."""
+"""Asks other hosts whether they reach a member, and answers them."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
     from trefoilpulley_node.proxy.member_prober import MemberProber
 
 VOTE_TIMEOUT_S = 0.35
-"""Longest wait for what other hosts say of a member, in seconds."""
+"""Timeout for the reports of other hosts on a member, in seconds."""
 
 VOTE_TTL_S = 1.5
-"""Time for which a vote tells how many hosts answer, in seconds.
+"""Time for which the answer rate of a vote is valid, in seconds.
 
-Votes follow each other sooner while a primary is missed.
+While a primary is unreachable, votes follow each other at shorter intervals.
 """
 
 MAX_RECENT_ANSWER_AGE_S = 0.15
-"""Age up to which an answer shows that a member is reached."""
+"""Age up to which a member's last answer proves it reachable, in seconds."""
 
 
 class HostVote:
-    """What the registered hosts say of a member.
+    """Collects what the voters of a group report on a member.
 
     Parameters
     ----------
     host : str
         Name of this host.
     prober : MemberProber
-        Asks the members.
+        Checks whether this host reaches a member.
     peers : Peers
-        Other hosts.
+        Connections to the other hosts.
     registered_hosts : Callable[[], Mapping[str, str]]
         Availability zone of each registered host, this one included.
     groups : Mapping[str, Group]
@@ -75,7 +75,7 @@
     def collect_reports(
         self, group: Group, lost_member: str | None
     ) -> tuple[ReachReport, ...]:
-        """Return what the hosts say that answer in time."""
+        """Return the reports of the voters that answer before the timeout."""
         if lost_member is None:
             return ()
         question = ReachQuestion(group.state.group, lost_member)
@@ -91,7 +91,7 @@
                 continue
             reports = (*reports, report)
             if self.is_lost(group, lost_member, reports, is_claimed=False):
-                # No answer that is still out can change the outcome.
+                # The outcome is decided: no outstanding report can change it.
                 break
         gevent.killall(asked, block=False)
         self._answer_rate = (1 + len(reports)) / (1 + len(voters))
@@ -99,7 +99,7 @@
         return reports
 
     def voters(self, group: Group) -> dict[str, str]:
-        """Return the zones of the hosts that vote, this one included."""
+        """Return the availability zone of each voter, this host included."""
         voters = choose_jury(group.state.group, self._registered_hosts())
         voters.setdefault(self._host, self._registered_hosts()[self._host])
         return voters
@@ -107,7 +107,7 @@
     def is_reached(
         self, group: Group, member: str, hosts: Iterable[str]
     ) -> bool:
-        """Return whether a member answers one of some hosts."""
+        """Return whether at least one of the given hosts reaches a member."""
         question = ReachQuestion(group.state.group, member)
         asked = [
             gevent.spawn(self._peers.call_host, host, question, VOTE_TIMEOUT_S)
@@ -126,13 +126,13 @@
         reports: Sequence[ReachReport],
         is_claimed: bool,
     ) -> bool:
-        """Return whether enough hosts miss a member."""
+        """Return whether enough voters can't reach a member."""
         health = group.state.members.get(lost_member)
         zone = health.record.zone if health else ''
         return is_lost_to_most(reports, self.voters(group), zone, is_claimed)
 
     def on_reach_question(self, question: ReachQuestion) -> ReachReport:
-        """Return whether a member answers this host."""
+        """Return whether this host reaches a member."""
         group = self._groups.get(question.group)
         if group is None:
             return ReachReport(self._host, is_reached=False)
@@ -144,13 +144,14 @@
         if not reached:
             access = group.find_access(question.member)
             if access is not None and access.is_relayed:
-                # Without statements of its own it would not notice.
+                # This host sends no statements of its own to the member, so
+                # that no failed statement would reveal the loss.
                 access.health.on_unreachable(now)
             group.check_requested.set()
         return ReachReport(self._host, reached)
 
     def recent_answer_rate(self, now: float) -> float | None:
-        """Return the part of the hosts that answered a recent vote."""
+        """Return the rate of hosts that answered the last vote, if recent."""
         if now - self._voted_at > VOTE_TTL_S:
             return None
         return self._answer_rate
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -1,4 +1,4 @@
-"""Changes the primary of a group: after a loss, or as planned."""
+"""Changes the primary of a group, by failover or by planned handover."""
 
 from __future__ import annotations
 
@@ -35,65 +35,76 @@
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
 
 NOTICE_TIMEOUT_S = 0.35
-"""Longest time to tell another host who leads, in seconds."""
+"""Timeout of a leader notice to another host, in seconds."""
 
 EXPECTED_PROMOTION_S = 0.8
-"""Time that the platform takes to carry out a promotion, with slack."""
+"""Expected duration of a promotion with a margin, in seconds."""
 
 MAX_ORDER_ATTEMPTS = 4
-"""Times that an order without an answer is sent."""
+"""Attempts to send a promotion order that gets no answer."""
 
 CATCH_UP_TIMEOUT_S = 1.5
-"""Longest wait for the next primary to have the whole log, in seconds."""
+"""Timeout for the next primary to receive the whole log, in seconds."""
 
 CLAIM_HOLDER_TIMEOUT_S = 1.1
-"""Time that the host with the claim has before another one acts."""
+"""Time in which the host that holds the claim acts alone, in seconds.
+
+Other hosts start no change of their own before that.
+"""
 
 LEAD_POLL_INTERVAL_S = 0.03
-"""Pause between two questions whether the new primary leads."""
+"""Time between two checks whether the new primary leads, in seconds."""
 
 LEAD_TIMEOUT_S = 1.5
-"""Time after which a promotion that shows no effect is ordered anew."""
+"""Timeout for a promoted member to lead, in seconds.
+
+After the timeout, the change is decided anew.
+"""
 
 FAILOVER_BACKOFF_S = 0.7
-"""Pause after most hosts still reached a primary missed here."""
+"""Time without a new failover after one was abandoned, in seconds.
+
+Applies for example where most hosts still reach a primary that this host can't
+reach.
+"""
 
 DEMOTION_DELAY_S = 0.42
-"""Time from the order until the leaving primary is demoted.
+"""Time from the promotion order until the old primary is demoted.
 
-The platform takes some hundred ms more to finish, in which the last
-records reach the new primary; writes wait for that long and no more.
+In seconds. The platform takes some hundred milliseconds more to finish the
+promotion, in which the last records reach the new primary. Writes wait no
+longer than this remaining time.
 """
 
 
 class PrimaryChanger:
-    """Carries out the changes of primary that fall to this host.
+    """Carries out the primary changes that this host is responsible for.
 
     Parameters
     ----------
     host : str
         Name of this host.
     prober : MemberProber
-        Asks the members.
+        Sends health checks and status requests to the members.
     vote : HostVote
-        Asks the other hosts.
+        Collects reports from the other hosts.
     claims : ClaimStore
-        Claims of the groups.
+        Newest claim of each group.
     promotions : PromotionService
-        Orders promotions.
+        Orders promotions from the platform.
     peers : Peers
-        Other hosts.
+        Connections to the other hosts.
     registered_hosts : Callable[[], Mapping[str, str]]
         Availability zone of each registered host, this one included.
     groups : Mapping[str, Group]
         Groups by name.
     holder_id : Callable[[], int | None]
-        Number that no other running host has; ``None`` before it is
+        Number that is unique among the running hosts; ``None`` before it is
         known.
     clock : Clock
         Monotonic time.
     metrics : ProxyMetrics
-        Counts changes.
+        Counts primary changes.
     """
 
     def __init__(
@@ -124,14 +135,14 @@
         self._backoff_until: dict[str, float] = {}
 
     def fail_over(self, group: Group, lost_primary: str | None) -> None:
-        """Promote another member where most hosts miss the primary.
+        """Promote another member where most voters can't reach the primary.
 
         Parameters
         ----------
         group : Group
-            Group without a primary that answers here.
-        lost : str | None
-            Primary that does not answer, if one is known.
+            Group whose primary does not answer this host.
+        lost_primary : str | None
+            Primary that does not answer; ``None`` where no primary is known.
         """
         now = self._clock.now()
         state = group.state
@@ -180,7 +191,7 @@
             self._promote(group, target, round_number, None)
 
     def hand_over(self, group: Group, leaving: str) -> None:
-        """Move the lead away from a primary that is about to stop."""
+        """Promote another member before the present primary stops."""
         state = group.state
         if self._clock.now() < state.change_due_at:
             return
@@ -208,7 +219,7 @@
             self._promote(group, target, round_number, None)
 
     def on_leader_notice(self, notice: LeaderNotice) -> LeaderNotice:
-        """Ask a member that another host says leads; return the notice."""
+        """Check whether the announced member leads; return the notice."""
         self._claims.advance_round(notice.group, notice.round)
         group = self._groups.get(notice.group)
         if group is not None and group.state.primary != notice.member:
@@ -216,7 +227,7 @@
         return notice
 
     def _back_off(self, group: Group) -> None:
-        """Leave a group alone for a while; nobody need wait for it."""
+        """Suspend failovers of a group, and let no request wait for one."""
         deadline = self._clock.now() + FAILOVER_BACKOFF_S
         self._backoff_until[group.state.group] = deadline
         group.state.hopeless_until = deadline
@@ -229,8 +240,10 @@
     ) -> str | None:
         """Return the member to promote where replicas confirm commits.
 
-        Only the host with the claim holds replicas and lets them go: a
-        hold that another host ended would let a commit slip by.
+        Replication to the replicas is paused first. Only the host that holds
+        the claim pauses and resumes replication: if another host resumed it, a
+        replica that is not promoted could confirm a commit, and the new
+        primary would lack the commit.
         """
         synchronous = group.synchronous_replicas
         paused_statuses = self._prober.pause_replication(group, statuses)
@@ -250,7 +263,7 @@
     def _demote_and_catch_up(
         self, group: Group, leaving: str, old_status: LogStatus, target: str
     ) -> bool:
-        """Demote a leaving primary and wait until the next has its log."""
+        """Demote a leaving primary; return whether the target has its log."""
         demoted = self._demote_member(group, leaving, old_status)
         deadline = self._clock.now() + CATCH_UP_TIMEOUT_S
         while demoted is not None and self._clock.now() < deadline:
@@ -263,7 +276,10 @@
     def _wait_turn(
         self, group: Group, after_round: int, is_service_out: bool
     ) -> bool:
-        """Give the hosts before this one their head start."""
+        """Wait for this host's turn; return whether a change is still due.
+
+        The hosts that precede this host in rank act first.
+        """
         state = group.state
         delay_s = act_delay_s(
             state.group, self._host, self._registered_hosts(), is_service_out
@@ -279,7 +295,7 @@
         lost_primary: str | None,
         statuses: dict[str, LogStatus],
     ) -> bool:
-        """Return whether a member leads after all."""
+        """Return whether a member leads, so that no failover is needed."""
         health = group.state.members.get(lost_primary or '')
         if health is not None and health.failing_since is None:
             return True
@@ -307,10 +323,10 @@
         round_number: int,
         old_status: tuple[str, LogStatus] | None,
     ) -> None:
-        """Order one promotion and see it through.
+        """Order a promotion and wait until it takes effect.
 
-        Where it shows no effect, the next look at the group decides anew
-        from what it then sees, never from what was seen before.
+        A promotion without effect is not repeated here. The next check of the
+        group decides again from the state of the members at that time.
         """
         state = group.state
         began_at = self._clock.now()
@@ -334,7 +350,11 @@
     def _announce_leader(
         self, group: Group, member: str, round_number: int
     ) -> None:
-        """Let the hosts that can't see the service know the leader."""
+        """Notify all hosts of the leader.
+
+        A host that can't reach the platform's service learns of the leader by
+        this notice only.
+        """
         notice = LeaderNotice(group.state.group, member, round_number)
         for host in self._registered_hosts():
             if host != self._host:
@@ -345,7 +365,11 @@
     def _claim_round(
         self, group: Group, after_round: int, target: str
     ) -> int | None:
-        """Claim the change; ``None`` where another acts or none can say."""
+        """Claim the change; return its round, or ``None`` where that failed.
+
+        The claim fails where another host holds it or the platform's service
+        can't confirm it.
+        """
         name = group.state.group
         claimed = self._claims.try_claim(name, after_round, target)
         failure = None if isinstance(claimed, Success) else claimed.failure()
@@ -358,7 +382,7 @@
         if failure is None:
             return claimed.unwrap()
         if isinstance(failure, RevisionConflict):
-            # Another host acts; give it the time to finish.
+            # Another host holds the claim and needs time to finish the change.
             group.state.change_due_at = (
                 self._clock.now() + CLAIM_HOLDER_TIMEOUT_S
             )
@@ -372,10 +396,11 @@
         lost_primary: str | None,
         reports: Sequence[ReachReport],
     ) -> int | None:
-        """Return a round of this side's own while the service is out.
+        """Return a round that is used while the platform's service is out.
 
-        Only the side with most of all hosts may, one host after the
-        other, and only while no member has come to lead meanwhile.
+        Only a host on the side of a network partition that has a majority of
+        all hosts may continue without a claim. The hosts take turns, and none
+        continues once a member leads.
         """
         if (
             self._clock.now() < group.state.change_due_at
@@ -408,15 +433,16 @@
     def _order_promotion(
         self, group: Group, target: str, round_number: int
     ) -> bool:
-        """Order a promotion; return whether it may have been taken."""
+        """Order a promotion; return whether it may have been accepted."""
         holder_id = self._holder_id()
         if holder_id is None:
             return False
         name = group.state.group
         token = fencing_token(round_number, holder_id)
         for _ in range(MAX_ORDER_ATTEMPTS):
-            # The same order again is harmless: once it is carried out, a
-            # late repeat finds the member leading, or a higher token.
+            # Repeating the order is safe: once the promotion is carried out, a
+            # late repetition is rejected, since the member leads already or
+            # the platform has seen a higher token.
             done = self._promotions.promote(name, target, self._host, token)
             failure = None if isinstance(done, Success) else done.failure()
             if not isinstance(failure, PlatformAnswerLost):
--- a/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
@@ -1,4 +1,4 @@
-"""Watches the primary of one group from this host."""
+"""Monitors the primary of one database group from this host."""
 
 from __future__ import annotations
 
@@ -23,81 +23,89 @@
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
 
 CHECK_INTERVAL_S = 0.1
-"""Time between two looks at the primary, in seconds."""
+"""Time between two health checks of the primary, in seconds."""
 
 RELAY_CHECK_INTERVAL_S = 0.4
-"""The same on a host that holds no connection to the group, in seconds.
+"""Check interval on a host without connections to the group, in seconds.
 
-Whoever holds one looks at the primary; trouble with a statement wakes the
-watch at once.
+The hosts that hold connections check the primary more often. A failed
+statement triggers a check at once on any host.
 """
 
 SILENCE_TIMEOUT_S = 0.25
-"""Silence of a primary with statements in flight that needs a look.
+"""Time without an answer after which the primary is checked, in seconds.
 
-Above the time of the slowest statement behind a full queue.
+Applies while statements are in flight. The timeout exceeds the duration of the
+slowest statement behind a full queue of the member.
 """
 
 MAX_EVIDENCE_AGE_S = 0.4
-"""Age at which evidence is renewed while the group is in use."""
+"""Age at which the evidence of a group in use is renewed, in seconds."""
 
 EVIDENCE_REQUEST_AGE_S = 0.7
-"""Age of the newest evidence at which other hosts are asked for theirs."""
+"""Age of the newest evidence at which other hosts are asked, in seconds."""
 
 EVIDENCE_REQUEST_INTERVAL_S = 0.3
-"""Time between two questions for evidence, in seconds.
+"""Time between two evidence requests to other hosts, in seconds.
 
-Others may have none either, as long as nobody has written.
+The other hosts may have no evidence either, since there is none before the
+first write.
 """
 
 RELAY_EVIDENCE_REQUEST_AGE_S = 0.8
-"""The same where the holders of the primary prove its lead, in seconds.
+"""Evidence age at which a host without connections asks, in seconds.
 
-Replies of holders bring evidence along; with one look more it stays below
-1.5 s, the least age that routes accept.
+Applies where other hosts hold the connections to the primary and prove its
+leadership. Their replies to relayed statements also carry evidence. With one
+check interval added, the age stays below 1.5 s, the smallest maximum age that
+a route accepts.
 """
 
 IN_USE_TIMEOUT_S = 2.0
-"""Time after its last request for which a group counts as in use."""
+"""Time after its last request for which a group is in use, in seconds."""
 
 LEADERLESS_TIMEOUT_S = 0.4
-"""Time without a leader, at members that answer, before one is chosen."""
+"""Time without a leader before a failover starts, in seconds.
+
+Applies while the members answer but none of them leads.
+"""
 
 REPLICA_CHECK_INTERVAL_S = 0.4
-"""Time between two questions to a replica that does not answer."""
+"""Time between two health checks of a failed replica, in seconds."""
 
 LEADER_SEARCH_INTERVAL_S = 0.5
-"""Time between two searches for a leader through other hosts, in seconds.
+"""Time between two leader searches through other hosts, in seconds.
 
-Its notice and its entry come without a search in most cases.
+The leader notice and the member's entry in the platform's service usually
+arrive first, so that no search is needed.
 """
 
 MAX_HOSTS_PER_ROLE = 2
-"""Holders, and voters, that are asked for a member together."""
+"""Holders, and voters, that are asked to check one member at once."""
 
 LOG_INTERVAL_S = 1.0
-"""Time between two log lines on one primary that is missed."""
+"""Time between two log events about one unreachable primary, in seconds."""
 
 
 class PrimaryWatch(Service):
-    """Keeps proof of the primary fresh and notices its loss.
+    """Keeps the evidence of a group recent and detects a lost primary.
 
     Parameters
     ----------
     group : Group
-        Group to watch.
+        Group to monitor.
     prober : MemberProber
-        Asks the members.
+        Sends health checks and status requests to the members.
     vote : HostVote
-        Asks other hosts for a member.
+        Asks other hosts whether they reach a member.
     changer : PrimaryChanger
-        Changes the primary.
+        Carries out failovers and handovers.
     evidence : EvidenceExchange
-        Asks other hosts for proved positions.
+        Requests proved positions from other hosts.
     clock : Clock
         Monotonic time.
     metrics : ProxyMetrics
-        Takes the time without a primary.
+        Records how long the group had no primary.
     """
 
     def __init__(
@@ -129,11 +137,11 @@
         self._replicas_checked_at = float('-inf')
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start monitoring."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop to watch."""
+        """Stop monitoring."""
         for greenlet in (
             self._greenlet,
             self._change_greenlet,
@@ -153,7 +161,9 @@
             self._group.check_requested.clear()
             try:
                 self._check_primary()
-            except Exception as exc:  # a fault here must not end the watch
+            except (
+                Exception
+            ) as exc:  # An unexpected error must not end the monitoring.
                 events.HANDLER_CRASHED.log(
                     message='primary-watch', error=repr(exc)
                 )
@@ -192,7 +202,7 @@
             self._spawn_change(self._changer.fail_over, self._group, None)
 
     def _is_search_allowed(self) -> bool:
-        """Return whether to ask the members now which one leads."""
+        """Return whether the members may be asked now which one leads."""
         now = self._clock.now()
         if (
             self._is_relay_only
@@ -203,7 +213,12 @@
         return True
 
     def _is_member_reachable(self, member: str) -> bool:
-        """Return whether a member answers, at the least cost to it."""
+        """Return whether a member answers.
+
+        Where other hosts hold the connections to the member, the check goes
+        through these hosts, so that the member gets no additional connection
+        from this host.
+        """
         access = self._group.find_access(member)
         voters = list(self._vote.voters(self._group))
         if access is None or not access.is_relayed:
@@ -238,12 +253,12 @@
     def _spawn_change(
         self, change: Callable[..., None], *arguments: Any
     ) -> None:
-        """Run a change beside the watch, one at a time."""
+        """Run a change in its own greenlet unless one is running already."""
         if self._change_greenlet is None or self._change_greenlet.ready():
             self._change_greenlet = gevent.spawn(change, *arguments)
 
     def _check_failed_replicas(self) -> None:
-        """Ask the replicas that stopped to answer, now and then."""
+        """Check the replicas that do not answer, at most once per interval."""
         now = self._clock.now()
         if now - self._replicas_checked_at < REPLICA_CHECK_INTERVAL_S:
             return
@@ -254,7 +269,7 @@
                 gevent.spawn(self._is_member_reachable, member)
 
     def _request_evidence(self) -> None:
-        """Ask other hosts while this one has no proof of its own."""
+        """Request evidence from other hosts where the newest is too old."""
         state = self._group.state
         now = self._clock.now()
         if now - state.asked_at > IN_USE_TIMEOUT_S:
@@ -277,7 +292,7 @@
 
     @property
     def _is_relay_only(self) -> bool:
-        """Whether this host holds no connection to the group."""
+        """Whether this host has no connection of its own to any member."""
         accesses = self._group.accesses.values()
         return bool(accesses) and all(p.is_relayed for p in accesses)
 
@@ -290,14 +305,14 @@
     def _is_evidence_due(self, now: float) -> bool:
         state = self._group.state
         if self._is_primary_relayed:
-            # The holders prove it for every host.
+            # The holders prove the primary's leadership for every host.
             return False
         if now - state.asked_at > IN_USE_TIMEOUT_S:
             return False
         return now - state.proved_at > MAX_EVIDENCE_AGE_S
 
     def _record_gap(self, health: MemberHealth | None) -> None:
-        """Note how long the group has had no primary that answers."""
+        """Record how long the group had no primary that answers."""
         now = self._clock.now()
         is_lost = health is None or health.failing_since is not None
         if is_lost and self._lost_at is None:
