--- a/packages/node/src/trefoilpulley_node/proxy/__init__.py
+++ b/packages/node/src/trefoilpulley_node/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Runs sessions that are a connection."""
+"""Proxy in which each session of a caller is one connection."""
--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_session.py
@@ -1,4 +1,4 @@
-"""Session of one caller: its commands and their answers."""
+"""A caller's session, which handles commands one after the other."""
 
 from __future__ import annotations
 
@@ -42,20 +42,20 @@
     from trefoilpulley_node.proxy.statement_runner import StatementRunner
 
 CONFIGURATION_TIMEOUT_S = 1.5
-"""Longest wait of a new session for the first configuration.
+"""Time that a new session waits for the first configuration.
 
-Callers give up a connection that is not greeted within two seconds.
+In seconds. Callers give up a connection without a greeting after two seconds.
 """
 
-SERVED_LOG_INTERVAL = 200
+SERVED_REQUESTS_PER_EVENT = 200
 """Served requests of a session for each one that is logged."""
 
 MAX_SESSION_VALUES = 256
-"""Values and prepared statements that one session may keep."""
+"""Maximum number of values and prepared statements of one session."""
 
 
 class SessionFactory:
-    """Makes the sessions of callers.
+    """Creates the callers' sessions and holds what the sessions share.
 
     Parameters
     ----------
@@ -64,11 +64,11 @@
     directory : ProxyDirectory
         Routes and groups.
     runner : StatementRunner
-        Runs single statements.
+        Runs statements outside of transactions.
     exchanger : Exchanger
-        Runs requests on connections.
+        Sends requests on connections.
     primary_wait : PrimaryWait
-        Waits for a change of primary that is nearly over.
+        Waits until a new primary is known.
     clock : Clock
         Monotonic time.
     metrics : ProxyMetrics
@@ -100,8 +100,8 @@
     def find_failure(self, database: str) -> Failure | None:
         """Return why no session can be opened, or ``None``.
 
-        A host that has just started waits for its configuration rather
-        than deny a database that it does not know yet.
+        A host that has just started waits for its first configuration, since
+        without it every database would be refused as unknown.
         """
         if not self.directory.wait_loaded(CONFIGURATION_TIMEOUT_S):
             return NoUpstream('no configuration yet')
@@ -115,8 +115,8 @@
 
     Parameters
     ----------
-    parts : SessionFactory
-        What the sessions of a host share.
+    factory : SessionFactory
+        Objects that all sessions of a host share.
     database : str
         Database name that the caller gave.
     """
@@ -138,7 +138,7 @@
 
     @property
     def transaction_state(self) -> TransactionState:
-        """State that the caller is told."""
+        """Transaction state that is reported to the caller."""
         if self._transaction is None:
             return TransactionState.IDLE
         if self._transaction.is_failed:
@@ -147,11 +147,11 @@
 
     @property
     def transaction_idle_s(self) -> float:
-        """Time after which an idle transaction ends, in seconds."""
+        """Time after which an idle transaction is aborted, in seconds."""
         return self._factory.directory.table.transaction_idle_s
 
     def handle(self, command: Command) -> Reply:
-        """Carry out one command and return its answer."""
+        """Handle one command and return its reply."""
         self.is_busy = True
         began_at = self._factory.clock.now()
         try:
@@ -168,14 +168,14 @@
         return reply
 
     def abort(self) -> None:
-        """Roll an open transaction back; only a rollback is left."""
+        """Roll back an open transaction and mark it as failed."""
         if self._transaction is None or self._transaction.is_failed:
             return
         self._transaction.is_failed = True
         self._transaction.roll_back()
 
     def close(self) -> None:
-        """Roll back what the caller has left open."""
+        """Roll back an open transaction at the end of the session."""
         if self._transaction is not None:
             self._transaction.roll_back()
             self._transaction = None
@@ -330,11 +330,11 @@
         self._factory.metrics.observe('request_seconds', took_s, kind)
 
     def _log_served(self, run: Run, reply: Reply, took_s: float) -> None:
-        """Log one served request in some, and each that took long."""
+        """Log a sample of the served requests, and every slow one."""
         self._served_count += 1
         route = self._route()
         is_late = route is not None and took_s > route.goal_s
-        if is_late or self._served_count % SERVED_LOG_INTERVAL == 1:
+        if is_late or self._served_count % SERVED_REQUESTS_PER_EVENT == 1:
             events.STATEMENT_SERVED.log(
                 request=run.request_id,
                 database=self._database,
--- a/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
@@ -1,4 +1,4 @@
-"""Transaction of one caller, pinned to one connection."""
+"""A caller's transaction, pinned to one connection."""
 
 from __future__ import annotations
 
@@ -39,20 +39,21 @@
     from trefoilpulley_node.proxy.work import StatementRequest
 
 MAX_OPEN_ATTEMPTS = 6
-"""Members that a transaction may be opened at, repeats included."""
+"""Attempts to open a transaction, repetitions at the same member included."""
 
 OPEN_TIMEOUT_S = 0.3
-"""Longest time to open a transaction, which needs no slot."""
+"""Timeout to open a transaction, in seconds; opening needs no slot."""
 
 STATEMENT_TIMEOUT_S = 0.45
-"""Silence after which a statement's answer counts as lost, in seconds.
+"""Timeout of a statement inside a transaction, in seconds.
 
-Above the time of the slowest statement behind a full queue of a member;
-the transaction is then rolled back and its caller told so at once.
+The timeout exceeds the duration of the slowest statement behind a full queue
+of a member. After the timeout, the transaction is rolled back and the caller
+gets an error at once.
 """
 
 ROLLBACK_TIMEOUT_S = 0.5
-"""Longest time for a rollback before the connection is closed."""
+"""Timeout of a rollback before the connection is closed, in seconds."""
 
 
 class CallerTransaction:
@@ -61,13 +62,13 @@
     Parameters
     ----------
     is_read_only : bool
-        Whether the caller promised not to write.
+        Whether the caller declared the transaction read-only.
     zone : str
         Availability zone of this host.
     exchanger : Exchanger
-        Runs requests on connections.
+        Sends requests on connections.
     primary_wait : PrimaryWait
-        Waits for a change of primary that is nearly over.
+        Waits until a new primary is known.
     clock : Clock
         Monotonic time.
     """
@@ -89,7 +90,7 @@
         self._conn: MemberSession | None = None
         self._has_written = False
         self.is_failed = False
-        """Whether only a rollback is possible."""
+        """Whether the caller can only roll back."""
 
         self.has_sent_statement = False
         """Whether a statement of the caller was sent to a member."""
@@ -126,7 +127,11 @@
         return self._abort(request, failure)
 
     def commit(self, request: StatementRequest) -> Result[Reply, Failure]:
-        """Commit; a lost answer of a transaction that wrote is unknown."""
+        """Commit the transaction.
+
+        Where the reply to the commit is lost and the transaction has written,
+        the outcome is unknown.
+        """
         if self._conn is None:
             opened = self._open(request)
             if not isinstance(opened, Success):
@@ -161,7 +166,7 @@
         return Success(reply)
 
     def roll_back(self) -> None:
-        """Roll back and give the connection back."""
+        """Roll back and release the connection."""
         if self._conn is None:
             return
         access, conn = self._access, self._conn
@@ -181,7 +186,7 @@
         return is_first and self._clock.now() < request.deadline - 0.1
 
     def _retry(self, request: StatementRequest) -> Result[Reply, Failure]:
-        """Open the transaction anew after its first statement met no slot."""
+        """Retry in a new transaction after the first statement got no slot."""
         self._access.health.on_busy(self._clock.now())
         self.roll_back()
         self.has_sent_statement = False
@@ -198,7 +203,8 @@
             place = self._place(request, frozenset(excluded))
             if place is None:
                 if self._primary_wait.is_serving(request.group):
-                    # Every member has refused, for load or for lag.
+                    # Every member has refused to open the transaction, for
+                    # overload or replication lag.
                     break
                 if not self._primary_wait.wait(request):
                     break
@@ -285,7 +291,7 @@
     def _abort(
         self, request: StatementRequest, failure: Failure
     ) -> Result[Reply, Failure]:
-        """End the transaction; nothing of it is kept."""
+        """End the transaction without a commit and return its failure."""
         self.is_failed = True
         self._discard()
         events.TRANSACTION_ABORTED.log(
--- a/packages/node/src/trefoilpulley_node/proxy/claims.py
+++ b/packages/node/src/trefoilpulley_node/proxy/claims.py
@@ -1,4 +1,4 @@
-"""Claims to change a primary, agreed through the platform's service."""
+"""Claims to change a primary, coordinated by the platform's service."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
     from trefoilpulley_core.platform import Platform
 
 CLAIM_TIMEOUT_S = 0.3
-"""Longest wait for the service before a failover goes on without it."""
+"""Timeout of a claim before a failover continues without it, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownClaim:
-    """Newest claim of a group as this host knows it."""
+    """Newest claim of a group that this host knows."""
 
     claim: Claim
     """Claim."""
 
     revision: int
-    """Revision in the service."""
+    """Revision of the claim's key in the service."""
 
 
 class ClaimStore:
-    """Newest claims of every group.
+    """Keeps the newest claim of every group.
 
     Parameters
     ----------
@@ -57,17 +57,17 @@
         self._unpublished: set[str] = set()
 
     def last_round(self, group: str) -> int:
-        """Return the number of a group's newest claim, or 0."""
+        """Return the round of a group's newest claim, or 0."""
         known = self._known.get(group)
         return known.claim.round if known else 0
 
     def record_claim(self, group: str, claim: Claim, revision: int) -> bool:
-        """Take a claim; return whether it is newer than the known one."""
+        """Record a claim; return whether it is newer than the known claim."""
         known = self._known.get(group)
         if known is not None and known.revision >= revision:
             return False
         if known is not None and known.claim.round > claim.round:
-            # A round used without the service is ahead of the stored one.
+            # A round used while the service was out exceeds the stored round.
             self._known[group] = KnownClaim(known.claim, revision)
             self._unpublished.add(group)
             return False
@@ -75,7 +75,7 @@
         return True
 
     def advance_round(self, group: str, round_number: int) -> None:
-        """Note a number that was used without the service."""
+        """Record a round that was used without a claim in the service."""
         known = self._known.get(group)
         revision = known.revision if known else 0
         if round_number > self.last_round(group):
@@ -84,9 +84,10 @@
             self._unpublished.add(group)
 
     def publish(self) -> None:
-        """Write the rounds that were used without the service.
+        """Write the rounds that were used while the service was out.
 
-        A host that was cut off meanwhile then can't claim one of them.
+        A host that was cut off in the meantime then can't claim one of these
+        rounds.
         """
         for group in tuple(self._unpublished):
             known = self._known[group]
@@ -98,7 +99,7 @@
                 self._known[group] = KnownClaim(known.claim, done.unwrap())
                 self._unpublished.discard(group)
             elif isinstance(done.failure(), RevisionConflict):
-                # Another host has published the round or a later one.
+                # Another host has published the same or a later round.
                 self._unpublished.discard(group)
 
     def try_claim(
@@ -109,9 +110,9 @@
         Returns
         -------
         Result[int, Failure]
-            Number of the change; `RevisionConflict` where another host
-            was first; `PlatformDown` or `PlatformAnswerLost` where the
-            service can't say.
+            Round of the claim; `RevisionConflict` where another host claimed
+            first; `PlatformDown` or `PlatformAnswerLost` where the service
+            can't confirm the claim.
         """
         if self.last_round(group) != after_round:
             return Failed(RevisionConflict(group))
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -1,4 +1,4 @@
-"""Lends this host's connections to the statements of other hosts."""
+"""Relays requests of other hosts to members on this host's connections."""
 
 from __future__ import annotations
 
@@ -38,33 +38,35 @@
     from trefoilpulley_node.proxy.member_pool import PooledSession
 
 LEASE_MARGIN_S = 1.0
-"""Time that a lease may rest longer than a caller's transaction.
+"""Time added to the idle timeout of a transaction before its lease ends.
 
-The borrowing host ends an idle transaction first, where it still runs.
+In seconds. The host that opened the lease aborts an idle transaction earlier,
+as long as that host is running.
 """
 
 ENDED_LEASE_TTL_S = 5.0
-"""Time for which the end of a lease without a request is kept, in seconds.
+"""Time for which the end of an unknown lease is remembered, in seconds.
 
-Both are read together, or the connection breaks.
+The end of a lease and its request arrive together unless the connection
+between the hosts breaks.
 """
 
 
 @dataclass(eq=False, slots=True)
 class _Lease:
-    """Connection that a transaction of another host is open on."""
+    """Use of a connection by another host for a request or transaction."""
 
     group: Group
     """Group of the member."""
 
     access: MemberAccess
-    """Way to the member."""
+    """Access to the member."""
 
     used_at: float
     """Time of the last request, in seconds."""
 
     conn: PooledSession | None = None
-    """Connection; none while the lease waits for one."""
+    """Connection; ``None`` while the lease waits for one."""
 
     is_busy: bool = True
     """Whether a request is being served."""
@@ -73,18 +75,18 @@
     """Whether a transaction is open on the connection."""
 
     is_abandoned: bool = False
-    """Whether the borrowing host has given it up."""
+    """Whether the requesting host has ended the lease."""
 
 
 class RelayServer:
-    """Serves the statements that other hosts send through this one.
+    """Serves the requests that other hosts relay through this host.
 
     Parameters
     ----------
     groups : Mapping[str, Group]
         Groups by name.
     exchanger : Exchanger
-        Runs requests on connections.
+        Sends requests on connections.
     clock : Clock
         Monotonic time.
     """
@@ -100,7 +102,7 @@
 
     @property
     def leases(self) -> int:
-        """Requests being served and transactions open for other hosts."""
+        """Number of active requests and open transactions of other hosts."""
         return len(self._leases)
 
     def on_calls(
@@ -145,21 +147,22 @@
         )
 
     def on_end(self, message: EndLease, peer: PeerIdentity) -> PooledDone:
-        """End a lease that the borrowing host has given up."""
+        """End a lease that the requesting host no longer needs."""
         key = peer.connection, message.lease
         if key not in self._leases:
-            # A host that was paused reads the end with the request.
+            # After a pause, this host can handle the end of a lease before the
+            # request that opens the lease.
             self._ended_leases[key] = self._clock.now()
         self._abandon(key)
         return PooledDone()
 
     def on_peer_closed(self, peer: PeerIdentity) -> None:
-        """End the leases of a connection that has ended."""
+        """End all leases of a peer connection that was closed."""
         for key in [k for k in self._leases if k[0] == peer.connection]:
             self._abandon(key)
 
     def end_idle(self, transaction_idle_s: float) -> None:
-        """End the leases of hosts that fell silent."""
+        """End the leases whose hosts have sent nothing for too long."""
         now = self._clock.now()
         self._ended_leases = {
             k: t
@@ -174,7 +177,7 @@
     def _open_lease(
         self, key: tuple[int, int], message: RelayedCalls, deadline: float
     ) -> RelayRefused | None:
-        """Take a connection for a new lease, or say why there is none."""
+        """Open a lease on a connection, or return why that failed."""
         group = self._groups.get(message.group)
         access = group.find_access(message.member) if group else None
         if access is None:
@@ -191,7 +194,8 @@
             return _make_refusal(acquired.failure(), is_unreachable)
         lease.conn = acquired.unwrap()
         if lease.is_abandoned:
-            # The session may have other values by now.
+            # The session values of the caller may have changed in the
+            # meantime.
             self._close_lease(key, lease)
             return _make_refusal(NoUpstream('given up before it was sent'))
         return None
@@ -205,7 +209,7 @@
             self._close_lease(key, lease)
 
     def _close_lease(self, key: tuple[int, int], lease: _Lease) -> None:
-        """Give a connection back; one in a transaction is closed."""
+        """Release the connection; close it where a transaction is open."""
         self._leases.pop(key, None)
         if lease.conn is None:
             return
@@ -233,7 +237,10 @@
     replies: Sequence[Reply],
     sent_at: float,
 ) -> None:
-    """Learn from plain transactions, which only a leader opens."""
+    """Record the proofs that the replies contain.
+
+    Only a leader opens a read-write transaction.
+    """
     for call, reply in zip(message.calls, replies, strict=True):
         if not isinstance(call, OpenTransaction) or call.is_read_only:
             continue
--- a/packages/node/src/trefoilpulley_node/proxy/directory.py
+++ b/packages/node/src/trefoilpulley_node/proxy/directory.py
@@ -1,4 +1,4 @@
-"""Routes, groups and pools of this host."""
+"""Routes, groups and member accesses of this host."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Group:
-    """One database group: what is known of it, and its pools.
+    """One database group: its state and the accesses to its members.
 
     Parameters
     ----------
@@ -37,34 +37,34 @@
     def __init__(self, name: str) -> None:
         self.state = GroupState(name)
         self.accesses: dict[str, MemberAccess] = {}
-        """Ways to the members, by member."""
+        """Accesses by member."""
 
         self.limits: GroupLimits | None = None
-        """Limits in the configuration."""
+        """Limits of the group in the configuration."""
 
         self.primary_changed = Event()
-        """Set for a moment whenever a primary has proved itself."""
+        """Set and replaced whenever another member becomes the primary."""
 
         self.check_requested = Event()
-        """Set where the primary may be lost."""
+        """Set to have the primary checked at once."""
 
     def notify_primary_changed(self) -> None:
-        """Wake the work that waits for a primary."""
+        """Wake the requests that wait for a primary."""
         waiting, self.primary_changed = self.primary_changed, Event()
         waiting.set()
 
     @property
     def synchronous_replicas(self) -> int:
-        """Replicas that receive a commit before it is acknowledged."""
+        """Number of replicas that must receive a commit to acknowledge it."""
         return self.limits.synchronous_replicas if self.limits else 0
 
     def find_access(self, member: str) -> MemberAccess | None:
-        """Return the way to a member, or ``None``."""
+        """Return the access to a member, or ``None``."""
         return self.accesses.get(member)
 
 
 class ProxyDirectory:
-    """Holds the newest routes and entries.
+    """Holds the routes and member entries that are in force.
 
     Parameters
     ----------
@@ -75,7 +75,7 @@
     dialer : UpstreamDialer
         Opens connections to members.
     peers : Peers
-        Other hosts.
+        Connections to the other hosts.
     clock : Clock
         Monotonic time.
     """
@@ -99,7 +99,7 @@
         """Routes in force."""
 
         self.groups: dict[str, Group] = {}
-        """Groups that a route leads to, by name."""
+        """Groups that a route refers to, by name."""
 
         self._on_group: list[Callable[[Group], None]] = []
         self._loaded = Event()
@@ -111,15 +111,15 @@
 
     @property
     def live_hosts(self) -> dict[str, tuple[str, ...]]:
-        """Live hosts by availability zone, this one included."""
+        """Live hosts by availability zone, this host included."""
         return self._live
 
     def wait_loaded(self, timeout_s: float) -> bool:
-        """Wait for the first configuration; false where none came."""
+        """Wait for the first configuration; return whether it is in force."""
         return self._loaded.wait(timeout_s)
 
     def subscribe_groups(self, on_group: Callable[[Group], None]) -> None:
-        """Call back for each new group."""
+        """Register a callback for each new group."""
         self._on_group.append(on_group)
 
     def find_route(self, database: str) -> Route | None:
@@ -131,7 +131,7 @@
         return self.groups.get(route.group)
 
     def set_routes(self, table: RouteTable) -> bool:
-        """Take a configuration where it is newer than the present one."""
+        """Apply a configuration; return whether it was newer."""
         if table.version <= self.table.version:
             return False
         self.table = table
@@ -145,13 +145,13 @@
         return True
 
     def set_hosts(self, live: dict[str, tuple[str, ...]]) -> None:
-        """Take the live hosts by availability zone, this one included."""
+        """Set the live hosts by availability zone, this host included."""
         if live != self._live:
             self._live = live
             self._update_shares()
 
     def set_member(self, record: MemberRecord) -> None:
-        """Take a member's entry."""
+        """Add or update a member by its entry."""
         if self._records.get(record.member) == record:
             return
         self._records[record.member] = record
@@ -166,14 +166,14 @@
         self._update_group(record.group)
 
     def remove_member(self, member: str) -> None:
-        """Forget a member that is gone."""
+        """Remove a member whose entry was deleted."""
         record = self._records.pop(member, None)
         if record is not None:
             events.MEMBER_UNLISTED.log(member=member, group=record.group)
             self._update_group(record.group)
 
     def trim(self) -> None:
-        """Close connections that are not needed."""
+        """Close idle connections that are not needed."""
         now = self._clock.now()
         for group in self.groups.values():
             for member, access in group.accesses.items():
--- a/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
@@ -1,9 +1,9 @@
-"""Shares proved positions between hosts.
+"""Exchanges proved positions between hosts.
 
 Load pattern: after a restart of all hosts, or while some hosts are cut off
-from a primary, its connections are few. A host that can't prove the lead
-itself takes the floor of its reads from hosts that can, and its reads go
-on at the replicas.
+from a primary, few connections to the primary exist. A host that can't prove
+the leadership itself takes the floors of its reads from hosts that can, and
+continues to read at the replicas.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
     from trefoilpulley_node.proxy.directory import Group
 
 MAX_HOSTS_ASKED = 2
-"""Hosts that are asked at once; one may be as badly off as this one."""
+"""Hosts that are asked at once, since one alone may lack evidence too."""
 
 ANSWER_TIMEOUT_S = 0.2
-"""Longest wait for another host, in seconds."""
+"""Timeout of an evidence request to another host, in seconds."""
 
 
 class EvidenceExchange:
-    """Asks other hosts for evidence, and answers them.
+    """Requests evidence from other hosts and answers their requests.
 
     Parameters
     ----------
     host : str
         Name of this host.
     peers : Peers
-        Other hosts.
+        Connections to the other hosts.
     registered_hosts : Callable[[], Mapping[str, str]]
         Availability zone of each registered host.
     groups : Mapping[str, Group]
@@ -49,7 +49,7 @@
     clock : Clock
         Monotonic time.
     rng : random.Random
-        Picks the hosts to ask.
+        Chooses the hosts to ask.
     """
 
     def __init__(
@@ -69,10 +69,11 @@
         self._rng = rng
 
     def request_evidence(self, group: Group) -> None:
-        """Take newer evidence of a group from some other hosts."""
+        """Request the evidence of other hosts and record what is newer."""
         access = group.find_access(group.state.primary or '')
         if access is not None and access.is_relayed:
-            # Those of this host's own statements: their channel is open.
+            # The holder that relays this host's statements has an open
+            # channel.
             chosen = access.holders[:1]
         else:
             others = sorted(
@@ -89,7 +90,8 @@
         """Return this host's newest evidence."""
         group = self._groups.get(question.group)
         if group is not None:
-            # Keeps the evidence fresh while other hosts need it.
+            # A request of another host counts as use of the group, so that
+            # this host keeps its evidence recent.
             group.state.asked_at = self._clock.now()
         newest = group.state.evidence.newest if group else None
         return make_report(newest, self._clock.now())
--- a/packages/node/src/trefoilpulley_node/proxy/exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One statement on one lent connection."""
+"""Sends requests on a connection and evaluates the replies."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 class Exchanger:
-    """Runs requests on lent connections and learns from the replies.
+    """Sends requests on connections and updates the member's health.
 
     Parameters
     ----------
     clock : Clock
         Monotonic time.
     metrics : ProxyMetrics
-        Counts what members answer.
+        Counts the outcomes of statements sent to members.
     """
 
     def __init__(self, clock: Clock, metrics: ProxyMetrics) -> None:
@@ -54,7 +54,7 @@
         deadline: float,
         setting: SessionSetting | None = None,
     ) -> Result[tuple[Reply, ...], Failure]:
-        """Send requests and note how the member answered."""
+        """Send requests and record how the member answered."""
         health = access.health
         sent_at = self._clock.now()
         timeout_s = max(0.001, deadline - sent_at)
@@ -83,10 +83,11 @@
         is_proof_needed: bool,
         deadline: float,
     ) -> Result[Reply, Failure]:
-        """Run a statement, with a proof of leadership where needed.
+        """Run a statement, with a proof of leadership where one is needed.
 
-        The proof is a plain transaction opened behind the statement: a
-        member that still leads then led while the statement ran.
+        The proof is a read-write transaction that is opened after the
+        statement: a member that leads at that time also led while the
+        statement ran.
         """
         done = self._run(
             access, conn, request, floor, is_proof_needed, deadline
@@ -136,7 +137,7 @@
         call: OpenTransaction,
         deadline: float,
     ) -> Result[None, Failure]:
-        """Open a transaction; a plain one proves the lead."""
+        """Open a transaction; a read-write transaction proves leadership."""
         sent_at = self._clock.now()
         done = self.exchange(access, conn, (call,), deadline)
         if not isinstance(done, Success):
@@ -152,7 +153,7 @@
 def record_proof(
     group: Group, access: MemberAccess, sent_at: float, position: Position
 ) -> None:
-    """Note that a pool's member has proved to lead its group."""
+    """Record that a member has proved its leadership of a group."""
     member = access.health.record.member
     if group.state.on_proof(member, sent_at, position):
         group.notify_primary_changed()
--- a/packages/node/src/trefoilpulley_node/proxy/host_registration.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_registration.py
@@ -1,4 +1,4 @@
-"""Entry of this host in the platform's service, bound to a lease."""
+"""Registration of this host in the platform's service, bound to a lease."""
 
 from __future__ import annotations
 
@@ -26,21 +26,24 @@
     from trefoilpulley_core.platform import Platform
 
 LEASE_TTL_S = 30
-"""Time to live of a host's lease; probes notice a death sooner."""
+"""Time to live of a host's lease, in seconds.
+
+The probes of the membership detect a dead host earlier.
+"""
 
 RENEW_INTERVAL_S = 10.0
 """Time between two renewals of the lease, in seconds."""
 
 RETRY_INTERVAL_S = 1.0
-"""Pause after a call that failed, in seconds."""
+"""Time before a failed call is retried, in seconds."""
 
 
 class HostRegistration(Service):
-    """Keeps the host listed, so that other hosts find it.
+    """Keeps this host registered, so that other hosts can find it.
 
     Parameters
     ----------
-    me : HostEntry
+    host_entry : HostEntry
         Entry of this host.
     platform : Platform
         The platform's service.
@@ -61,7 +64,10 @@
 
     @property
     def holder_id(self) -> int | None:
-        """Number that no other running host has; from its first lease."""
+        """Number that is unique among the running hosts.
+
+        ``None`` before the first lease is granted.
+        """
         return self._holder_id
 
     @property
@@ -70,11 +76,11 @@
         return self._clock.now() - self._renewed_at
 
     def start(self) -> None:
-        """Begin to register."""
+        """Start to register the host and to renew its lease."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the lease, which removes the entry."""
+        """Revoke the lease, which removes the entry."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         if self._lease_id:
--- a/packages/node/src/trefoilpulley_node/proxy/lent_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/lent_session.py
@@ -1,4 +1,4 @@
-"""Interface to a session with a member that is lent to one piece of work."""
+"""Interface of a session with a member."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
 
 @dataclass(frozen=True, slots=True)
 class SetupFailed(PeerUnreachable):
-    """The connection could not take the session's values."""
+    """The member refused the session values or the prepared statement."""
 
     code = 'setup-failed'
 
 
 @dataclass(frozen=True, slots=True)
 class SessionSetting:
-    """What must be set on a connection before a caller's statement."""
+    """State that a connection needs before it runs a caller's statement."""
 
     session: SessionState
     """Values of the caller's session."""
 
     prepared: Prepare | None = None
-    """Prepared statement that will run, if any."""
+    """Prepared statement to run, if any."""
 
 
 class MemberSession(abc.ABC):
-    """Session with a member, on a connection of this host or of another."""
+    """Session with a member on a connection of this or another host."""
 
     @property
     @abc.abstractmethod
     def is_usable(self) -> bool:
-        """Whether it can be given back for the next work."""
+        """Whether the session can be reused for another request."""
 
     @abc.abstractmethod
     def exchange(
@@ -60,14 +60,14 @@
         calls : Sequence[Call]
             Requests.
         timeout_s : float
-            Longest wait for the last reply, in seconds.
+            Timeout for the last reply, in seconds.
         setting : SessionSetting, optional
-            What is set on the connection first, where it is not yet.
+            State to set on the connection first, as far as it differs.
         """
 
     def cancel_unsent(self) -> None:
-        """Make sure that what no member has been sent yet never is."""
+        """Cancel the requests that no member has been sent yet."""
 
     @abc.abstractmethod
     def close(self) -> None:
-        """End the session; the member rolls back what is open."""
+        """End the session; the member rolls back an open transaction."""
--- a/packages/node/src/trefoilpulley_node/proxy/member_access.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_access.py
@@ -1,4 +1,4 @@
-"""Way of this host to one member."""
+"""Access to one member, through the local pool or a relay."""
 
 from __future__ import annotations
 
@@ -24,14 +24,18 @@
 
 
 class MemberAccess:
-    """Lends sessions with a member, on own connections or relayed ones.
+    """Hands out sessions with a member.
+
+    A session uses a connection of this host or, where other hosts hold the
+    connections to the member, a relay through one of these hosts.
 
     Parameters
     ----------
-    own : MemberPool
+    local_pool : MemberPool
         Connections of this host.
-    relayed : RelayClient, optional
-        Connections of other hosts; without it there are only own ones.
+    relay_client : RelayClient, optional
+        Relays through other hosts; ``None`` where only local connections are
+        used.
     """
 
     def __init__(
@@ -42,21 +46,21 @@
 
     @property
     def health(self) -> MemberHealth:
-        """How the member answers this host."""
+        """Health of the member as seen from this host."""
         return self.local_pool.health
 
     @property
     def is_relayed(self) -> bool:
-        """Whether other hosts hold the connections to the member."""
+        """Whether requests reach the member through other hosts."""
         return self._relay_client is not None and self._relay_client.is_active
 
     @property
     def holders(self) -> tuple[str, ...]:
-        """Hosts to reach the member through; none with own connections."""
+        """Hosts that relay to the member; empty with local connections."""
         return self._relay_client.holders if self.is_relayed else ()
 
     def update(self, max_connections: int, holders: Holders) -> None:
-        """Take the member's limit and the hosts that share it."""
+        """Set the member's connection limit and its holders."""
         self.local_pool.share.update(max_connections, holders.sharing)
         self.local_pool.in_flight_limit.update(self.local_pool.share.most)
         if self._relay_client is not None:
@@ -69,7 +73,7 @@
         session: SessionState,
         admit_by: float | None = None,
     ) -> Result[MemberSession, Failure]:
-        """Lend a session, or say why none can be had in time."""
+        """Return a session, or the reason why none is available in time."""
         if self.is_relayed:
             return Success(self._relay_client.open(priority, admit_by))
         return self.local_pool.acquire(priority, deadline, session, admit_by)
@@ -77,38 +81,41 @@
     def on_replies(
         self, conn: MemberSession, replies: Sequence[Reply], in_flight: int
     ) -> None:
-        """Learn from the replies on a session whether the member is full."""
+        """Adjust the local in-flight limit to the replies of the member."""
         if isinstance(conn, PooledSession):
             self.local_pool.on_replies(replies, in_flight)
 
     def release(self, conn: MemberSession) -> None:
-        """Take a session back for the next work."""
+        """Return a session after use."""
         if isinstance(conn, PooledSession):
             self.local_pool.release(conn)
         elif not conn.is_usable:
             conn.close()
 
     def discard(self, conn: MemberSession) -> None:
-        """End a session; its transaction is rolled back."""
+        """End a session; the member rolls back an open transaction."""
         if isinstance(conn, PooledSession):
             self.local_pool.discard(conn)
         else:
             conn.close()
 
     def maintain(self, now: float, is_idle_wanted: bool) -> None:
-        """Close connections that are not needed, open one that is.
+        """Close connections that are not needed and open one ahead of use.
 
         Parameters
         ----------
         now : float
             Present time in seconds.
         is_idle_wanted : bool
-            Whether idle connections of this host are worth keeping.
+            Whether this host should keep idle connections to the member.
         """
         self.local_pool.is_idle_kept = is_idle_wanted and not self.is_relayed
         self.local_pool.trim(now)
         self.local_pool.open_ahead()
 
     def close(self) -> None:
-        """Close idle connections; those lent close when they return."""
+        """Close the local pool and its idle connections.
+
+        A connection in use is closed when it is released.
+        """
         self.local_pool.close()
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -1,4 +1,4 @@
-"""Connections of this host to one member."""
+"""Connection pool of this host for one member."""
 
 from __future__ import annotations
 
@@ -42,28 +42,31 @@
     from trefoilpulley_node.proxy.lent_session import SessionSetting
 
 DIAL_TIMEOUT_S = 0.4
-"""Longest time to open a connection; a busy member takes tens of ms."""
+"""Timeout to open a connection, in seconds; a busy member takes tens of ms."""
 
 LIMIT_RETRY_INTERVAL_S = 0.05
-"""Time between two tries to connect to a member that is full."""
+"""Time between two attempts to connect to a member at its connection limit.
+
+In seconds. Applies while this host has no connection to the member.
+"""
 
 
 @dataclass(eq=False, slots=True)
 class PooledSession(MemberSession):
-    """Connection to a member with what is set on it."""
+    """Pooled connection to a member, with its session state."""
 
     upstream: UpstreamSession
     """Connection."""
 
     state: ConnectionState = field(default_factory=ConnectionState)
-    """Values and prepared statements on the connection."""
+    """Session values and prepared statements set on the connection."""
 
     since: float = 0.0
-    """Time at which it was last taken or given back, in seconds."""
+    """Time of the last acquisition or release, in seconds."""
 
     @property
     def is_usable(self) -> bool:
-        """Whether the connection is open and owes no reply."""
+        """Whether the connection is open and no reply is outstanding."""
         return self.upstream.is_usable
 
     def exchange(
@@ -89,17 +92,17 @@
         return Success(replies)
 
     def close(self) -> None:
-        """Close the connection; the member rolls back."""
+        """Close the connection; the member rolls back an open transaction."""
         self.upstream.close()
 
 
 class MemberPool:
-    """Opens, lends and closes the connections to one member.
+    """Opens, hands out and closes the connections to one member.
 
     Parameters
     ----------
     health : MemberHealth
-        How the member answers this host.
+        Health of the member as seen from this host.
     dialer : UpstreamDialer
         Opens connections.
     clock : Clock
@@ -111,13 +114,13 @@
     ) -> None:
         self.health = health
         self.share = ConnectionShare()
-        """Connections that this host may open."""
+        """Number of connections that this host may open to the member."""
 
         self.in_flight_limit = FlightLimit()
-        """Statements that may be at the member at once."""
+        """Number of statements that may be in flight at the member."""
 
         self.is_idle_kept = True
-        """Whether idle connections are kept at all."""
+        """Whether idle connections stay open."""
 
         self._dialer = dialer
         self._clock = clock
@@ -129,17 +132,17 @@
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return self._open
 
     @property
     def waiting(self) -> int:
-        """Pieces of work that wait for a connection."""
+        """Number of requests that wait for a connection."""
         return len(self._queue)
 
     @property
     def has_idle(self) -> bool:
-        """Whether a connection is free."""
+        """Whether a connection is idle."""
         return bool(self._idle)
 
     def acquire(
@@ -149,20 +152,20 @@
         session: SessionState,
         admit_by: float | None = None,
     ) -> Result[PooledSession, Failure]:
-        """Lend a connection, or say why none can be had in time.
+        """Return a connection, or the reason why none is available in time.
 
         Parameters
         ----------
         priority : int
-            Importance of the work; 0 is the highest of a route's.
+            Priority of the request; 0 is the highest priority of a route.
         deadline : float
-            Time by which the work must be done, in seconds.
+            Time by which the request must be done, in seconds.
         session : SessionState
-            Values that the work needs; a connection that has them is
-            preferred.
+            Session values that the request needs; a connection that has these
+            values already is preferred.
         admit_by : float, optional
-            Time by which its turn must come, in seconds; the deadline
-            without it.
+            Time by which the request must get its connection, in seconds;
+            defaults to the deadline.
         """
         turn_by = deadline if admit_by is None else min(admit_by, deadline)
         while not self._is_closed:
@@ -196,7 +199,7 @@
         return Failed(Overloaded('no connection came free in time'))
 
     def release(self, conn: PooledSession) -> None:
-        """Take a connection back for the next work."""
+        """Return a connection to the pool."""
         now = self._clock.now()
         self._queue.on_held(now - conn.since)
         if not conn.is_usable or self._is_closed:
@@ -210,7 +213,7 @@
         self.serve_queue()
 
     def serve_queue(self) -> None:
-        """Let waiting work go on where there is room for it."""
+        """Wake waiting requests while the member has capacity for them."""
         now = self._clock.now()
         while len(self._queue) and self._has_room:
             can_dial = self._open < self.share.limit(now)
@@ -225,11 +228,12 @@
             self._assigned += 1
             waiter.handle.set(conn)
             if conn is None:
-                # It looks for itself; more may not fit.
+                # The waiting request dials or waits again itself, and there
+                # may be no capacity for a second one.
                 return
 
     def on_replies(self, replies: Sequence[Reply], in_flight: int) -> None:
-        """Learn from the replies whether the member is full."""
+        """Adjust the in-flight limit to the replies of the member."""
         now = self._clock.now()
         if any(isinstance(r.failure, Overloaded) for r in replies):
             self.in_flight_limit.on_busy(in_flight, now)
@@ -237,25 +241,28 @@
             self.in_flight_limit.on_served(self.health.expected_s(now), now)
 
     def discard(self, conn: PooledSession) -> None:
-        """Close a connection; its transaction is rolled back."""
+        """Close a connection; the member rolls back an open transaction."""
         self._close_connection(conn)
 
     def open_ahead(self) -> None:
-        """Open a connection ahead of the work where none is open."""
+        """Open a connection before a request needs it, where none is open."""
         if self._open or not self.is_idle_kept or self._is_closed:
             return
         if self.health.failing_since is None:
             gevent.spawn(self._open_ahead)
 
     def trim(self, now: float) -> None:
-        """Close idle connections that are not kept."""
+        """Close idle connections above the number that stays open."""
         while self._idle and self._open > self._max_kept:
             if now - self._idle[0].since < SURPLUS_IDLE_S:
                 return
             self._close_connection(self._idle.pop(0))
 
     def close(self) -> None:
-        """Close idle connections; those lent close when they return."""
+        """Close the pool and its idle connections.
+
+        A connection in use is closed when it is released.
+        """
         self._is_closed = True
         for conn in self._idle:
             conn.close()
@@ -301,7 +308,7 @@
         if timeout_s >= DIAL_TIMEOUT_S or not _is_timeout(failure):
             self.health.on_unreachable(now)
             self._wake_waiters()
-        # Nothing of the caller's was sent.
+        # No request of the caller was sent on the connection.
         return Failed(NoUpstream(f'{failure.code} {failure.detail}'))
 
     def _open_ahead(self) -> None:
@@ -310,7 +317,7 @@
             self.release(dialled.unwrap())
 
     def _wake_waiters(self) -> None:
-        """Let waiting work try again, so that it fails at once."""
+        """Wake the waiting requests, so that each of them fails early."""
         if self._open:
             return
         for waiter in self._queue.drain():
@@ -319,7 +326,7 @@
 
     @property
     def _has_room(self) -> bool:
-        """Whether one statement more may be sent to the member."""
+        """Whether one more statement may be sent to the member."""
         return (
             self.health.in_flight + self._assigned < self.in_flight_limit.value
         )
@@ -327,7 +334,7 @@
     def _enqueue(
         self, priority: int, turn_by: float, now: float
     ) -> WaitingWork | None:
-        """Wait for a turn; ``None`` where it would come too late."""
+        """Queue a request, or return ``None`` where it would wait too long."""
         if self._has_room:
             servers, hold_s = self._open, self._queue.hold_s
         else:
@@ -357,7 +364,7 @@
             if not waiter.is_done:
                 self._queue.leave(waiter)
                 return None
-            # Its turn came in the same moment.
+            # The request got its turn at the moment of the timeout.
             conn = waiter.handle.get()
         except gevent.GreenletExit:
             self._abandon(waiter)
@@ -366,7 +373,7 @@
         return conn
 
     def _abandon(self, waiter: WaitingWork) -> None:
-        """Let nothing be lost that was handed to work that has ended."""
+        """Take back what was handed to a greenlet that has been killed."""
         if not waiter.is_done:
             self._queue.leave(waiter)
             return
--- a/packages/node/src/trefoilpulley_node/proxy/member_prober.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_prober.py
@@ -1,4 +1,4 @@
-"""Asks members whether they answer, lead, and how far their log goes."""
+"""Sends health checks, status requests and replication commands to members."""
 
 from __future__ import annotations
 
@@ -31,31 +31,31 @@
     from trefoilpulley_node.proxy.exchange import Exchanger
 
 PROBE_PRIORITY = -1
-"""Importance of the system's own requests, before any route's."""
+"""Priority of the system's own requests, ahead of every route's."""
 
 PROBE_TIMEOUT_S = 0.25
-"""Longest time of a question to a member, in seconds."""
+"""Timeout of a request to a member, in seconds."""
 
 LAST_STATUS_TIMEOUT_S = 0.06
-"""Wait for the last member once most have answered, in seconds."""
+"""Time to wait for the remaining members once most answered, in seconds."""
 
 MAX_STATUS_ATTEMPTS = 4
-"""Times that a member without a free slot is asked for its status."""
+"""Attempts to read the status of a member without a free slot."""
 
 STATUS_RETRY_INTERVAL_S = 0.03
-"""Pause before a busy member is asked again, in seconds."""
+"""Time before the status of a busy member is read again, in seconds."""
 
 _NO_VALUES = SessionState()
 _ASK_STATUS = AskStatus()
 
 
 class MemberProber:
-    """Questions of this host to members.
+    """Sends this host's health checks and commands to members.
 
     Parameters
     ----------
     exchanger : Exchanger
-        Runs requests on connections.
+        Sends requests on connections.
     dialer : UpstreamDialer
         Opens connections.
     clock : Clock
@@ -70,7 +70,7 @@
         self._clock = clock
 
     def verify_leader(self, group: Group, member: str) -> bool:
-        """Return whether a member proves to lead, and note it."""
+        """Return whether a member proves its leadership; record the proof."""
         sent_at = self._clock.now()
         reply = self._send(
             group, member, (OpenTransaction(is_read_only=False), RollBack())
@@ -81,7 +81,7 @@
         return True
 
     def find_leader(self, group: Group) -> bool:
-        """Ask every member at once; return whether one leads."""
+        """Ask all members at once; return whether a primary is known then."""
         asked = [
             gevent.spawn(self.verify_leader, group, member)
             for member in group.state.members
@@ -92,7 +92,7 @@
         return group.state.primary is not None
 
     def can_connect(self, group: Group, member: str) -> bool:
-        """Return whether a member takes a new connection."""
+        """Return whether a member accepts a new connection."""
         access = group.find_access(member)
         if access is None:
             return False
@@ -113,7 +113,7 @@
         member: str,
         call: AskStatus | HoldReplication = _ASK_STATUS,
     ) -> LogStatus | None:
-        """Return what a member says of its log, or ``None``."""
+        """Return the log status of a member, or ``None`` without an answer."""
         for _ in range(MAX_STATUS_ATTEMPTS):
             reply = self._send(group, member, (call,))
             if reply is None:
@@ -128,10 +128,10 @@
     def pause_replication(
         self, group: Group, statuses: Mapping[str, LogStatus]
     ) -> dict[str, LogStatus]:
-        """Stop the replicas from receiving; return how far they got.
+        """Pause replication at the replicas; return their log statuses.
 
-        A primary that is cut off from here then can't have a commit
-        confirmed by a replica that is not chosen.
+        While replication is paused, a replica that is not promoted can't
+        confirm a commit of a primary that this host can't reach.
         """
         term = 1 + max((s.term for s in statuses.values()), default=0)
         return self.read_statuses(
@@ -139,7 +139,7 @@
         )
 
     def resume_replication(self, group: Group, members: Iterable[str]) -> None:
-        """Let replicas receive again after a change was abandoned."""
+        """Resume replication at replicas after a change was abandoned."""
         for member in members:
             gevent.spawn(self._send, group, member, (ResumeReplication(),))
 
@@ -149,7 +149,7 @@
         members: tuple[str, ...],
         call: AskStatus | HoldReplication = _ASK_STATUS,
     ) -> dict[str, LogStatus]:
-        """Return the status of each member that answers in time."""
+        """Return the log status of each member that answers in time."""
         asked = {
             m: gevent.spawn(self.read_status, group, m, call) for m in members
         }
@@ -167,7 +167,7 @@
         return {m: s for m, s in found.items() if s is not None}
 
     def demote(self, group: Group, member: str, term: int) -> LogStatus | None:
-        """Make a primary of a lower term a replica."""
+        """Demote a primary of a lower term; return its log status."""
         reply = self._send(group, member, (Demote(term),))
         return reply.status if reply else None
 
--- a/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
@@ -33,38 +33,38 @@
 REMOVAL_GRACE_S = 3.0
 """Time for which a member without an entry is kept, in seconds.
 
-Entries that lapsed while the service was away are back about two seconds
-after its return.
+Entries that expired during an outage of the service are registered again about
+two seconds after the outage.
 """
 
 WATCH_STABLE_S = 0.6
-"""Time for which a new watch must hold to count as in force, in seconds.
+"""Time after which a new watch counts as established, in seconds.
 
-Longer than a connection takes to fail.
+The time exceeds the time that a connection takes to fail.
 """
 
 MIN_BACKOFF_S = 0.2
-"""Pause after the first failure of the service, in seconds."""
+"""Backoff after the first failure of the service, in seconds."""
 
 MAX_BACKOFF_S = 1.0
-"""Longest pause between two tries to reach the service, in seconds."""
+"""Longest backoff between two attempts to reach the service, in seconds."""
 
 
 class PlatformFollower(Service):
-    """Keeps the directory as the service has it.
+    """Keeps the directory in line with the platform's service.
 
     Parameters
     ----------
     platform : Platform
         The platform's service.
     documents : PlatformDocuments
-        How the platform writes routes and members.
+        Format of the platform's routes and member entries.
     directory : ProxyDirectory
-        Takes routes and members.
+        Receives routes and members.
     on_hosts : Callable[[tuple[HostEntry, ...]], None]
-        Takes the hosts that hold a lease.
+        Called with the hosts that hold a lease.
     on_claim : Callable[[str, Claim, int], None]
-        Takes a group's claim and its revision.
+        Called with a group, its claim and the claim's revision.
     clock : Clock
         Monotonic time.
     """
@@ -93,29 +93,29 @@
         self._watch_failed = Event()
         self._failure: Failure | None = None
         self.is_following = False
-        """Whether a watch is in force."""
+        """Whether a watch is established."""
 
         self.is_synchronized = False
-        """Whether everything has been read once."""
+        """Whether all entries have been read at least once."""
 
     @property
     def hosts(self) -> tuple[HostEntry, ...]:
-        """Hosts that hold a lease, as last seen."""
+        """Hosts that held a lease at the last update."""
         return tuple(self._hosts.values())
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the service."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop to follow."""
+        """Stop to follow the service."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         if self._watch is not None:
             self._watch.cancel()
 
     def remove_expired(self) -> None:
-        """Forget the members whose grace is over."""
+        """Remove the members without an entry whose grace period is over."""
         now = self._clock.now()
         for member, at in list(self._removals_due.items()):
             if now >= at:
@@ -162,8 +162,9 @@
             events.PLATFORM_UNREACHABLE.log(failure=code)
 
     def _synchronize(self) -> bool:
-        """Read everything; what is missing now has been removed."""
-        # One call for all of it: a start of all hosts reads it from each.
+        """Read all entries and remove those that no longer exist."""
+        # A single call limits the load on the service, since all hosts may
+        # start at the same time.
         read = self._platform.get_prefix('')
         if not isinstance(read, Success):
             return False
--- a/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
@@ -1,9 +1,9 @@
-"""Waits for a change of primary, as long as that serves the caller.
+"""Lets requests wait for a new primary while waiting can help the caller.
 
-Load pattern: while a primary is gone, work for it arrives at the full
-rate. Work whose time ends before the change should be over is turned away
-at once, so that its caller loses no time; the rest waits in line and runs
-as soon as the new primary has proved itself.
+Load pattern: while a primary is lost, its requests arrive at the full rate. A
+request whose deadline comes before the expected end of the change is refused
+at once, so that its caller loses no time. Other requests wait and run as soon
+as the new primary has proved its leadership.
 """
 
 from __future__ import annotations
@@ -16,29 +16,33 @@
     from trefoilpulley_node.proxy.work import StatementRequest
 
 EXPECTED_FAILOVER_S = 1.3
-"""Time from the loss of a primary to the lead of the next, in seconds.
+"""Expected time from the loss of a primary to the next, in seconds.
 
-Detection, agreement and the platform's promotion together.
+Covers detection, the vote and the platform's promotion.
 """
 
 EXPECTED_SEARCH_S = 0.15
-"""Time to find a primary that moved, in seconds."""
+"""Expected time to find a primary that has changed, in seconds."""
 
 LOST_TIMEOUT_S = 0.1
-"""Time without an answer after a failure that makes a primary lost."""
+"""Time after which a failing primary counts as lost, in seconds.
+
+Counted from its first failure since its last answer.
+"""
 
 MAX_LEAVING_S = 5.0
-"""Time for which a leaving primary takes new work, in seconds.
+"""Time for which a leaving primary gets new requests, in seconds.
 
-A handover takes less than a second; two may fail before.
+A handover takes less than a second; the time leaves room for two failed
+attempts.
 """
 
 RUN_TIME_FACTOR = 0.15
-"""Part of a statement's time that is kept for running it."""
+"""Part of a statement's time limit that is reserved for running it."""
 
 
 class PrimaryWait:
-    """Decides whether to wait for a primary, and waits.
+    """Decides whether a request waits for a primary, and waits.
 
     Parameters
     ----------
@@ -63,7 +67,7 @@
         return failing is not None and now - failing > LOST_TIMEOUT_S
 
     def is_serving(self, group: Group) -> bool:
-        """Return whether the primary answers, so that no other comes."""
+        """Return whether the primary answers and no change is expected."""
         state = group.state
         health = state.members.get(state.primary or '')
         if health is None or health.failing_since is not None:
@@ -71,7 +75,7 @@
         return not self.is_lost(group)
 
     def wait(self, request: StatementRequest) -> bool:
-        """Wait for a primary; false where it would come too late."""
+        """Wait for a primary; return whether one was found in time."""
         now = self._clock.now()
         if now < request.group.state.hopeless_until:
             return False
--- a/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
@@ -182,7 +182,7 @@
         now = self._clock.now()
         health.note_leaving(now)
         if _is_suspect(health, now):
-            self._on_suspect(health)
+            self._check_suspect(health)
         elif health.record.is_leaving:
             member = health.record.member
             self._spawn_change(self._changer.hand_over, self._group, member)
@@ -232,7 +232,7 @@
         access.health.on_answer(self._clock.now(), access.health.position)
         return True
 
-    def _on_suspect(self, health: MemberHealth) -> None:
+    def _check_suspect(self, health: MemberHealth) -> None:
         member = health.record.member
         if self._is_member_reachable(member):
             return
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -1,4 +1,4 @@
-"""Composition root of a host whose callers' sessions are connections."""
+"""Composition root of a proxy host."""
 
 from __future__ import annotations
 
@@ -59,11 +59,11 @@
     from trefoilpulley_node.proxy.proxy_settings import ProxySettings
 
 MAINTENANCE_INTERVAL_S = 0.25
-"""Time between two rounds of upkeep, in seconds."""
+"""Time between two maintenance runs, in seconds."""
 
 
 class ProxyComposition:
-    """Builds each part once, on first use.
+    """Creates each component of a host once, at its first use.
 
     Parameters
     ----------
@@ -72,15 +72,15 @@
     platform : Platform
         The platform's service.
     documents : PlatformDocuments
-        How the platform writes routes and members.
+        Format of the platform's routes and member entries.
     dialer : UpstreamDialer
         Opens connections to members.
     promotions : PromotionService
-        Orders promotions.
+        Orders promotions from the platform.
     clock : Clock
-        Monotonic time that goes on while the machine is suspended.
+        Monotonic time that continues while the machine is suspended.
     metrics : ProxyMetrics
-        Counts what the host does.
+        Counters, histograms and gauges of the host.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         metrics: ProxyMetrics,
     ) -> None:
         self.metrics = metrics
-        """Counters and histograms of the host."""
+        """Counters, histograms and gauges of the host."""
 
         self._cfg = cfg
         self._platform = platform
@@ -102,7 +102,8 @@
         self._dialer = dialer
         self._promotions = promotions
         self._clock = clock
-        # Only tells the starts of one host apart; never a decision's time.
+        # The incarnation only distinguishes the starts of one host; no
+        # decision uses it as a time.
         self._incarnation = time.time_ns()
         self._rng = random.Random(self._incarnation)
         self._watches: list[PrimaryWatch] = []
@@ -111,7 +112,7 @@
         self._maintenance: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Start the parts that work in the background."""
+        """Start the components that run in the background."""
         self.directory.subscribe_groups(self._watch_group)
         self._membership.serve_on(self._peer_server, self._peers)
         self._membership.subscribe_live(self._on_live_hosts)
@@ -139,11 +140,11 @@
         events.HOST_STARTED.log(host=self._cfg.host, zone=self._cfg.zone)
 
     def on_settings_changed(self) -> None:
-        """Note a change of the settings, which hold for a whole run."""
+        """Log that changed settings take effect at the next start only."""
         events.SETTINGS_KEPT.log(host=self._cfg.host)
 
     def drain(self) -> None:
-        """End the sessions, then stop."""
+        """Drain the sessions, then stop."""
         events.HOST_DRAINING.log(
             host=self._cfg.host, sessions=len(self.sessions)
         )
@@ -155,7 +156,7 @@
         self.stop()
 
     def stop(self) -> None:
-        """Stop every part."""
+        """Stop every component."""
         self._registration.stop()
         for watch in self._watches:
             watch.stop()
@@ -168,14 +169,14 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent to this host."""
+        """Whether the balancer should send callers to this host."""
         if self.sessions.is_draining or not self.directory.is_loaded:
             return False
         return self._isolation.duration_s(self._clock.now()) == 0
 
     @cached_property
     def directory(self) -> ProxyDirectory:
-        """Routes, groups and pools."""
+        """Routes, groups and member accesses."""
         return ProxyDirectory(
             self._cfg.host,
             self._cfg.zone,
@@ -191,7 +192,7 @@
 
     @cached_property
     def factory(self) -> SessionFactory:
-        """Makes sessions."""
+        """Creates the callers' sessions."""
         runner = StatementRunner(
             self._cfg.zone,
             self._exchanger,
@@ -278,7 +279,7 @@
 
     @cached_property
     def relay_server(self) -> RelayServer:
-        """Lends connections to other hosts."""
+        """Relays requests of other hosts to members."""
         return RelayServer(self.directory.groups, self._exchanger, self._clock)
 
     @cached_property
@@ -321,7 +322,10 @@
         )
 
     def _reachable_hosts(self, now: float) -> int:
-        """Return how many hosts answer; a vote tells it first."""
+        """Return how many hosts answer.
+
+        A recent vote shows lost hosts earlier than the membership does.
+        """
         live = len(self._live_hosts())
         answer_rate = self._vote.recent_answer_rate(now)
         if answer_rate is None:
@@ -337,11 +341,12 @@
         return tuple(sorted(hosts))
 
     def _live_zones(self) -> dict[str, tuple[str, ...]]:
-        """Return the live hosts by zone, this one included."""
+        """Return the live hosts by availability zone, this host included."""
         zones = {z.zone: z.hosts for z in self._membership.live_hosts.zones}
         mine = {*zones.get(self._cfg.zone, ()), self._cfg.host}
         if self.sessions.is_draining:
-            # What is sent here now could be cut by the end.
+            # This host is about to stop and could not finish new relayed
+            # requests.
             mine.discard(self._cfg.host)
         return {**zones, self._cfg.zone: tuple(sorted(mine))}
 
@@ -354,7 +359,8 @@
         group = self.directory.groups.get(name)
         if group is None or claim.holder == self._cfg.host:
             return
-        # A claim that was there before this host started is over.
+        # A claim from before the start of this host belongs to a change that
+        # is over.
         if self._follower.is_synchronized:
             group.state.change_due_at = (
                 self._clock.now() + CLAIM_HOLDER_TIMEOUT_S
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_metrics.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_metrics.py
@@ -1,8 +1,9 @@
-"""Counters and histograms of a host whose sessions are connections.
+"""Metrics of a proxy host.
 
-Values are kept in plain counters, so that a host starts without the
-library; `render` hands them to it. No label holds a database, host, member
-or caller: the number of series does not grow with the deployment.
+The values are kept in plain counters, so that a host starts without the
+Prometheus library; `render` passes the values to that library. No label holds
+a database, host, member or caller, so that the number of time series does not
+grow with the deployment.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
     from collections.abc import Mapping
 
 PREFIX = 'trefoilpulley_'
-"""First part of every name."""
+"""Prefix of every metric name."""
 
 BUCKET_BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0)
-"""Upper bounds of the histograms, in seconds."""
+"""Upper bounds of the histogram buckets, in seconds."""
 
 COUNTERS: dict[str, tuple[str, tuple[str, ...]]] = {
     'requests': (
@@ -40,7 +41,7 @@
         ('cause', 'outcome'),
     ),
 }
-"""Help and labels of each counter."""
+"""Help text and labels of each counter."""
 
 HISTOGRAMS: dict[str, tuple[str, tuple[str, ...]]] = {
     'request_seconds': (
@@ -56,7 +57,7 @@
         (),
     ),
 }
-"""Help and labels of each histogram."""
+"""Help text and labels of each histogram."""
 
 GAUGES: dict[str, str] = {
     'sessions': 'Open sessions of callers.',
@@ -71,11 +72,11 @@
     'live_hosts': 'Hosts that answer, this one included.',
     'log_bytes': 'Bytes of log that reached the reader.',
 }
-"""Help of each gauge."""
+"""Help text of each gauge."""
 
 
 class ProxyMetrics:
-    """Counts what a host does."""
+    """Counters, histograms and gauges of one host."""
 
     def __init__(self) -> None:
         self._counters: dict[str, Counter[tuple[str, ...]]] = {
@@ -88,26 +89,26 @@
         self._read_dropped: Callable[[], Mapping[str, int]] = dict
 
     def count(self, name: str, *labels: str) -> None:
-        """Add one to a counter."""
+        """Increment a counter."""
         self._counters[name][labels] += 1
 
     def observe(self, name: str, seconds: float, *labels: str) -> None:
-        """Add a duration to a histogram."""
+        """Add a duration in seconds to a histogram."""
         self._histograms[name][labels].add(seconds)
 
     def register_gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Read a gauge whenever the metrics are asked for."""
+        """Register the function that reads a gauge at each scrape."""
         if name not in GAUGES:
             raise KeyError(name)
         self._gauges[name] = read
 
     def register_dropped(self, read: Callable[[], Mapping[str, int]]) -> None:
-        """Read the dropped log lines by event."""
+        """Register the function that counts dropped log lines by event."""
         self._read_dropped = read
 
     def render(self) -> bytes:
-        """Return every metric in the text format of Prometheus."""
-        # Imported here: it would add to the start of every host.
+        """Return all metrics in the text format of Prometheus."""
+        # Imported here, since the import would slow the start of every host.
         from prometheus_client import CollectorRegistry
         from prometheus_client import generate_latest
 
@@ -116,7 +117,7 @@
         return generate_latest(registry)
 
     def collect(self):
-        """Yield the families of metrics, as the library asks for them."""
+        """Yield the metric families, as the Prometheus library expects."""
         from prometheus_client import core
 
         for name, (help_text, labels) in COUNTERS.items():
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_settings.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a host whose callers' sessions are connections."""
+"""Settings of a proxy host."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
     """Address for other hosts."""
 
     seeds: tuple[SeedPeer, ...] = ()
-    """Hosts to ask when the service is out at start."""
+    """Hosts to contact where the platform's service is out at the start."""
 
     grace_s: float = 6.0
-    """Time from a planned stop until the process is killed."""
+    """Time from a planned stop until the process is killed, in seconds."""
 
     peer_secret: str = ''
-    """Secret of the deployment's hosts; empty on a closed network."""
+    """Shared secret of the deployment's hosts; empty on a closed network."""
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
@@ -1,4 +1,4 @@
-"""State dump of a host whose sessions are connections."""
+"""State dump of a proxy host."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberDump:
-    """One member as this host sees it."""
+    """State of one member as seen from this host."""
 
     member: str
     """Identifier of the member."""
@@ -29,48 +29,51 @@
     """Whether the member is about to stop."""
 
     failing_ms: int | None
-    """Time since it stopped to answer; ``None`` where it answers."""
+    """Time since the first failure after the last answer, in milliseconds.
+
+    ``None`` where the member answers.
+    """
 
     expected_ms: float
-    """Expected time of a statement, in milliseconds."""
+    """Expected duration of a statement, in milliseconds."""
 
     lag_ms: int
-    """Age of a floor that the member is expected to hold."""
+    """Expected replication lag of the member, in milliseconds."""
 
     position: str
-    """Greatest position that the member has shown."""
+    """Highest log position that the member has reported."""
 
     connections: int
     """Connections of this host to the member."""
 
     share: int
-    """Connections that fall to this host."""
+    """Connections that this host may hold as its share."""
 
     waiting: int
-    """Pieces of work that wait for a connection."""
+    """Requests that wait for a connection."""
 
     holders: tuple[str, ...]
-    """Hosts whose connections are used; none for own connections."""
+    """Hosts that relay to the member; empty with local connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupDump:
-    """One group as this host sees it."""
+    """State of one group as seen from this host."""
 
     group: str
     """Name of the group."""
 
     primary: str | None
-    """Member that is taken for the primary."""
+    """Current primary as known to this host."""
 
     term: int
-    """Highest term of a position that a leader showed."""
+    """Highest term in which a leader has proved its leadership."""
 
     evidence_age_ms: int | None
-    """Age of the newest proved position; ``None`` without any."""
+    """Age of the newest evidence in milliseconds; ``None`` without any."""
 
     members: tuple[MemberDump, ...]
-    """Members."""
+    """Members of the group."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,22 +90,22 @@
     """Version of the configuration in force."""
 
     routes: int
-    """Routes in force."""
+    """Number of routes in force."""
 
     sessions: int
-    """Open sessions."""
+    """Number of open sessions."""
 
     is_cut_off: bool
-    """Whether the host has left the balancer as it is cut off."""
+    """Whether the host reports not ready because it is cut off."""
 
     live_hosts: tuple[str, ...]
-    """Hosts that answer, this one included."""
+    """Hosts that answer, this host included."""
 
     registered_hosts: tuple[str, ...]
-    """Hosts that hold a lease, this one included."""
+    """Hosts that hold a lease, this host included."""
 
     groups: tuple[GroupDump, ...]
-    """Groups that a route leads to."""
+    """Groups that a route refers to."""
 
 
 def make_state(
--- a/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
@@ -1,4 +1,7 @@
-"""Sessions with a member on connections that other hosts hold."""
+"""Sessions with a member that are relayed through other hosts.
+
+A holder is a host that holds connections to the member.
+"""
 
 from __future__ import annotations
 
@@ -41,43 +44,45 @@
     from trefoilpulley_wire.channel import Channel
 
 MAX_HOLDER_ATTEMPTS = 3
-"""Holders that a request may be offered to before it is given up."""
+"""Holders that a request is sent to before it fails."""
 
 HOLDER_BACKOFF_S = 0.8
-"""Time for which a holder that did not answer is passed over, in seconds.
+"""Time for which a holder that did not answer is tried last, in seconds.
 
-Membership takes about as long to find that a host is dead.
+Membership needs about the same time to detect a dead host.
 """
 
 HOLDER_DIAL_TIMEOUT_S = 0.15
-"""Longest wait for a connection to a holder, in seconds."""
+"""Timeout to connect to a holder, in seconds."""
 
 CANCEL_TIMEOUT_S = 0.1
-"""Longest wait for a holder to confirm that a lease has ended, in seconds.
+"""Timeout for a holder to confirm the end of a lease, in seconds.
 
-A holder that is paused reads the request and its end together.
+A longer wait is not needed: a holder that is paused reads the request and its
+end together.
 """
 
 REPLY_MARGIN_S = 0.03
-"""Time that a holder's answer may take beyond the member's, in seconds.
+"""Time added to the timeout of a relayed request, in seconds.
 
-A holder tells a member that stays silent apart from its own silence.
+With this margin, a holder can report that the member stays silent before the
+holder itself is taken for silent.
 """
 
 
 class RelayClient:
-    """Sessions of this host with one member, through its holders.
+    """Opens sessions with one member that are relayed through its holders.
 
     Parameters
     ----------
     host : str
         Name of this host.
     group : GroupState
-        What is known of the member's group.
+        State of the member's group as known to this host.
     health : MemberHealth
-        How the member answers this host.
+        Health of the member as seen from this host.
     peers : Peers
-        Other hosts.
+        Connections to the other hosts.
     clock : Clock
         Monotonic time.
     """
@@ -102,7 +107,7 @@
 
     @property
     def holders(self) -> tuple[str, ...]:
-        """Holders to try, those that answered first."""
+        """Holders in the order to try; holders in backoff come last."""
         now = self._clock.now()
         self._backoff_until = {
             h: t for h, t in self._backoff_until.items() if now < t
@@ -113,16 +118,16 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether the member is reached through other hosts."""
+        """Whether this host reaches the member through other hosts only."""
         return bool(self._holders) and self._host not in self._holders
 
     def update(self, holders: Holders) -> None:
-        """Take the hosts that hold the member's connections."""
+        """Set the holders of the member."""
         member = self._health.record.member
         self._holders = order_holders(member, self._host, holders)
 
     def open(self, priority: int, admit_by: float | None) -> RelayedSession:
-        """Return a session; it takes a connection with its first use."""
+        """Return a session, which leases a connection at its first use."""
         return RelayedSession(
             self, next(self._lease_numbers), priority, admit_by
         )
@@ -136,7 +141,7 @@
 
     @property
     def record(self) -> MemberRecord:
-        """Entry of the member."""
+        """Entry of the member in the platform's service."""
         return self._health.record
 
     def now(self) -> float:
@@ -144,14 +149,14 @@
         return self._clock.now()
 
     def on_replies(self, replies: RelayedReplies, asked_at: float) -> None:
-        """Learn what the holder knows of the member and its group."""
+        """Record the expected latency and evidence that a holder reports."""
         self._health.on_told(replies.expected_ms / 1000, self._clock.now())
         found = read_report(replies.evidence, asked_at)
         if found is not None:
             self._group.evidence.record(found.at, found.position)
 
     def on_holder_timeout(self, holder: str) -> None:
-        """Pass a holder over for a while."""
+        """Put a holder that did not answer into backoff."""
         now = self._clock.now()
         if holder not in self._backoff_until:
             events.HOLDER_PASSED_OVER.log(
@@ -160,24 +165,24 @@
         self._backoff_until[holder] = now + HOLDER_BACKOFF_S
 
     def on_member_unreachable(self) -> None:
-        """Note that the member does not answer its holders."""
+        """Record that the member does not answer its holders."""
         self._health.on_unreachable(self._clock.now())
 
 
 class RelayedSession(MemberSession):
-    """One session with a member on a connection of a holder's.
+    """One session with a member on a connection of a holder.
 
     Parameters
     ----------
-    access : RelayClient
-        Way to the holders.
+    relay_client : RelayClient
+        Client that opened the session.
     lease : int
         Number of the session, unique on this host.
     priority : int
-        Importance of its work.
+        Priority of the session's requests.
     admit_by : float | None
-        Time by which its turn must come, in seconds; ``None`` for the
-        deadline of its first request.
+        Time by which the session must get a connection, in seconds; ``None``
+        for the deadline of its first request.
     """
 
     def __init__(
@@ -198,7 +203,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether it can be given back; it keeps no connection then."""
+        """Whether no lease is open, so that the session needs no ``close``."""
         return not self._is_pinned
 
     def exchange(
@@ -236,10 +241,11 @@
         return Failed(failure)
 
     def cancel_unsent(self) -> None:
-        """Wait until the holder sends nothing of it any more.
+        """Wait until the holder sends no more requests of this session.
 
-        The caller goes on after an answer from elsewhere and may change
-        its values, which a statement sent later would run without.
+        The caller continues with the reply of another member and may change
+        its session values, and a statement sent later would run without these
+        values.
         """
         self._is_cancelled = True
         channel = self._channel
@@ -247,7 +253,7 @@
             channel.call(EndLease(self._lease), CANCEL_TIMEOUT_S)
 
     def close(self) -> None:
-        """End the lease; the holder rolls back what is open."""
+        """End the lease; the holder rolls back an open transaction."""
         channel, self._channel = self._channel, None
         self._is_pinned = False
         if channel is not None and channel.is_open:
@@ -259,7 +265,10 @@
         deadline: float,
         setting: SessionSetting | None,
     ) -> Result[tuple[Reply, ...], Failure] | RelayRefused:
-        """Ask the holder; a refusal says that nothing was sent."""
+        """Send requests to the holder.
+
+        A refusal means that the member has got none of the requests.
+        """
         asked_at = self._relay_client.now()
         remaining_s = max(0.001, deadline - asked_at)
         admit_by = deadline if self._admit_by is None else self._admit_by
--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/proxy/session_registry.py
@@ -1,4 +1,4 @@
-"""Open sessions of this host, and how they end at a planned stop."""
+"""Open sessions of this host, and how they are drained at a planned stop."""
 
 from __future__ import annotations
 
@@ -14,36 +14,38 @@
     from trefoilpulley_node.proxy.caller_session import CallerSession
 
 BALANCER_NOTICE_S = 2.2
-"""Time in which the balancer notices that this host is not ready.
+"""Time until the balancer detects that this host is not ready, in seconds.
 
-It asks once a second and gives up after two refusals.
+The balancer checks once a second and removes a host after two failed checks.
 """
 
 EXIT_MARGIN_S = 0.7
-"""Part of the grace left for the process to end, in seconds."""
+"""Part of the grace period reserved for the process to exit, in seconds."""
 
 QUIET_PERIOD_S = 0.6
-"""Time without a connection after which none is expected any more.
+"""Time without connections after which the drain is complete, in seconds.
 
-Connections that the balancer sent before it noticed are on their way.
+Covers the connections that the balancer sent to this host before the balancer
+detected the stop.
 """
 
 REFUSE_FACTOR = 0.3
-"""Last part of the grace in which new work is refused.
+"""Last part of the grace period, in which new requests are refused.
 
-Of 6 s it leaves more than the exit margin and most statements together.
+With a grace period of 6 s, this part is longer than the exit margin and most
+statements together.
 """
 
 POLL_INTERVAL_S = 0.05
-"""Time between two looks at the sessions while draining."""
+"""Time between two checks of the sessions during a drain, in seconds."""
 
 
 class CallerConnection(abc.ABC):
-    """Connection of a caller, as the drain sees it."""
+    """Connection of a caller, as the registry needs it for a drain."""
 
     @abc.abstractmethod
     def has_input(self) -> bool:
-        """Whether the caller has sent what was not read yet."""
+        """Whether the caller has sent data that is not read yet."""
 
     @abc.abstractmethod
     def close(self) -> None:
@@ -67,52 +69,60 @@
         """Whether the host is about to stop."""
 
         self.is_closing = False
-        """Whether sessions end after their next answer."""
+        """Whether each session is closed after its next reply."""
 
         self.is_refusing = False
-        """Whether what comes now would be cut by the end."""
+        """Whether new requests are refused, since time is too short for them.
+        """
 
     def __len__(self) -> int:
         return len(self._sessions)
 
     def enter(self) -> None:
-        """Note a new connection, greeted or not."""
+        """Count a new connection, with or without a session."""
         self._connections += 1
 
     def leave(self) -> None:
-        """Note the end of a connection."""
+        """Remove a closed connection from the count."""
         self._connections -= 1
 
     def add(self, session: CallerSession, conn: CallerConnection) -> None:
-        """Note a new session."""
+        """Add a new session."""
         self._sessions[session] = conn
 
     def remove(self, session: CallerSession) -> None:
-        """Note the end of a session."""
+        """Remove a closed session."""
         self._sessions.pop(session, None)
 
     def close_idle(self) -> None:
-        """Close the sessions without work, so that they go elsewhere."""
+        """Close the idle sessions, so that their callers use other hosts."""
         for session, conn in list(self._sessions.items()):
             self._close_if_idle(session, conn, is_late=False)
 
     def refuse(self) -> None:
-        """Refuse what comes from now on."""
+        """Refuse all new requests."""
         self.is_draining = self.is_closing = self.is_refusing = True
 
     def drain(self, grace_s: float, count_leases: Callable[[], int]) -> bool:
-        """End every session without cutting a request.
+        """Close all sessions without interrupting a request.
+
+        Sessions are closed once the balancer should send no new connections:
+        each session when it is idle or after its next reply. Open transactions
+        may finish in the first half of the grace period. Where the balancer
+        has no other host, new connections still arrive; their sessions are
+        served until a request might not finish in time.
 
-        Sessions are closed once the balancer should send no new ones,
-        each when it is idle or has its next answer; open transactions
-        have the first half of the grace to end. Where the balancer has
-        no other host, new sessions come on: they are served until what
-        they ask could no longer be answered in time.
+        Parameters
+        ----------
+        grace_s : float
+            Time until the process is killed, in seconds.
+        count_leases : Callable[[], int]
+            Returns the number of leases of other hosts.
 
         Returns
         -------
         bool
-            Whether every session ended before the time was over.
+            Whether all sessions were closed in time.
         """
         self.is_draining = True
         began_at = self._clock.now()
--- a/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
@@ -1,4 +1,8 @@
-"""Runs single statements: reads anywhere they may, writes once."""
+"""Runs statements that are not part of a transaction.
+
+A read runs at any member that its route allows. A write runs at the primary,
+at most once.
+"""
 
 from __future__ import annotations
 
@@ -37,26 +41,34 @@
     from trefoilpulley_node.proxy.work import StatementRequest
 
 MAX_READ_ATTEMPTS = 5
-"""Members that a read may be sent to, repeats included."""
+"""Attempts to send a read, repetitions at the same member included."""
 
 MIN_HEDGE_DELAY_S = 0.25
-"""Silence after which a read is sent to another member as well.
+"""Minimum delay before a hedged request is sent, in seconds.
 
-Above the time of the slowest statement behind a full queue of a member.
+A hedged request sends a read without an answer to a second member as well. The
+delay exceeds the duration of the slowest statement behind a full queue of a
+member.
 """
 
 HEDGE_DELAY_FACTOR = 6.0
-"""The same in mean times of a statement, where that is longer."""
+"""Delay before a hedged request in mean durations of a statement.
+
+Applies where the result is longer than ``MIN_HEDGE_DELAY_S``.
+"""
 
 BUSY_BACKOFF_S = 0.01
-"""Pause before a statement that met no free slot is sent again."""
+"""Delay before a statement is sent again after a member had no free slot.
+
+In seconds.
+"""
 
 MAX_WRITE_ATTEMPTS = 6
-"""Times that a write which has not run may be sent."""
+"""Attempts to send a write that no member has run."""
 
 
 class _HedgedRead:
-    """Tries of one read; the first whole answer counts."""
+    """Requests of one hedged read; the first successful reply is returned."""
 
     def __init__(self) -> None:
         self.results: SimpleQueue = SimpleQueue()
@@ -64,29 +76,30 @@
         self.is_ended = False
 
     def end(self) -> None:
-        """Let no try be sent any more that has not been sent yet.
+        """Cancel the requests that have not been sent yet.
 
-        The caller may change its values as soon as it has its answer.
+        The caller may change its session values as soon as it has the reply,
+        and a statement sent later would run without these values.
         """
         self.is_ended = True
         gevent.joinall([gevent.spawn(s.cancel_unsent) for s in self.sessions])
 
 
 class StatementRunner:
-    """Runs statements outside of transactions.
+    """Runs statements that are not part of a transaction.
 
     Parameters
     ----------
     zone : str
         Availability zone of this host.
     exchanger : Exchanger
-        Runs requests on connections.
+        Sends requests on connections.
     primary_wait : PrimaryWait
-        Waits for a change of primary that is nearly over.
+        Waits until a new primary is known.
     clock : Clock
         Monotonic time.
     metrics : ProxyMetrics
-        Counts what members answer.
+        Records the floor ages of reads at replicas.
     """
 
     def __init__(
@@ -104,10 +117,10 @@
         self._clock = clock
 
     def read(self, request: StatementRequest) -> Result[Reply, Failure]:
-        """Run a read where its route allows it.
+        """Run a read at a member that its route allows.
 
-        A member that refuses, breaks or stays silent is passed over for
-        another; the first whole answer counts.
+        Where a member refuses the read, fails or stays silent, the read is
+        sent to another member. The first successful reply is returned.
         """
         hedged = _HedgedRead()
         try:
@@ -126,7 +139,8 @@
             place = self._place(request, frozenset(excluded))
             if place is None and pending == 0:
                 if self._primary_wait.is_serving(request.group):
-                    # Every member has refused, for load or for lag.
+                    # Every member has refused the read, for overload or
+                    # replication lag.
                     break
                 if not self._primary_wait.wait(request):
                     break
@@ -163,7 +177,8 @@
     def write(self, request: StatementRequest) -> Result[Reply, Failure]:
         """Run a write at the primary, at most once.
 
-        It is sent again only after a member said that it has not run.
+        The write is sent again only where the failure shows that no member has
+        run it.
         """
         failure: Failure = NoUpstream('no primary is known')
         for _ in range(MAX_WRITE_ATTEMPTS):
--- a/packages/node/src/trefoilpulley_node/proxy/work.py
+++ b/packages/node/src/trefoilpulley_node/proxy/work.py
@@ -1,4 +1,4 @@
-"""One statement on its way, and how its time is bounded."""
+"""A caller's statement and its time limits."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
     from trefoilpulley_node.proxy.directory import Group
 
 QUEUE_TIME_FACTOR = 0.5
-"""Part of a route's goal in which a statement's turn must come.
+"""Part of a route's latency goal that a statement may spend in a queue.
 
-What waits longer hardly meets the goal; it is refused at once, so that its
-caller may try another host.
+A statement that waits longer rarely meets the goal. The statement is refused
+at once, so that its caller can try another host.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class StatementRequest:
-    """One statement of a caller with what it needs."""
+    """One statement of a caller and what is needed to run it."""
 
     run: Run
     """Statement."""
 
     prepared: Prepare | None
-    """Prepared statement that it executes, if any."""
+    """Prepared statement to execute, if any."""
 
     route: Route
-    """Route that it takes."""
+    """Route of the caller's database."""
 
     group: Group
     """Group that serves the route."""
@@ -47,9 +47,9 @@
     """Time of arrival, in seconds."""
 
     deadline: float
-    """Time at which it must have been answered, in seconds."""
+    """Time by which the statement must be answered, in seconds."""
 
     @property
     def admit_by(self) -> float:
-        """Time by which its turn must come, in seconds."""
+        """Time by which the statement must get a connection, in seconds."""
         return self.arrived_at + QUEUE_TIME_FACTOR * self.route.goal_s
