--- a/features/steps/platform_path_steps.py
+++ b/features/steps/platform_path_steps.py
@@ -107,7 +107,7 @@
             group = host.proxy.directory.groups['ledger']
             until(lambda g=group: g.state.primary in g.state.members)
             for _ in range(3):
-                host.proxy.changer.replace(group, group.state.primary)
+                host.proxy.changer.fail_over(group, group.state.primary)
         assert not context.deployment.duty.orders
 
     @staticmethod
