--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/proxy/session_registry.py
@@ -72,8 +72,7 @@
         """Whether each session is closed after its next reply."""
 
         self.is_refusing = False
-        """Whether new requests are refused, since time is too short for them.
-        """
+        """Whether new requests are refused, as they may not finish in time."""
 
     def __len__(self) -> int:
         return len(self._sessions)
