--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_session.py
@@ -104,7 +104,7 @@
         without it every database would be refused as unknown.
         """
         if not self.directory.wait_loaded(CONFIGURATION_TIMEOUT_S):
-            return NoUpstream('no configuration yet')
+            return NoUpstream('configuration is not loaded yet')
         if self.directory.find_route(database) is None:
             return UnknownDatabase(database)
         return None
@@ -274,7 +274,9 @@
             if state.prepared.pop(command.name, None) is None:
                 return self._make_failure_reply(UnknownStatement(command.name))
         elif len(state.values) + len(state.prepared) >= MAX_SESSION_VALUES:
-            return self._make_failure_reply(CommandRefused('too many values'))
+            return self._make_failure_reply(
+                CommandRefused('session has too many values')
+            )
         elif isinstance(command, Prepare):
             state.prepared[command.name] = command
         else:
--- a/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
@@ -265,7 +265,7 @@
     ) -> Result[None, Failure]:
         access = request.group.find_access(place.member)
         if access is None:
-            return Failed(NoUpstream('member has left'))
+            return Failed(NoUpstream('member has left the group'))
         acquired = access.acquire(
             request.route.priority,
             request.deadline,
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -112,7 +112,9 @@
         deadline = self._clock.now() + message.remaining_ms / 1000
         key = peer.connection, message.lease
         if key in self._ended_leases:
-            return _make_refusal(NoUpstream('given up before it was read'))
+            return _make_refusal(
+                NoUpstream('cancelled before the request was read')
+            )
         lease = self._leases.get(key)
         if lease is None:
             if message.is_pinned:
@@ -181,7 +183,7 @@
         group = self._groups.get(message.group)
         access = group.find_access(message.member) if group else None
         if access is None:
-            return _make_refusal(NoUpstream('member is not known here'))
+            return _make_refusal(NoUpstream('member is unknown to this host'))
         lease = self._leases[key] = _Lease(group, access, self._clock.now())
         values = SessionState(message.values or {})
         admit_by = self._clock.now() + message.admit_ms / 1000
@@ -197,7 +199,9 @@
             # The session values of the caller may have changed in the
             # meantime.
             self._close_lease(key, lease)
-            return _make_refusal(NoUpstream('given up before it was sent'))
+            return _make_refusal(
+                NoUpstream('cancelled before the request was sent')
+            )
         return None
 
     def _abandon(self, key: tuple[int, int]) -> None:
--- a/packages/node/src/trefoilpulley_node/proxy/exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/exchange.py
@@ -125,7 +125,9 @@
         if is_proof_needed:
             proof = others[0]
             if proof.failure is not None:
-                return Failed(NotPrimary('lead could not be proved'))
+                return Failed(
+                    NotPrimary('member could not prove its leadership')
+                )
             record_proof(request.group, access, sent_at, proof.position)
         return Success(reply)
 
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -85,7 +85,7 @@
         replies = done.unwrap()
         if any(r.failure is not None for r in replies[: len(setup)]):
             self.upstream.close()
-            return Failed(SetupFailed('session values were refused'))
+            return Failed(SetupFailed('member refused the session values'))
         replies = replies[len(setup) :]
         if any(isinstance(r.failure, UnknownStatement) for r in replies):
             self.state.aliases.clear()
@@ -190,13 +190,13 @@
                         continue
             waiter = self._enqueue(priority, turn_by, now)
             if waiter is None:
-                return Failed(Overloaded('line for connections is too long'))
+                return Failed(Overloaded('connection queue is too long'))
             conn = self._wait_for_turn(waiter, turn_by - now)
             if conn is not None:
                 return Success(conn)
         if self._is_closed:
-            return Failed(NoUpstream('member has left'))
-        return Failed(Overloaded('no connection came free in time'))
+            return Failed(NoUpstream('member has left the group'))
+        return Failed(Overloaded('timed out waiting for a connection'))
 
     def release(self, conn: PooledSession) -> None:
         """Return a connection to the pool."""
--- a/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
@@ -220,7 +220,7 @@
                 return done
             self.close()
             return Failed(read_failure(done.failure))
-        failure: Failure = NoUpstream('no holder answers')
+        failure: Failure = NoUpstream('no holder is reachable')
         unreachable_reports = 0
         for holder in self._relay_client.holders[:MAX_HOLDER_ATTEMPTS]:
             if self._is_cancelled or self._relay_client.now() >= deadline:
@@ -289,7 +289,7 @@
         if not isinstance(answered, Success):
             self._relay_client.on_holder_timeout(self._holder)
             self.close()
-            return Failed(PeerUnreachable('holder gave no answer'))
+            return Failed(PeerUnreachable('holder did not answer in time'))
         match answered.unwrap():
             case RelayRefused() as refusal:
                 return refusal
@@ -304,7 +304,7 @@
                 return Failed(read_failure(failure))
             case _:
                 self.close()
-                return Failed(PeerUnreachable('unknown answer of a holder'))
+                return Failed(PeerUnreachable('holder sent an unknown reply'))
 
 
 def _unpack_reply(packed: RelayedReply) -> Reply:
--- a/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
@@ -247,7 +247,7 @@
     ) -> Result[Reply, Failure]:
         access = request.group.find_access(place.member)
         if access is None:
-            return Failed(NoUpstream('member has left'))
+            return Failed(NoUpstream('member has left the group'))
         acquired = access.acquire(
             request.route.priority,
             request.deadline,
@@ -259,7 +259,7 @@
         conn = acquired.unwrap()
         if hedged.is_ended:
             access.release(conn)
-            return Failed(NoUpstream('answered elsewhere'))
+            return Failed(NoUpstream('another member answered first'))
         floor = place.floor
         position = floor.position if floor else None
         hedged.sessions.add(conn)
