--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_session.py
@@ -158,13 +158,13 @@
             reply = self._handle(command)
         finally:
             self.is_busy = False
-        took_s = self._factory.clock.now() - began_at
+        duration_s = self._factory.clock.now() - began_at
         if isinstance(command, Run | Commit):
-            self._count(reply, took_s)
+            self._count(reply, duration_s)
         if reply.failure is not None:
-            self._log_failure(command, reply.failure, took_s)
+            self._log_failure(command, reply.failure, duration_s)
         elif isinstance(command, Run):
-            self._log_served(command, reply, took_s)
+            self._log_served(command, reply, duration_s)
         return reply
 
     def abort(self) -> None:
@@ -250,9 +250,9 @@
             transaction.roll_back()
             self._transaction = None
             return self._make_failure_reply(self._route_failure())
-        done = transaction.commit(request)
+        result = transaction.commit(request)
         self._transaction = None
-        return self._make_reply(done)
+        return self._make_reply(result)
 
     def _on_rollback(self) -> Reply:
         transaction = self._transaction
@@ -309,10 +309,10 @@
     def _route_failure(self) -> Failure:
         return UnknownDatabase(self._database)
 
-    def _make_reply(self, done: Result[Reply, Failure]) -> Reply:
-        if not isinstance(done, Success):
-            return self._make_failure_reply(done.failure())
-        reply = done.unwrap()
+    def _make_reply(self, result: Result[Reply, Failure]) -> Reply:
+        if not isinstance(result, Success):
+            return self._make_failure_reply(result.failure())
+        reply = result.unwrap()
         return Reply(
             reply.rows,
             reply.signature,
@@ -324,29 +324,29 @@
     def _make_failure_reply(self, failure: Failure) -> Reply:
         return Reply(failure=failure, state=self.transaction_state)
 
-    def _count(self, reply: Reply, took_s: float) -> None:
+    def _count(self, reply: Reply, duration_s: float) -> None:
         route = self._route()
         kind = route.freshness.value if route else 'none'
         outcome = reply.failure.code if reply.failure else 'done'
         self._factory.metrics.count('requests', kind, outcome)
-        self._factory.metrics.observe('request_seconds', took_s, kind)
+        self._factory.metrics.observe('request_seconds', duration_s, kind)
 
-    def _log_served(self, run: Run, reply: Reply, took_s: float) -> None:
+    def _log_served(self, run: Run, reply: Reply, duration_s: float) -> None:
         """Log a sample of the served requests, and every slow one."""
         self._served_count += 1
         route = self._route()
-        is_late = route is not None and took_s > route.goal_s
-        if is_late or self._served_count % SERVED_REQUESTS_PER_EVENT == 1:
+        is_slow = route is not None and duration_s > route.goal_s
+        if is_slow or self._served_count % SERVED_REQUESTS_PER_EVENT == 1:
             events.STATEMENT_SERVED.log(
                 request=run.request_id,
                 database=self._database,
                 group=route.group if route else None,
-                took_ms=round(1000 * took_s),
+                took_ms=round(1000 * duration_s),
                 position=f'{reply.position.term}.{reply.position.index}',
             )
 
     def _log_failure(
-        self, command: Command, failure: Failure, took_s: float
+        self, command: Command, failure: Failure, duration_s: float
     ) -> None:
         request = getattr(command, 'request_id', '')
         route = self._route()
@@ -358,7 +358,7 @@
             database=self._database,
             group=route.group if route else None,
             configuration=self._factory.directory.table.version,
-            took_ms=round(1000 * took_s),
+            took_ms=round(1000 * duration_s),
             failure=failure.code,
             detail=failure.detail,
             is_run=failure.run_state is not RunState.NOT_RUN,
--- a/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
@@ -107,12 +107,12 @@
         )
         is_first = not self.has_sent_statement
         self.has_sent_statement = True
-        done = self._exchanger.run(
+        result = self._exchanger.run(
             self._access, self._conn, request, None, False, deadline
         )
-        if isinstance(done, Success):
-            return done
-        failure = done.failure()
+        if isinstance(result, Success):
+            return result
+        failure = result.failure()
         if isinstance(failure, Overloaded) and self._is_retry_allowed(
             request, is_first
         ):
@@ -138,20 +138,20 @@
                 return self._abort(request, opened.failure())
         access, conn = self._access, self._conn
         sent_at = self._clock.now()
-        done = self._exchanger.exchange(
+        result = self._exchanger.exchange(
             access,
             conn,
             (CommitTransaction(request.run.request_id),),
             request.deadline,
         )
-        if not isinstance(done, Success):
+        if not isinstance(result, Success):
             request.group.check_requested.set()
-            failure = done.failure()
+            failure = result.failure()
             self._discard()
             if self._has_written:
                 return Failed(OutcomeUnknown(failure.code))
             return Failed(TransactionLost(failure.code))
-        reply = done.unwrap()[0]
+        reply = result.unwrap()[0]
         if reply.failure is not None:
             if isinstance(reply.failure, NotPrimary):
                 request.group.state.on_not_leading(access.health.record.member)
@@ -172,10 +172,12 @@
         access, conn = self._access, self._conn
         self._access = self._conn = None
         deadline = self._clock.now() + ROLLBACK_TIMEOUT_S
-        done = self._exchanger.exchange(access, conn, (RollBack(),), deadline)
-        if not isinstance(done, Success):
+        result = self._exchanger.exchange(
+            access, conn, (RollBack(),), deadline
+        )
+        if not isinstance(result, Success):
             access.discard(conn)
-        elif done.unwrap()[0].state is not TransactionState.IDLE:
+        elif result.unwrap()[0].state is not TransactionState.IDLE:
             access.discard(conn)
         else:
             access.release(conn)
@@ -210,10 +212,10 @@
                     break
                 excluded.clear()
                 continue
-            done = self._open_at(request, place)
-            if isinstance(done, Success):
-                return done
-            failure = done.failure()
+            result = self._open_at(request, place)
+            if isinstance(result, Success):
+                return result
+            failure = result.failure()
             self._on_open_failed(request, place, failure, excluded)
         if failure.run_state is RunState.NOT_RUN:
             return Failed(failure)
@@ -279,14 +281,14 @@
         floor = None if is_read_write else place.floor.position
         call = OpenTransaction(not is_read_write, floor)
         deadline = min(request.deadline, self._clock.now() + OPEN_TIMEOUT_S)
-        done = self._exchanger.open_transaction(
+        result = self._exchanger.open_transaction(
             access, conn, request.group, call, deadline
         )
-        if not isinstance(done, Success):
+        if not isinstance(result, Success):
             access.release(conn)
-            return done
+            return result
         self._access, self._conn = access, conn
-        return done
+        return result
 
     def _abort(
         self, request: StatementRequest, failure: Failure
--- a/packages/node/src/trefoilpulley_node/proxy/claims.py
+++ b/packages/node/src/trefoilpulley_node/proxy/claims.py
@@ -92,13 +92,13 @@
         for group in tuple(self._unpublished):
             known = self._known[group]
             value = json.dumps(asdict(known.claim)).encode()
-            done = self._platform.compare_and_swap(
+            result = self._platform.compare_and_swap(
                 claim_key(group), known.revision, value
             )
-            if isinstance(done, Success):
-                self._known[group] = KnownClaim(known.claim, done.unwrap())
+            if isinstance(result, Success):
+                self._known[group] = KnownClaim(known.claim, result.unwrap())
                 self._unpublished.discard(group)
-            elif isinstance(done.failure(), RevisionConflict):
+            elif isinstance(result.failure(), RevisionConflict):
                 # Another host has published the same or a later round.
                 self._unpublished.discard(group)
 
@@ -119,16 +119,16 @@
         known = self._known.get(group)
         claim = Claim(self._host, after_round + 1, target)
         value = json.dumps(asdict(claim)).encode()
-        done = None
+        result = None
         with gevent.Timeout(CLAIM_TIMEOUT_S, False):
-            done = self._platform.compare_and_swap(
+            result = self._platform.compare_and_swap(
                 claim_key(group), known.revision if known else 0, value
             )
-        if done is None:
+        if result is None:
             return Failed(PlatformAnswerLost('no answer in time'))
-        if not isinstance(done, Success):
-            return done
-        self.record_claim(group, claim, done.unwrap())
+        if not isinstance(result, Success):
+            return result
+        self.record_claim(group, claim, result.unwrap())
         return Success(claim.round)
 
 
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -125,7 +125,7 @@
             lease = self._leases[key]
         lease.is_busy = True
         sent_at = self._clock.now()
-        done = self._exchanger.exchange(
+        result = self._exchanger.exchange(
             lease.access,
             lease.conn,
             message.calls,
@@ -134,10 +134,10 @@
         )
         now = lease.used_at = self._clock.now()
         lease.is_busy = False
-        if not isinstance(done, Success):
+        if not isinstance(result, Success):
             self._close_lease(key, lease)
-            return make_reply(done.failure())
-        replies = done.unwrap()
+            return make_reply(result.failure())
+        replies = result.unwrap()
         lease.has_transaction = replies[-1].state is not TransactionState.IDLE
         if lease.is_abandoned or not lease.has_transaction:
             self._close_lease(key, lease)
--- a/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
@@ -99,8 +99,8 @@
     def _request_from(self, group: Group, host: str) -> None:
         asked_at = self._clock.now()
         question = EvidenceQuestion(group.state.group)
-        done = self._peers.call_host(host, question, ANSWER_TIMEOUT_S)
-        report = done.value_or(None)
+        result = self._peers.call_host(host, question, ANSWER_TIMEOUT_S)
+        report = result.value_or(None)
         if not isinstance(report, EvidenceReport):
             return
         found = read_report(report, asked_at)
--- a/packages/node/src/trefoilpulley_node/proxy/exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/exchange.py
@@ -63,16 +63,16 @@
             health.silent_since = sent_at
         in_flight = health.in_flight
         try:
-            done = conn.exchange(calls, timeout_s, setting)
+            result = conn.exchange(calls, timeout_s, setting)
         finally:
             health.in_flight -= 1
             access.local_pool.serve_queue()
         now = self._clock.now()
-        if isinstance(done, Success):
-            health.on_answer(now, done.unwrap()[-1].position)
+        if isinstance(result, Success):
+            health.on_answer(now, result.unwrap()[-1].position)
             health.on_served(now - sent_at, now)
-            access.on_replies(conn, done.unwrap(), in_flight)
-        return done
+            access.on_replies(conn, result.unwrap(), in_flight)
+        return result
 
     def run(
         self,
@@ -89,18 +89,18 @@
         statement: a member that leads at that time also led while the
         statement ran.
         """
-        done = self._run(
+        result = self._run(
             access, conn, request, floor, is_proof_needed, deadline
         )
-        is_done = isinstance(done, Success)
+        is_done = isinstance(result, Success)
         self._metrics.count(
             'tries',
             request.route.freshness.value,
             'write' if request.run.is_write else 'read',
             _role_of(access, request),
-            'done' if is_done else done.failure().code,
+            'done' if is_done else result.failure().code,
         )
-        return done
+        return result
 
     def _run(
         self,
@@ -116,10 +116,10 @@
             calls += (OpenTransaction(is_read_only=False), RollBack())
         setting = SessionSetting(request.session, request.prepared)
         sent_at = self._clock.now()
-        done = self.exchange(access, conn, calls, deadline, setting)
-        if not isinstance(done, Success):
-            return done
-        reply, *others = done.unwrap()
+        result = self.exchange(access, conn, calls, deadline, setting)
+        if not isinstance(result, Success):
+            return result
+        reply, *others = result.unwrap()
         if reply.failure is not None:
             return Failed(reply.failure)
         if is_proof_needed:
@@ -141,10 +141,10 @@
     ) -> Result[None, Failure]:
         """Open a transaction; a read-write transaction proves leadership."""
         sent_at = self._clock.now()
-        done = self.exchange(access, conn, (call,), deadline)
-        if not isinstance(done, Success):
-            return done
-        reply = done.unwrap()[0]
+        result = self.exchange(access, conn, (call,), deadline)
+        if not isinstance(result, Success):
+            return result
+        reply = result.unwrap()[0]
         if reply.failure is not None:
             return Failed(reply.failure)
         if not call.is_read_only:
--- a/packages/node/src/trefoilpulley_node/proxy/host_registration.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_registration.py
@@ -106,11 +106,11 @@
     def _put(self, lease_id: int) -> Result[int, Failure]:
         key = f'{HOST_PREFIX}{self._host_entry.name}'
         value = write_host(self._host_entry)
-        done = self._platform.compare_and_swap(key, 0, value, lease_id)
-        if isinstance(done, Success):
-            return done
-        if not isinstance(done.failure(), RevisionConflict):
-            return done
+        result = self._platform.compare_and_swap(key, 0, value, lease_id)
+        if isinstance(result, Success):
+            return result
+        if not isinstance(result.failure(), RevisionConflict):
+            return result
         found = self._platform.get(key)
         if not isinstance(found, Success):
             return found
@@ -119,11 +119,11 @@
         return self._platform.compare_and_swap(key, revision, value, lease_id)
 
     def _renew(self) -> bool:
-        done = self._platform.keep_alive(self._lease_id)
-        if isinstance(done, Success):
+        result = self._platform.keep_alive(self._lease_id)
+        if isinstance(result, Success):
             self._renewed_at = self._clock.now()
             return True
-        if isinstance(done.failure(), LeaseExpired):
+        if isinstance(result.failure(), LeaseExpired):
             self._lease_id = 0
             return self._register()
         return False
--- a/packages/node/src/trefoilpulley_node/proxy/host_vote.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_vote.py
@@ -80,20 +80,20 @@
             return ()
         question = ReachQuestion(group.state.group, lost_member)
         voters = [h for h in self.voters(group) if h != self._host]
-        asked = [
+        greenlets = [
             gevent.spawn(self._peers.call_host, host, question, VOTE_TIMEOUT_S)
             for host in voters
         ]
         reports: tuple[ReachReport, ...] = ()
-        for done in gevent.iwait(asked, timeout=VOTE_TIMEOUT_S):
-            report = done.value.value_or(None) if done.value else None
+        for greenlet in gevent.iwait(greenlets, timeout=VOTE_TIMEOUT_S):
+            report = greenlet.value.value_or(None) if greenlet.value else None
             if not isinstance(report, ReachReport):
                 continue
             reports = (*reports, report)
             if self.is_lost(group, lost_member, reports, is_claimed=False):
                 # The outcome is decided: no outstanding report can change it.
                 break
-        gevent.killall(asked, block=False)
+        gevent.killall(greenlets, block=False)
         self._answer_rate = (1 + len(reports)) / (1 + len(voters))
         self._voted_at = self._clock.now()
         return reports
@@ -109,12 +109,12 @@
     ) -> bool:
         """Return whether at least one of the given hosts reaches a member."""
         question = ReachQuestion(group.state.group, member)
-        asked = [
+        greenlets = [
             gevent.spawn(self._peers.call_host, host, question, VOTE_TIMEOUT_S)
             for host in hosts
         ]
-        for done in gevent.iwait(asked, timeout=VOTE_TIMEOUT_S):
-            report = done.value.value_or(None) if done.value else None
+        for greenlet in gevent.iwait(greenlets, timeout=VOTE_TIMEOUT_S):
+            report = greenlet.value.value_or(None) if greenlet.value else None
             if isinstance(report, ReachReport) and report.is_reached:
                 return True
         return False
@@ -140,15 +140,15 @@
         now = self._clock.now()
         if health and now - health.last_answer_at < MAX_RECENT_ANSWER_AGE_S:
             return ReachReport(self._host, is_reached=True)
-        reached = self._prober.can_connect(group, question.member)
-        if not reached:
+        is_reachable = self._prober.can_connect(group, question.member)
+        if not is_reachable:
             access = group.find_access(question.member)
             if access is not None and access.is_relayed:
                 # This host sends no statements of its own to the member, so
                 # that no failed statement would reveal the loss.
                 access.health.on_unreachable(now)
             group.check_requested.set()
-        return ReachReport(self._host, reached)
+        return ReachReport(self._host, is_reachable)
 
     def recent_answer_rate(self, now: float) -> float | None:
         """Return the rate of hosts that answered the last vote, if recent."""
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -79,10 +79,10 @@
         setup: tuple[Call, ...] = ()
         if setting is not None:
             setup = plan_setup(self.state, setting.session, setting.prepared)
-        done = self.upstream.exchange((*setup, *calls), timeout_s)
-        if not isinstance(done, Success):
-            return done
-        replies = done.unwrap()
+        result = self.upstream.exchange((*setup, *calls), timeout_s)
+        if not isinstance(result, Success):
+            return result
+        replies = result.unwrap()
         if any(r.failure is not None for r in replies[: len(setup)]):
             self.upstream.close()
             return Failed(SetupFailed('member refused the session values'))
@@ -167,7 +167,9 @@
             Time by which the request must get its connection, in seconds;
             defaults to the deadline.
         """
-        turn_by = deadline if admit_by is None else min(admit_by, deadline)
+        admission_deadline = (
+            deadline if admit_by is None else min(admit_by, deadline)
+        )
         while not self._is_closed:
             now = self._clock.now()
             if self._has_room:
@@ -188,10 +190,10 @@
                         if conn is not None:
                             return Success(conn)
                         continue
-            waiter = self._enqueue(priority, turn_by, now)
+            waiter = self._enqueue(priority, admission_deadline, now)
             if waiter is None:
                 return Failed(Overloaded('connection queue is too long'))
-            conn = self._wait_for_turn(waiter, turn_by - now)
+            conn = self._wait_for_turn(waiter, admission_deadline - now)
             if conn is not None:
                 return Success(conn)
         if self._is_closed:
@@ -332,7 +334,7 @@
         )
 
     def _enqueue(
-        self, priority: int, turn_by: float, now: float
+        self, priority: int, admission_deadline: float, now: float
     ) -> WaitingWork | None:
         """Queue a request, or return ``None`` where it would wait too long."""
         if self._has_room:
@@ -341,7 +343,7 @@
             servers = self.in_flight_limit.value
             hold_s = self.health.expected_s(now)
         return self._queue.join(
-            priority, turn_by, now, servers, hold_s, AsyncResult()
+            priority, admission_deadline, now, servers, hold_s, AsyncResult()
         )
 
     def _wait_for_retry(
--- a/packages/node/src/trefoilpulley_node/proxy/member_prober.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_prober.py
@@ -82,11 +82,11 @@
 
     def find_leader(self, group: Group) -> bool:
         """Ask all members at once; return whether a primary is known then."""
-        asked = [
+        greenlets = [
             gevent.spawn(self.verify_leader, group, member)
             for member in group.state.members
         ]
-        for _ in gevent.iwait(asked, timeout=PROBE_TIMEOUT_S):
+        for _ in gevent.iwait(greenlets, timeout=PROBE_TIMEOUT_S):
             if group.state.primary is not None:
                 return True
         return group.state.primary is not None
@@ -150,20 +150,20 @@
         call: AskStatus | HoldReplication = _ASK_STATUS,
     ) -> dict[str, LogStatus]:
         """Return the log status of each member that answers in time."""
-        asked = {
+        greenlets = {
             m: gevent.spawn(self.read_status, group, m, call) for m in members
         }
         enough = len(group.state.members) // 2 + 1
         answers = 0
-        for done in gevent.iwait(
-            list(asked.values()), timeout=2 * PROBE_TIMEOUT_S
+        for greenlet in gevent.iwait(
+            list(greenlets.values()), timeout=2 * PROBE_TIMEOUT_S
         ):
-            answers += done.value is not None
+            answers += greenlet.value is not None
             if answers >= enough:
                 break
-        gevent.joinall(list(asked.values()), timeout=LAST_STATUS_TIMEOUT_S)
-        found = {m: g.value for m, g in asked.items()}
-        gevent.killall(list(asked.values()), block=False)
+        gevent.joinall(list(greenlets.values()), timeout=LAST_STATUS_TIMEOUT_S)
+        found = {m: g.value for m, g in greenlets.items()}
+        gevent.killall(list(greenlets.values()), block=False)
         return {m: s for m, s in found.items() if s is not None}
 
     def demote(self, group: Group, member: str, term: int) -> LogStatus | None:
@@ -183,9 +183,9 @@
             return None
         conn = acquired.unwrap()
         try:
-            done = self._exchanger.exchange(access, conn, calls, deadline)
+            result = self._exchanger.exchange(access, conn, calls, deadline)
         except gevent.GreenletExit:
             access.discard(conn)
             raise
         access.release(conn)
-        return done.unwrap()[0] if isinstance(done, Success) else None
+        return result.unwrap()[0] if isinstance(result, Success) else None
--- a/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
@@ -165,12 +165,12 @@
         """Read all entries and remove those that no longer exist."""
         # A single call limits the load on the service, since all hosts may
         # start at the same time.
-        read = self._platform.get_prefix('')
-        if not isinstance(read, Success):
+        result = self._platform.get_prefix('')
+        if not isinstance(result, Success):
             return False
-        for entry in read.unwrap():
+        for entry in result.unwrap():
             self._on_change(entry)
-        listed = {e.key for e in read.unwrap()}
+        listed = {e.key for e in result.unwrap()}
         prefixes = (self._documents.members_prefix, PROXY_PREFIX)
         for key in list(self._revisions):
             if key.startswith(prefixes) and key not in listed:
@@ -194,43 +194,43 @@
             self._revisions.pop(entry.key, None)
 
     def _on_routes(self, entry: KeyValue) -> None:
-        read = self._documents.read_routes(entry.value)
-        if isinstance(read, Success):
-            self._directory.set_routes(read.unwrap())
+        result = self._documents.read_routes(entry.value)
+        if isinstance(result, Success):
+            self._directory.set_routes(result.unwrap())
         else:
-            self._log_unreadable(entry, read.failure())
+            self._log_unreadable(entry, result.failure())
 
     def _on_member(self, entry: KeyValue) -> None:
         member = entry.key.removeprefix(self._documents.members_prefix)
         if entry.value:
-            read = self._documents.read_member(entry.key, entry.value)
-            if isinstance(read, Success):
+            result = self._documents.read_member(entry.key, entry.value)
+            if isinstance(result, Success):
                 self._removals_due.pop(member, None)
-                self._directory.set_member(read.unwrap())
+                self._directory.set_member(result.unwrap())
                 return
-            self._log_unreadable(entry, read.failure())
+            self._log_unreadable(entry, result.failure())
         self._removals_due.setdefault(
             member, self._clock.now() + REMOVAL_GRACE_S
         )
 
     def _on_host(self, entry: KeyValue) -> None:
         name = entry.key.removeprefix(HOST_PREFIX)
-        read = read_host(entry) if entry.value else None
-        if isinstance(read, Success):
-            self._hosts[name] = read.unwrap()
+        result = read_host(entry) if entry.value else None
+        if isinstance(result, Success):
+            self._hosts[name] = result.unwrap()
         else:
             self._hosts.pop(name, None)
-            if read is not None:
-                self._log_unreadable(entry, read.failure())
+            if result is not None:
+                self._log_unreadable(entry, result.failure())
         self._on_hosts(tuple(self._hosts.values()))
 
     def _on_claim_entry(self, entry: KeyValue) -> None:
-        read = read_claim(entry)
-        if isinstance(read, Success):
+        result = read_claim(entry)
+        if isinstance(result, Success):
             group = entry.key.removeprefix(CLAIM_PREFIX)
-            self._on_claim(group, read.unwrap(), entry.mod_revision)
+            self._on_claim(group, result.unwrap(), entry.mod_revision)
         else:
-            self._log_unreadable(entry, read.failure())
+            self._log_unreadable(entry, result.failure())
 
     def _log_unreadable(self, entry: KeyValue, failure: Failure) -> None:
         if entry.key in self._unreadable:
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -153,11 +153,13 @@
         after_round = self._claims.last_round(state.group)
         if not self._wait_turn(group, after_round, is_service_out=False):
             return
-        asked = gevent.spawn(self._vote.collect_reports, group, lost_primary)
+        pending_reports = gevent.spawn(
+            self._vote.collect_reports, group, lost_primary
+        )
         statuses = self._prober.read_statuses(
             group, state.others(lost_primary)
         )
-        reports = asked.get()
+        reports = pending_reports.get()
         if lost_primary and not self._vote.is_lost(
             group, lost_primary, reports, True
         ):
@@ -340,9 +342,11 @@
         outcome = 'over' if has_taken_effect else 'no-effect'
         self._metrics.count('primary_changes', cause, outcome)
         if has_taken_effect:
-            took_s = self._clock.now() - began_at
+            duration_s = self._clock.now() - began_at
             events.CHANGE_OVER.log(
-                group=state.group, member=target, took_ms=round(1000 * took_s)
+                group=state.group,
+                member=target,
+                took_ms=round(1000 * duration_s),
             )
             self._announce_leader(group, target, round_number)
         state.change_due_at = float('-inf')
@@ -443,8 +447,8 @@
             # Repeating the order is safe: once the promotion is carried out, a
             # late repetition is rejected, since the member leads already or
             # the platform has seen a higher token.
-            done = self._promotions.promote(name, target, self._host, token)
-            failure = None if isinstance(done, Success) else done.failure()
+            result = self._promotions.promote(name, target, self._host, token)
+            failure = None if isinstance(result, Success) else result.failure()
             if not isinstance(failure, PlatformAnswerLost):
                 break
         events.PROMOTION_ORDERED.log(
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -343,12 +343,12 @@
     def _live_zones(self) -> dict[str, tuple[str, ...]]:
         """Return the live hosts by availability zone, this host included."""
         zones = {z.zone: z.hosts for z in self._membership.live_hosts.zones}
-        mine = {*zones.get(self._cfg.zone, ()), self._cfg.host}
+        local_hosts = {*zones.get(self._cfg.zone, ()), self._cfg.host}
         if self.sessions.is_draining:
             # This host is about to stop and could not finish new relayed
             # requests.
-            mine.discard(self._cfg.host)
-        return {**zones, self._cfg.zone: tuple(sorted(mine))}
+            local_hosts.discard(self._cfg.host)
+        return {**zones, self._cfg.zone: tuple(sorted(local_hosts))}
 
     def _on_live_hosts(self, live: LiveHosts) -> None:
         self.directory.set_hosts(self._live_zones())
--- a/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
@@ -215,11 +215,11 @@
         """Send requests through a holder and return the replies."""
         deadline = self._relay_client.now() + timeout_s
         if self._is_pinned:
-            done = self._send(calls, deadline, setting)
-            if not isinstance(done, RelayRefused):
-                return done
+            result = self._send(calls, deadline, setting)
+            if not isinstance(result, RelayRefused):
+                return result
             self.close()
-            return Failed(read_failure(done.failure))
+            return Failed(read_failure(result.failure))
         failure: Failure = NoUpstream('no holder is reachable')
         unreachable_reports = 0
         for holder in self._relay_client.holders[:MAX_HOLDER_ATTEMPTS]:
@@ -231,11 +231,11 @@
             if self._is_cancelled:
                 break
             self._holder, self._channel = holder, found.unwrap()
-            done = self._send(calls, deadline, setting)
-            if not isinstance(done, RelayRefused):
-                return done
-            failure = read_failure(done.failure)
-            unreachable_reports += done.is_member_missed
+            result = self._send(calls, deadline, setting)
+            if not isinstance(result, RelayRefused):
+                return result
+            failure = read_failure(result.failure)
+            unreachable_reports += result.is_member_missed
         if unreachable_reports > 1:
             self._relay_client.on_member_unreachable()
         return Failed(failure)
--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/proxy/session_registry.py
@@ -77,26 +77,28 @@
     def __len__(self) -> int:
         return len(self._sessions)
 
-    def enter(self) -> None:
+    def add_connection(self) -> None:
         """Count a new connection, with or without a session."""
         self._connections += 1
 
-    def leave(self) -> None:
+    def remove_connection(self) -> None:
         """Remove a closed connection from the count."""
         self._connections -= 1
 
-    def add(self, session: CallerSession, conn: CallerConnection) -> None:
+    def add_session(
+        self, session: CallerSession, conn: CallerConnection
+    ) -> None:
         """Add a new session."""
         self._sessions[session] = conn
 
-    def remove(self, session: CallerSession) -> None:
+    def remove_session(self, session: CallerSession) -> None:
         """Remove a closed session."""
         self._sessions.pop(session, None)
 
     def close_idle(self) -> None:
         """Close the idle sessions, so that their callers use other hosts."""
         for session, conn in list(self._sessions.items()):
-            self._close_if_idle(session, conn, is_late=False)
+            self._close_if_idle(session, conn, is_transaction_time_over=False)
 
     def refuse(self) -> None:
         """Refuse all new requests."""
@@ -130,13 +132,13 @@
         quiet_since = self._clock.now()
         while True:
             now = self._clock.now()
-            passed_s = now - began_at
-            if passed_s > grace_s - EXIT_MARGIN_S:
+            elapsed_s = now - began_at
+            if elapsed_s > grace_s - EXIT_MARGIN_S:
                 return False
-            if passed_s > (1 - REFUSE_FACTOR) * grace_s:
+            if elapsed_s > (1 - REFUSE_FACTOR) * grace_s:
                 self.refuse()
             for session, conn in list(self._sessions.items()):
-                self._close_if_idle(session, conn, passed_s > grace_s / 2)
+                self._close_if_idle(session, conn, elapsed_s > grace_s / 2)
             if self._connections or count_leases():
                 quiet_since = now
             elif now - quiet_since > QUIET_PERIOD_S:
@@ -144,10 +146,13 @@
             gevent.sleep(POLL_INTERVAL_S)
 
     def _close_if_idle(
-        self, session: CallerSession, conn: CallerConnection, is_late: bool
+        self,
+        session: CallerSession,
+        conn: CallerConnection,
+        is_transaction_time_over: bool,
     ) -> None:
         if session.is_busy or conn.has_input():
             return
-        if session.has_transaction and not is_late:
+        if session.has_transaction and not is_transaction_time_over:
             return
         conn.close()
--- a/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
@@ -75,7 +75,7 @@
         self.sessions: set[MemberSession] = set()
         self.is_ended = False
 
-    def end(self) -> None:
+    def cancel_unsent(self) -> None:
         """Cancel the requests that have not been sent yet.
 
         The caller may change its session values as soon as it has the reply,
@@ -126,7 +126,7 @@
         try:
             return self._run_hedged(request, hedged)
         finally:
-            hedged.end()
+            hedged.cancel_unsent()
 
     def _run_hedged(
         self, request: StatementRequest, hedged: _HedgedRead
@@ -188,10 +188,10 @@
                 if not self._primary_wait.wait(request):
                     return Failed(failure)
                 continue
-            done = self._try_write(request, access)
-            if isinstance(done, Success):
-                return done
-            failure = done.failure()
+            result = self._try_write(request, access)
+            if isinstance(result, Success):
+                return result
+            failure = result.failure()
             if failure.run_state is not RunState.NOT_RUN:
                 return Failed(_write_failure(failure))
             if isinstance(failure, NotPrimary):
@@ -263,19 +263,19 @@
         floor = place.floor
         position = floor.position if floor else None
         hedged.sessions.add(conn)
-        done = self._exchanger.run(
+        result = self._exchanger.run(
             access, conn, request, position, floor is None, request.deadline
         )
         hedged.sessions.discard(conn)
         access.release(conn)
         now = self._clock.now()
         health = access.health
-        if isinstance(done, Success):
+        if isinstance(result, Success):
             if floor is not None:
                 health.on_held(now - floor.at)
                 self._metrics.observe('floor_age_seconds', now - floor.at)
-            return done
-        failure = done.failure()
+            return result
+        failure = result.failure()
         if isinstance(failure, ReplicaBehind) and floor is not None:
             health.on_behind(now - floor.at, now)
         elif isinstance(failure, Overloaded):
@@ -293,7 +293,7 @@
             detail=failure.detail,
             floor_age_ms=round(1000 * (now - floor.at)) if floor else None,
         )
-        return done
+        return result
 
     def _try_write(
         self, request: StatementRequest, access
@@ -308,20 +308,20 @@
             return acquired
         conn = acquired.unwrap()
         sent_at = self._clock.now()
-        done = self._exchanger.run(
+        result = self._exchanger.run(
             access, conn, request, None, False, request.deadline
         )
         access.release(conn)
-        if isinstance(done, Success):
-            reply = done.unwrap()
+        if isinstance(result, Success):
+            reply = result.unwrap()
             record_proof(request.group, access, sent_at, reply.position)
             request.floor.at = self._clock.now()
             request.floor.position = reply.position
-        elif isinstance(done.failure(), Overloaded):
+        elif isinstance(result.failure(), Overloaded):
             access.health.on_busy(self._clock.now())
         else:
-            self._request_check(request, done.failure())
-        return done
+            self._request_check(request, result.failure())
+        return result
 
     def _request_check(
         self, request: StatementRequest, failure: Failure
