--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_session.py
@@ -42,9 +42,9 @@
     from trefoilpulley_node.proxy.statement_runner import StatementRunner
 
 CONFIGURATION_TIMEOUT_S = 1.5
-"""Time that a new session waits for the first configuration.
+"""Timeout of a new session for the first configuration, in seconds.
 
-In seconds. Callers give up a connection without a greeting after two seconds.
+Callers give up a connection that sends no greeting within two seconds.
 """
 
 SERVED_REQUESTS_PER_EVENT = 200
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -38,17 +38,18 @@
     from trefoilpulley_node.proxy.member_pool import PooledSession
 
 LEASE_MARGIN_S = 1.0
-"""Time added to the idle timeout of a transaction before its lease ends.
+"""Time after the idle timeout of a transaction until its lease ends.
 
-In seconds. The host that opened the lease aborts an idle transaction earlier,
-as long as that host is running.
+In seconds. The host that opened the lease aborts an idle transaction at the
+idle timeout, as long as that host is running.
 """
 
 ENDED_LEASE_TTL_S = 5.0
 """Time for which the end of an unknown lease is remembered, in seconds.
 
-The end of a lease and its request arrive together unless the connection
-between the hosts breaks.
+A request that arrives after the end of its lease is refused. Both messages
+arrive together unless the connection between the hosts breaks, so that a
+longer time is not needed.
 """
 
 
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -45,9 +45,10 @@
 """Timeout to open a connection, in seconds; a busy member takes tens of ms."""
 
 LIMIT_RETRY_INTERVAL_S = 0.05
-"""Time between two attempts to connect to a member at its connection limit.
+"""Time between two attempts to connect to a full member, in seconds.
 
-In seconds. Applies while this host has no connection to the member.
+A full member has as many connections as it allows. The interval applies while
+this host has no connection to the member.
 """
 
 
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -47,9 +47,9 @@
 """Timeout for the next primary to receive the whole log, in seconds."""
 
 CLAIM_HOLDER_TIMEOUT_S = 1.1
-"""Time in which the host that holds the claim acts alone, in seconds.
+"""Time in which only the host that holds the claim acts, in seconds.
 
-Other hosts start no change of their own before that.
+Another host starts no change of the same group before this time is over.
 """
 
 LEAD_POLL_INTERVAL_S = 0.03
@@ -58,7 +58,7 @@
 LEAD_TIMEOUT_S = 1.5
 """Timeout for a promoted member to lead, in seconds.
 
-After the timeout, the change is decided anew.
+After the timeout, the next check of the group decides again.
 """
 
 FAILOVER_BACKOFF_S = 0.7
@@ -69,11 +69,11 @@
 """
 
 DEMOTION_DELAY_S = 0.42
-"""Time from the promotion order until the old primary is demoted.
+"""Delay from the promotion order to the old primary's demotion, in seconds.
 
-In seconds. The platform takes some hundred milliseconds more to finish the
-promotion, in which the last records reach the new primary. Writes wait no
-longer than this remaining time.
+The platform takes some hundred milliseconds longer to finish the promotion. In
+this remaining time, the last records reach the new primary, and writes wait no
+longer than this.
 """
 
 
--- a/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
@@ -38,7 +38,7 @@
 """
 
 RUN_TIME_FACTOR = 0.15
-"""Part of a statement's time limit that is reserved for running it."""
+"""Fraction of a statement's time limit that is reserved to run it."""
 
 
 class PrimaryWait:
--- a/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
@@ -203,7 +203,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether no lease is open, so that the session needs no ``close``."""
+        """Whether no lease is open, so that nothing needs to be closed."""
         return not self._is_pinned
 
     def exchange(
--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/proxy/session_registry.py
@@ -20,7 +20,10 @@
 """
 
 EXIT_MARGIN_S = 0.7
-"""Part of the grace period reserved for the process to exit, in seconds."""
+"""Time reserved at the end of the grace period for the process to exit.
+
+In seconds.
+"""
 
 QUIET_PERIOD_S = 0.6
 """Time without connections after which the drain is complete, in seconds.
@@ -30,10 +33,10 @@
 """
 
 REFUSE_FACTOR = 0.3
-"""Last part of the grace period, in which new requests are refused.
+"""Fraction of the grace period, at its end, in which requests are refused.
 
-With a grace period of 6 s, this part is longer than the exit margin and most
-statements together.
+With a grace period of 6 s, this part is longer than the exit margin plus the
+duration of most statements.
 """
 
 POLL_INTERVAL_S = 0.05
--- a/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
@@ -52,16 +52,13 @@
 """
 
 HEDGE_DELAY_FACTOR = 6.0
-"""Delay before a hedged request in mean durations of a statement.
+"""Delay before a hedged request, in mean durations of a statement.
 
-Applies where the result is longer than ``MIN_HEDGE_DELAY_S``.
+Applies where this delay is longer than ``MIN_HEDGE_DELAY_S``.
 """
 
 BUSY_BACKOFF_S = 0.01
-"""Delay before a statement is sent again after a member had no free slot.
-
-In seconds.
-"""
+"""Backoff after a member had no free slot, in seconds."""
 
 MAX_WRITE_ATTEMPTS = 6
 """Attempts to send a write that no member has run."""
