--- a/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
@@ -1,4 +1,4 @@
-"""Transaction of one caller, pinned to one connection."""
+"""A caller's transaction, pinned to one connection."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from trefoilpulley_core.proxy.upstream_session import RollBack
 from trefoilpulley_core.proxy.upstream_session import TransactionState
 from trefoilpulley_node import events
-from trefoilpulley_node.proxy.exchange import prove
+from trefoilpulley_node.proxy.exchange import record_proof
 from trefoilpulley_node.proxy.statement_runner import BUSY_BACKOFF_S
 
 if TYPE_CHECKING:
@@ -33,26 +33,27 @@
     from trefoilpulley_core.proxy.placement import Placement
     from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.proxy.exchange import Exchanger
-    from trefoilpulley_node.proxy.lent_session import LentSession
+    from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.member_access import MemberAccess
     from trefoilpulley_node.proxy.primary_wait import PrimaryWait
-    from trefoilpulley_node.proxy.work import Work
+    from trefoilpulley_node.proxy.work import StatementRequest
 
-OPEN_TRIES = 6
-"""Members that a transaction may be opened at, repeats included."""
+MAX_OPEN_ATTEMPTS = 6
+"""Attempts to open a transaction, repetitions at the same member included."""
 
 OPEN_TIMEOUT_S = 0.3
-"""Longest time to open a transaction, which needs no slot."""
+"""Timeout to open a transaction, in seconds; opening needs no slot."""
 
-SILENCE_S = 0.45
-"""Silence after which a statement's answer counts as lost, in seconds.
+STATEMENT_TIMEOUT_S = 0.45
+"""Timeout of a statement inside a transaction, in seconds.
 
-Above the time of the slowest statement behind a full queue of a member;
-the transaction is then rolled back and its caller told so at once.
+The timeout exceeds the duration of the slowest statement behind a full queue
+of a member. After the timeout, the transaction is rolled back and the caller
+gets an error at once.
 """
 
 ROLLBACK_TIMEOUT_S = 0.5
-"""Longest time for a rollback before the connection is closed."""
+"""Timeout of a rollback before the connection is closed, in seconds."""
 
 
 class CallerTransaction:
@@ -61,13 +62,13 @@
     Parameters
     ----------
     is_read_only : bool
-        Whether the caller promised not to write.
+        Whether the caller declared the transaction read-only.
     zone : str
         Availability zone of this host.
     exchanger : Exchanger
-        Runs requests on connections.
+        Sends requests on connections.
     primary_wait : PrimaryWait
-        Waits for a change of primary that is nearly over.
+        Waits until a new primary is known.
     clock : Clock
         Monotonic time.
     """
@@ -85,197 +86,221 @@
         self._exchanger = exchanger
         self._primary_wait = primary_wait
         self._clock = clock
-        self._pool: MemberAccess | None = None
-        self._conn: LentSession | None = None
+        self._access: MemberAccess | None = None
+        self._conn: MemberSession | None = None
         self._has_written = False
         self.is_failed = False
-        """Whether only a rollback is possible."""
+        """Whether the caller can only roll back."""
 
-        self.is_begun = False
+        self.has_sent_statement = False
         """Whether a statement of the caller was sent to a member."""
 
-    def run(self, work: Work) -> Result[Reply, Failure]:
+    def run(self, request: StatementRequest) -> Result[Reply, Failure]:
         """Run a statement inside the transaction."""
         if self._conn is None:
-            opened = self._open(work)
+            opened = self._open(request)
             if not isinstance(opened, Success):
-                return self._fail(work, opened.failure())
-        self._has_written = self._has_written or work.run.is_write
-        deadline = min(work.deadline, self._clock.now() + SILENCE_S)
-        is_first = not self.is_begun
-        self.is_begun = True
-        done = self._exchanger.run(
-            self._pool, self._conn, work, None, False, deadline
+                return self._abort(request, opened.failure())
+        self._has_written = self._has_written or request.run.is_write
+        deadline = min(
+            request.deadline, self._clock.now() + STATEMENT_TIMEOUT_S
         )
-        if isinstance(done, Success):
-            return done
-        failure = done.failure()
-        if isinstance(failure, Overloaded) and self._is_retried(
-            work, is_first
+        is_first = not self.has_sent_statement
+        self.has_sent_statement = True
+        result = self._exchanger.run(
+            self._access, self._conn, request, None, False, deadline
+        )
+        if isinstance(result, Success):
+            return result
+        failure = result.failure()
+        if isinstance(failure, Overloaded) and self._is_retry_allowed(
+            request, is_first
         ):
-            return self._again(work)
+            return self._retry(request)
         if isinstance(failure, NotPrimary):
-            work.group.state.on_not_leading(self._pool.health.record.member)
-            work.group.attention.set()
+            request.group.state.on_not_leading(
+                self._access.health.record.member
+            )
+            request.group.check_requested.set()
         if failure.run_state is not RunState.NOT_RUN:
-            work.group.attention.set()
-        return self._fail(work, failure)
+            request.group.check_requested.set()
+        return self._abort(request, failure)
+
+    def commit(self, request: StatementRequest) -> Result[Reply, Failure]:
+        """Commit the transaction.
 
-    def commit(self, work: Work) -> Result[Reply, Failure]:
-        """Commit; a lost answer of a transaction that wrote is unknown."""
+        Where the reply to the commit is lost and the transaction has written,
+        the outcome is unknown.
+        """
         if self._conn is None:
-            opened = self._open(work)
+            opened = self._open(request)
             if not isinstance(opened, Success):
-                return self._fail(work, opened.failure())
-        pool, conn = self._pool, self._conn
+                return self._abort(request, opened.failure())
+        access, conn = self._access, self._conn
         sent_at = self._clock.now()
-        done = self._exchanger.exchange(
-            pool,
+        result = self._exchanger.exchange(
+            access,
             conn,
-            (CommitTransaction(work.run.request_id),),
-            work.deadline,
+            (CommitTransaction(request.run.request_id),),
+            request.deadline,
         )
-        if not isinstance(done, Success):
-            work.group.attention.set()
-            failure = done.failure()
+        if not isinstance(result, Success):
+            request.group.check_requested.set()
+            failure = result.failure()
             self._discard()
             if self._has_written:
                 return Failed(OutcomeUnknown(failure.code))
             return Failed(TransactionLost(failure.code))
-        reply = done.unwrap()[0]
+        reply = result.unwrap()[0]
         if reply.failure is not None:
             if isinstance(reply.failure, NotPrimary):
-                work.group.state.on_not_leading(pool.health.record.member)
-                work.group.attention.set()
+                request.group.state.on_not_leading(access.health.record.member)
+                request.group.check_requested.set()
             self._end(reply)
             return Failed(self._commit_failure(reply.failure))
         if self._has_written:
-            prove(work.group, pool, sent_at, reply.position)
-            work.floor.at = self._clock.now()
-            work.floor.position = reply.position
+            record_proof(request.group, access, sent_at, reply.position)
+            request.floor.at = self._clock.now()
+            request.floor.position = reply.position
         self._end(reply)
         return Success(reply)
 
     def roll_back(self) -> None:
-        """Roll back and give the connection back."""
+        """Roll back and release the connection."""
         if self._conn is None:
             return
-        pool, conn = self._pool, self._conn
-        self._pool = self._conn = None
+        access, conn = self._access, self._conn
+        self._access = self._conn = None
         deadline = self._clock.now() + ROLLBACK_TIMEOUT_S
-        done = self._exchanger.exchange(pool, conn, (RollBack(),), deadline)
-        if not isinstance(done, Success):
-            pool.discard(conn)
-        elif done.unwrap()[0].state is not TransactionState.IDLE:
-            pool.discard(conn)
+        result = self._exchanger.exchange(
+            access, conn, (RollBack(),), deadline
+        )
+        if not isinstance(result, Success):
+            access.discard(conn)
+        elif result.unwrap()[0].state is not TransactionState.IDLE:
+            access.discard(conn)
         else:
-            pool.release(conn)
+            access.release(conn)
 
-    def _is_retried(self, work: Work, is_first: bool) -> bool:
-        return is_first and self._clock.now() < work.deadline - 0.1
+    def _is_retry_allowed(
+        self, request: StatementRequest, is_first: bool
+    ) -> bool:
+        return is_first and self._clock.now() < request.deadline - 0.1
 
-    def _again(self, work: Work) -> Result[Reply, Failure]:
-        """Open the transaction anew after its first statement met no slot."""
-        self._pool.health.on_busy(self._clock.now())
+    def _retry(self, request: StatementRequest) -> Result[Reply, Failure]:
+        """Retry in a new transaction after the first statement got no slot."""
+        self._access.health.on_busy(self._clock.now())
         self.roll_back()
-        self.is_begun = False
+        self.has_sent_statement = False
         self._has_written = False
         gevent.sleep(BUSY_BACKOFF_S)
-        return self.run(work)
+        return self.run(request)
 
-    def _open(self, work: Work) -> Result[None, Failure]:
+    def _open(self, request: StatementRequest) -> Result[None, Failure]:
         failure: Failure = NoUpstream('no member may open the transaction')
         excluded: set[str] = set()
-        for _ in range(OPEN_TRIES):
-            if self._clock.now() >= work.deadline:
+        for _ in range(MAX_OPEN_ATTEMPTS):
+            if self._clock.now() >= request.deadline:
                 break
-            place = self._place(work, frozenset(excluded))
+            place = self._place(request, frozenset(excluded))
             if place is None:
-                if self._primary_wait.is_serving(work.group):
-                    # Every member has refused, for load or for lag.
+                if self._primary_wait.is_serving(request.group):
+                    # Every member has refused to open the transaction, for
+                    # overload or replication lag.
                     break
-                if not self._primary_wait.wait(work):
+                if not self._primary_wait.wait(request):
                     break
                 excluded.clear()
                 continue
-            done = self._open_at(work, place)
-            if isinstance(done, Success):
-                return done
-            failure = done.failure()
-            self._on_refused(work, place, failure, excluded)
+            result = self._open_at(request, place)
+            if isinstance(result, Success):
+                return result
+            failure = result.failure()
+            self._on_open_failed(request, place, failure, excluded)
         if failure.run_state is RunState.NOT_RUN:
             return Failed(failure)
         return Failed(TransactionLost(failure.code))
 
-    def _on_refused(
+    def _on_open_failed(
         self,
-        work: Work,
+        request: StatementRequest,
         place: Placement,
         failure: Failure,
         excluded: set[str],
     ) -> None:
         now = self._clock.now()
-        state = work.group.state
+        state = request.group.state
         health = state.members.get(place.member)
         if isinstance(failure, ReplicaBehind) and place.floor and health:
             health.on_floor_missing(now - place.floor.at, now)
         if isinstance(failure, NotPrimary) and place.floor is None:
             state.on_not_leading(place.member)
-            work.group.attention.set()
+            request.group.check_requested.set()
         else:
             excluded.add(place.member)
         is_broken = failure.run_state is not RunState.NOT_RUN
         if is_broken or isinstance(failure, NoUpstream):
-            work.group.attention.set()
+            request.group.check_requested.set()
         events.STATEMENT_RETRIED.log(
-            request=work.run.request_id,
-            group=work.route.group,
+            request=request.run.request_id,
+            group=request.route.group,
             member=place.member,
             failure=failure.code,
             detail=failure.detail,
             step='begin',
         )
 
-    def _place(self, work: Work, excluded: frozenset[str]) -> Placement | None:
-        state = work.group.state
+    def _place(
+        self, request: StatementRequest, excluded: frozenset[str]
+    ) -> Placement | None:
+        state = request.group.state
         now = self._clock.now()
         floor: Evidence | None = None
         if self._is_read_only:
-            floor = state.evidence.read_floor(work.route, work.floor, now)
-        if self._primary_wait.is_lost(work.group) and state.primary:
+            floor = state.evidence.read_floor(
+                request.route, request.floor, now
+            )
+        if self._primary_wait.is_lost(request.group) and state.primary:
             excluded = excluded | {state.primary}
         return place_read(state, floor, self._zone, excluded, now)
 
-    def _open_at(self, work: Work, place: Placement) -> Result[None, Failure]:
-        pool = work.group.pool_of(place.member)
-        if pool is None:
-            return Failed(NoUpstream('member has left'))
-        lent = pool.acquire(
-            work.route.priority, work.deadline, work.session, work.admit_by
+    def _open_at(
+        self, request: StatementRequest, place: Placement
+    ) -> Result[None, Failure]:
+        access = request.group.find_access(place.member)
+        if access is None:
+            return Failed(NoUpstream('member has left the group'))
+        acquired = access.acquire(
+            request.route.priority,
+            request.deadline,
+            request.session,
+            request.admit_by,
         )
-        if not isinstance(lent, Success):
-            return lent
-        conn = lent.unwrap()
-        is_plain = place.floor is None
-        floor = None if is_plain else place.floor.position
-        call = OpenTransaction(not is_plain, floor)
-        deadline = min(work.deadline, self._clock.now() + OPEN_TIMEOUT_S)
-        done = self._exchanger.open_transaction(
-            pool, conn, work.group, call, deadline
+        if not isinstance(acquired, Success):
+            return acquired
+        conn = acquired.unwrap()
+        is_read_write = place.floor is None
+        floor = None if is_read_write else place.floor.position
+        call = OpenTransaction(not is_read_write, floor)
+        deadline = min(request.deadline, self._clock.now() + OPEN_TIMEOUT_S)
+        result = self._exchanger.open_transaction(
+            access, conn, request.group, call, deadline
         )
-        if not isinstance(done, Success):
-            pool.release(conn)
-            return done
-        self._pool, self._conn = pool, conn
-        return done
+        if not isinstance(result, Success):
+            access.release(conn)
+            return result
+        self._access, self._conn = access, conn
+        return result
 
-    def _fail(self, work: Work, failure: Failure) -> Result[Reply, Failure]:
-        """End the transaction; nothing of it is kept."""
+    def _abort(
+        self, request: StatementRequest, failure: Failure
+    ) -> Result[Reply, Failure]:
+        """End the transaction without a commit and return its failure."""
         self.is_failed = True
         self._discard()
         events.TRANSACTION_ABORTED.log(
-            request=work.run.request_id,
-            group=work.route.group,
+            request=request.run.request_id,
+            group=request.route.group,
             failure=failure.code,
             detail=failure.detail,
         )
@@ -291,15 +316,15 @@
         return TransactionLost(failure.code)
 
     def _end(self, reply: Reply) -> None:
-        pool, conn = self._pool, self._conn
+        access, conn = self._access, self._conn
         if reply.state is TransactionState.IDLE:
-            self._pool = self._conn = None
-            pool.release(conn)
+            self._access = self._conn = None
+            access.release(conn)
         else:
             self.roll_back()
 
     def _discard(self) -> None:
         if self._conn is not None:
-            pool, conn = self._pool, self._conn
-            self._pool = self._conn = None
-            pool.discard(conn)
+            access, conn = self._access, self._conn
+            self._access = self._conn = None
+            access.discard(conn)
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -1,4 +1,4 @@
-"""Lends this host's connections to the statements of other hosts."""
+"""Relays requests of other hosts to members on this host's connections."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from trefoilpulley_core.proxy.session_state import SessionState
 from trefoilpulley_core.proxy.upstream_session import OpenTransaction
 from trefoilpulley_core.proxy.upstream_session import TransactionState
-from trefoilpulley_node.peer_server import make_reply
-from trefoilpulley_node.proxy.exchange import prove
+from trefoilpulley_node.peer_server import make_failure_reply
+from trefoilpulley_node.proxy.exchange import record_proof
 from trefoilpulley_node.proxy.lent_session import SessionSetting
 
 if TYPE_CHECKING:
@@ -38,53 +38,56 @@
     from trefoilpulley_node.proxy.member_pool import PooledSession
 
 LEASE_MARGIN_S = 1.0
-"""Time that a lease may rest longer than a caller's transaction.
+"""Time after the idle timeout of a transaction until its lease ends.
 
-The borrowing host ends an idle transaction first, where it still runs.
+In seconds. The host that opened the lease aborts an idle transaction at the
+idle timeout, as long as that host is running.
 """
 
-ENDED_KEPT_S = 5.0
-"""Time for which the end of a lease without a request is kept, in seconds.
+ENDED_LEASE_TTL_S = 5.0
+"""Time for which the end of an unknown lease is remembered, in seconds.
 
-Both are read together, or the connection breaks.
+A request that arrives after the end of its lease is refused. Both messages
+arrive together unless the connection between the hosts breaks, so that a
+longer time is not needed.
 """
 
 
 @dataclass(eq=False, slots=True)
 class _Lease:
-    """Connection that a transaction of another host is open on."""
+    """Use of a connection by another host for a request or transaction."""
 
     group: Group
     """Group of the member."""
 
     access: MemberAccess
-    """Way to the member."""
+    """Access to the member."""
 
     used_at: float
     """Time of the last request, in seconds."""
 
     conn: PooledSession | None = None
-    """Connection; none while the lease waits for one."""
+    """Connection; ``None`` while the lease waits for one."""
 
-    is_running: bool = True
+    is_busy: bool = True
     """Whether a request is being served."""
 
-    is_open: bool = False
+    has_transaction: bool = False
     """Whether a transaction is open on the connection."""
 
-    is_ended: bool = False
-    """Whether the borrowing host has given it up."""
+    is_abandoned: bool = False
+    """Whether the requesting host has ended the lease."""
 
 
-class ConnectionLender:
-    """Serves the statements that other hosts send through this one.
+class RelayServer:
+    """Serves the requests that other hosts relay through this host.
 
     Parameters
     ----------
     groups : Mapping[str, Group]
         Groups by name.
     exchanger : Exchanger
-        Runs requests on connections.
+        Sends requests on connections.
     clock : Clock
         Monotonic time.
     """
@@ -96,11 +99,11 @@
         self._exchanger = exchanger
         self._clock = clock
         self._leases: dict[tuple[int, int], _Lease] = {}
-        self._ended: dict[tuple[int, int], float] = {}
+        self._ended_leases: dict[tuple[int, int], float] = {}
 
     @property
     def leases(self) -> int:
-        """Requests being served and transactions open for other hosts."""
+        """Number of active requests and open transactions of other hosts."""
         return len(self._leases)
 
     def on_calls(
@@ -109,19 +112,21 @@
         """Send requests to the member and return its replies."""
         deadline = self._clock.now() + message.remaining_ms / 1000
         key = peer.connection, message.lease
-        if key in self._ended:
-            return _refuse(NoUpstream('given up before it was read'))
+        if key in self._ended_leases:
+            return _make_refusal(
+                NoUpstream('cancelled before the request was read')
+            )
         lease = self._leases.get(key)
         if lease is None:
             if message.is_pinned:
-                return make_reply(TransactionLost('lease has ended'))
-            refusal = self._take(key, message, deadline)
+                return make_failure_reply(TransactionLost('lease has ended'))
+            refusal = self._open_lease(key, message, deadline)
             if refusal is not None:
                 return refusal
             lease = self._leases[key]
-        lease.is_running = True
+        lease.is_busy = True
         sent_at = self._clock.now()
-        done = self._exchanger.exchange(
+        result = self._exchanger.exchange(
             lease.access,
             lease.conn,
             message.calls,
@@ -129,15 +134,15 @@
             _setting_of(message),
         )
         now = lease.used_at = self._clock.now()
-        lease.is_running = False
-        if not isinstance(done, Success):
-            self._end(key, lease)
-            return make_reply(done.failure())
-        replies = done.unwrap()
-        lease.is_open = replies[-1].state is not TransactionState.IDLE
-        if lease.is_ended or not lease.is_open:
-            self._end(key, lease)
-        _note_proofs(lease, message, replies, sent_at)
+        lease.is_busy = False
+        if not isinstance(result, Success):
+            self._close_lease(key, lease)
+            return make_failure_reply(result.failure())
+        replies = result.unwrap()
+        lease.has_transaction = replies[-1].state is not TransactionState.IDLE
+        if lease.is_abandoned or not lease.has_transaction:
+            self._close_lease(key, lease)
+        _record_proofs(lease, message, replies, sent_at)
         return RelayedReplies(
             tuple(pack_reply(r) for r in replies),
             round(1000 * lease.access.health.expected_s(now), 1),
@@ -145,74 +150,84 @@
         )
 
     def on_end(self, message: EndLease, peer: PeerIdentity) -> PooledDone:
-        """End a lease that the borrowing host has given up."""
+        """End a lease that the requesting host no longer needs."""
         key = peer.connection, message.lease
         if key not in self._leases:
-            # A host that was paused reads the end with the request.
-            self._ended[key] = self._clock.now()
-        self._give_up(key)
+            # After a pause, this host can handle the end of a lease before the
+            # request that opens the lease.
+            self._ended_leases[key] = self._clock.now()
+        self._abandon(key)
         return PooledDone()
 
     def on_peer_closed(self, peer: PeerIdentity) -> None:
-        """End the leases of a connection that has ended."""
+        """End all leases of a peer connection that was closed."""
         for key in [k for k in self._leases if k[0] == peer.connection]:
-            self._give_up(key)
+            self._abandon(key)
 
     def end_idle(self, transaction_idle_timeout_s: float) -> None:
-        """End the leases of hosts that fell silent."""
+        """End the leases whose hosts have sent nothing for too long."""
         now = self._clock.now()
-        self._ended = {
-            k: t for k, t in self._ended.items() if now - t < ENDED_KEPT_S
+        self._ended_leases = {
+            k: t
+            for k, t in self._ended_leases.items()
+            if now - t < ENDED_LEASE_TTL_S
         }
         oldest = now - transaction_idle_timeout_s - LEASE_MARGIN_S
         for key, lease in list(self._leases.items()):
-            if lease.used_at < oldest and not lease.is_running:
-                self._give_up(key)
+            if lease.used_at < oldest and not lease.is_busy:
+                self._abandon(key)
 
-    def _take(
+    def _open_lease(
         self, key: tuple[int, int], message: RelayedCalls, deadline: float
     ) -> RelayRefused | None:
-        """Take a connection for a new lease, or say why there is none."""
+        """Open a lease on a connection, or return why that failed."""
         group = self._groups.get(message.group)
-        access = group.pool_of(message.member) if group else None
+        access = group.find_access(message.member) if group else None
         if access is None:
-            return _refuse(NoUpstream('member is not known here'))
+            return _make_refusal(NoUpstream('member is unknown to this host'))
         lease = self._leases[key] = _Lease(group, access, self._clock.now())
         values = SessionState(message.values or {})
         admit_by = self._clock.now() + message.admit_ms / 1000
-        lent = access.own.acquire(message.priority, deadline, values, admit_by)
-        if not isinstance(lent, Success):
+        acquired = access.local_pool.acquire(
+            message.priority, deadline, values, admit_by
+        )
+        if not isinstance(acquired, Success):
             del self._leases[key]
-            is_missed = access.health.failing_since is not None
-            return _refuse(lent.failure(), is_missed)
-        lease.conn = lent.unwrap()
-        if lease.is_ended:
-            # The session may have other values by now.
-            self._end(key, lease)
-            return _refuse(NoUpstream('given up before it was sent'))
+            is_unreachable = access.health.failing_since is not None
+            return _make_refusal(acquired.failure(), is_unreachable)
+        lease.conn = acquired.unwrap()
+        if lease.is_abandoned:
+            # The session values of the caller may have changed in the
+            # meantime.
+            self._close_lease(key, lease)
+            return _make_refusal(
+                NoUpstream('cancelled before the request was sent')
+            )
         return None
 
-    def _give_up(self, key: tuple[int, int]) -> None:
+    def _abandon(self, key: tuple[int, int]) -> None:
         lease = self._leases.get(key)
         if lease is None:
             return
-        lease.is_ended = True
-        if not lease.is_running:
-            self._end(key, lease)
+        lease.is_abandoned = True
+        if not lease.is_busy:
+            self._close_lease(key, lease)
 
-    def _end(self, key: tuple[int, int], lease: _Lease) -> None:
-        """Give a connection back; one in a transaction is closed."""
+    def _close_lease(self, key: tuple[int, int], lease: _Lease) -> None:
+        """Release the connection; close it where a transaction is open."""
         self._leases.pop(key, None)
         if lease.conn is None:
             return
-        if lease.is_open:
-            lease.access.own.discard(lease.conn)
+        if lease.has_transaction:
+            lease.access.local_pool.discard(lease.conn)
         else:
-            lease.access.own.release(lease.conn)
+            lease.access.local_pool.release(lease.conn)
 
 
-def _refuse(failure: Failure, is_member_missed: bool = False) -> RelayRefused:
-    return RelayRefused(make_reply(failure), is_member_missed)
+def _make_refusal(
+    failure: Failure, is_member_missed: bool = False
+) -> RelayRefused:
+    return RelayRefused(make_failure_reply(failure), is_member_missed)
 
 
 def _setting_of(message: RelayedCalls) -> SessionSetting | None:
@@ -221,15 +236,18 @@
     return SessionSetting(SessionState(message.values), message.prepared)
 
 
-def _note_proofs(
+def _record_proofs(
     lease: _Lease,
     message: RelayedCalls,
     replies: Sequence[Reply],
     sent_at: float,
 ) -> None:
-    """Learn from plain transactions, which only a leader opens."""
+    """Record the proofs that the replies contain.
+
+    Only a leader opens a read-write transaction.
+    """
     for call, reply in zip(message.calls, replies, strict=True):
         if not isinstance(call, OpenTransaction) or call.is_read_only:
             continue
         if reply.failure is None:
-            prove(lease.group, lease.access, sent_at, reply.position)
+            record_proof(lease.group, lease.access, sent_at, reply.position)
--- a/packages/node/src/trefoilpulley_node/proxy/directory.py
+++ b/packages/node/src/trefoilpulley_node/proxy/directory.py
@@ -1,4 +1,4 @@
-"""Routes, groups and pools of this host."""
+"""Routes, groups and member accesses of this host."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from trefoilpulley_node import events
 from trefoilpulley_node.proxy.member_access import MemberAccess
 from trefoilpulley_node.proxy.member_pool import MemberPool
-from trefoilpulley_node.proxy.relayed_session import RelayedAccess
+from trefoilpulley_node.proxy.relayed_session import RelayClient
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,7 +26,7 @@
 
 
 class Group:
-    """One database group: what is known of it, and its pools.
+    """One database group: its state and the accesses to its members.
 
     Parameters
     ----------
@@ -36,35 +36,35 @@
 
     def __init__(self, name: str) -> None:
         self.state = GroupState(name)
-        self.pools: dict[str, MemberAccess] = {}
-        """Ways to the members, by member."""
+        self.accesses: dict[str, MemberAccess] = {}
+        """Accesses by member."""
 
         self.limits: GroupLimits | None = None
-        """Limits in the configuration."""
+        """Limits of the group in the configuration."""
 
-        self.changed = Event()
-        """Set for a moment whenever a primary has proved itself."""
+        self.primary_changed = Event()
+        """Set and replaced whenever another member becomes the primary."""
 
-        self.attention = Event()
-        """Set where the primary may be lost."""
+        self.check_requested = Event()
+        """Set to have the primary checked at once."""
 
-    def on_primary(self) -> None:
-        """Wake the work that waits for a primary."""
-        waiting, self.changed = self.changed, Event()
+    def notify_primary_changed(self) -> None:
+        """Wake the requests that wait for a primary."""
+        waiting, self.primary_changed = self.primary_changed, Event()
         waiting.set()
 
     @property
     def synchronous_replicas(self) -> int:
-        """Replicas that receive a commit before it is acknowledged."""
+        """Number of replicas that must receive a commit to acknowledge it."""
         return self.limits.synchronous_replicas if self.limits else 0
 
-    def pool_of(self, member: str) -> MemberAccess | None:
-        """Return the way to a member, or ``None``."""
-        return self.pools.get(member)
+    def find_access(self, member: str) -> MemberAccess | None:
+        """Return the access to a member, or ``None``."""
+        return self.accesses.get(member)
 
 
 class ProxyDirectory:
-    """Holds the newest routes and entries.
+    """Holds the routes and member entries that are in force.
 
     Parameters
     ----------
@@ -75,7 +75,7 @@
     dialer : UpstreamDialer
         Opens connections to members.
     peers : Peers
-        Other hosts.
+        Connections to the other hosts.
     clock : Clock
         Monotonic time.
     """
@@ -99,7 +99,7 @@
         """Routes in force."""
 
         self.groups: dict[str, Group] = {}
-        """Groups that a route leads to, by name."""
+        """Groups that a route refers to, by name."""
 
         self._on_group: list[Callable[[Group], None]] = []
         self._loaded = Event()
@@ -111,15 +111,15 @@
 
     @property
     def live_hosts(self) -> dict[str, tuple[str, ...]]:
-        """Live hosts by availability zone, this one included."""
+        """Live hosts by availability zone, this host included."""
         return self._live
 
     def wait_loaded(self, timeout_s: float) -> bool:
-        """Wait for the first configuration; false where none came."""
+        """Wait for the first configuration; return whether it is in force."""
         return self._loaded.wait(timeout_s)
 
     def subscribe_groups(self, on_group: Callable[[Group], None]) -> None:
-        """Call back for each new group."""
+        """Register a callback for each new group."""
         self._on_group.append(on_group)
 
     def find_route(self, database: str) -> Route | None:
@@ -131,7 +131,7 @@
         return self.groups.get(route.group)
 
     def set_routes(self, table: RouteTable) -> bool:
-        """Take a configuration where it is newer than the present one."""
+        """Apply a configuration; return whether it was newer."""
         if table.version <= self.table.version:
             return False
         self.table = table
@@ -145,13 +145,13 @@
         return True
 
     def set_hosts(self, live: dict[str, tuple[str, ...]]) -> None:
-        """Take the live hosts by availability zone, this one included."""
+        """Set the live hosts by availability zone, this host included."""
         if live != self._live:
             self._live = live
             self._update_shares()
 
     def set_member(self, record: MemberRecord) -> None:
-        """Take a member's entry."""
+        """Add or update a member by its entry."""
         if self._records.get(record.member) == record:
             return
         self._records[record.member] = record
@@ -166,19 +166,21 @@
         self._update_group(record.group)
 
     def remove_member(self, member: str) -> None:
-        """Forget a member that is gone."""
+        """Remove a member whose entry was deleted."""
         record = self._records.pop(member, None)
         if record is not None:
             events.MEMBER_UNLISTED.log(member=member, group=record.group)
             self._update_group(record.group)
 
     def trim(self) -> None:
-        """Close connections that are not needed."""
+        """Close idle connections that are not needed."""
         now = self._clock.now()
         for group in self.groups.values():
-            for member, pool in group.pools.items():
-                is_near = pool.health.record.zone == self._zone
-                pool.tend(now, is_near or member == group.state.primary)
+            for member, access in group.accesses.items():
+                is_local_zone = access.health.record.zone == self._zone
+                access.maintain(
+                    now, is_local_zone or member == group.state.primary
+                )
 
     def _ensure_group(self, name: str) -> None:
         if name in self.groups:
@@ -196,16 +198,16 @@
         group.state.update(
             r for r in self._records.values() if r.group == name
         )
-        for member, pool in list(group.pools.items()):
+        for member, access in list(group.accesses.items()):
             health = group.state.members.get(member)
-            if health is not pool.health:
-                pool.close()
-                del group.pools[member]
+            if health is not access.health:
+                access.close()
+                del group.accesses[member]
         for member, health in group.state.members.items():
-            if member not in group.pools:
-                group.pools[member] = MemberAccess(
+            if member not in group.accesses:
+                group.accesses[member] = MemberAccess(
                     MemberPool(health, self._dialer, self._clock),
-                    RelayedAccess(
+                    RelayClient(
                         self._host,
                         group.state,
                         health,
@@ -214,9 +216,9 @@
                     ),
                 )
         self._update_shares()
-        group.attention.set()
+        group.check_requested.set()
         if group.state.primary not in (None, primary):
-            group.on_primary()
+            group.notify_primary_changed()
 
     def _update_shares(self) -> None:
         for name, group in self.groups.items():
@@ -224,12 +226,12 @@
             if limits is None:
                 continue
             group.limits = limits
-            for pool in group.pools.values():
-                pool.update(
+            for access in group.accesses.values():
+                access.update(
                     limits.max_connections,
                     choose_holders(
                         name,
-                        pool.health.record.zone,
+                        access.health.record.zone,
                         self._live,
                         limits.max_connections,
                     ),
--- a/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
@@ -1,9 +1,9 @@
-"""Shares proved positions between hosts.
+"""Exchanges proved positions between hosts.
 
 Load pattern: after a restart of all hosts, or while some hosts are cut off
-from a primary, its connections are few. A host that can't prove the lead
-itself takes the floor of its reads from hosts that can, and its reads go
-on at the replicas.
+from a primary, few connections to the primary exist. A host that can't prove
+the leadership itself takes the floors of its reads from hosts that can, and
+continues to read at the replicas.
 """
 
 from __future__ import annotations
@@ -26,22 +26,22 @@
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_node.proxy.directory import Group
 
-HOSTS_ASKED = 2
-"""Hosts that are asked at once; one may be as badly off as this one."""
+MAX_HOSTS_ASKED = 2
+"""Hosts that are asked at once, since one alone may lack evidence too."""
 
 ANSWER_TIMEOUT_S = 0.2
-"""Longest wait for another host, in seconds."""
+"""Timeout of an evidence request to another host, in seconds."""
 
 
 class EvidenceExchange:
-    """Asks other hosts for evidence, and answers them.
+    """Requests evidence from other hosts and answers their requests.
 
     Parameters
     ----------
     host : str
         Name of this host.
     peers : Peers
-        Other hosts.
+        Connections to the other hosts.
     registered_hosts : Callable[[], Mapping[str, str]]
         Availability zone of each registered host.
     groups : Mapping[str, Group]
@@ -49,7 +49,7 @@
     clock : Clock
         Monotonic time.
     rng : random.Random
-        Picks the hosts to ask.
+        Chooses the hosts to ask.
     """
 
     def __init__(
@@ -63,36 +63,44 @@
     ) -> None:
         self._host = host
         self._peers = peers
-        self._registered = registered_hosts
+        self._registered_hosts = registered_hosts
         self._groups = groups
         self._clock = clock
         self._rng = rng
 
-    def ask(self, group: Group) -> None:
-        """Take newer evidence of a group from some other hosts."""
-        access = group.pool_of(group.state.primary or '')
+    def request_evidence(self, group: Group) -> None:
+        """Request the evidence of other hosts and record what is newer."""
+        access = group.find_access(group.state.primary or '')
         if access is not None and access.is_relayed:
-            # Those of this host's own statements: their channel is open.
+            # The holder that relays this host's statements has an open
+            # channel.
             chosen = access.holders[:1]
         else:
-            others = sorted(h for h in self._registered() if h != self._host)
-            chosen = self._rng.sample(others, min(HOSTS_ASKED, len(others)))
-        gevent.joinall([gevent.spawn(self._ask, group, h) for h in chosen])
+            others = sorted(
+                h for h in self._registered_hosts() if h != self._host
+            )
+            chosen = self._rng.sample(
+                others, min(MAX_HOSTS_ASKED, len(others))
+            )
+        gevent.joinall(
+            [gevent.spawn(self._request_from, group, h) for h in chosen]
+        )
 
     def on_question(self, question: EvidenceQuestion) -> EvidenceReport:
         """Return this host's newest evidence."""
         group = self._groups.get(question.group)
         if group is not None:
-            # Keeps the evidence fresh while other hosts need it.
+            # A request of another host counts as use of the group, so that
+            # this host keeps its evidence recent.
             group.state.asked_at = self._clock.now()
         newest = group.state.evidence.newest if group else None
         return make_report(newest, self._clock.now())
 
-    def _ask(self, group: Group, host: str) -> None:
+    def _request_from(self, group: Group, host: str) -> None:
         asked_at = self._clock.now()
         question = EvidenceQuestion(group.state.group)
-        done = self._peers.call_host(host, question, ANSWER_TIMEOUT_S)
-        report = done.value_or(None)
+        result = self._peers.call_host(host, question, ANSWER_TIMEOUT_S)
+        report = result.value_or(None)
         if not isinstance(report, EvidenceReport):
             return
         found = read_report(report, asked_at)
--- a/packages/node/src/trefoilpulley_node/proxy/exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""One statement on one lent connection."""
+"""Sends requests on a connection and evaluates the replies."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
     from trefoilpulley_core.proxy.upstream_session import Call
     from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.lent_session import LentSession
+    from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.member_access import MemberAccess
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
-    from trefoilpulley_node.proxy.work import Work
+    from trefoilpulley_node.proxy.work import StatementRequest
 
 
 class Exchanger:
-    """Runs requests on lent connections and learns from the replies.
+    """Sends requests on connections and updates the member's health.
 
     Parameters
     ----------
     clock : Clock
         Monotonic time.
     metrics : ProxyMetrics
-        Counts what members answer.
+        Counts the outcomes of statements sent to members.
     """
 
     def __init__(self, clock: Clock, metrics: ProxyMetrics) -> None:
@@ -48,14 +48,14 @@
 
     def exchange(
         self,
-        pool: MemberAccess,
-        conn: LentSession,
+        access: MemberAccess,
+        conn: MemberSession,
         calls: Sequence[Call],
         deadline: float,
         setting: SessionSetting | None = None,
     ) -> Result[tuple[Reply, ...], Failure]:
-        """Send requests and note how the member answered."""
-        health = pool.health
+        """Send requests and record how the member answered."""
+        health = access.health
         sent_at = self._clock.now()
         timeout_s = max(0.001, deadline - sent_at)
         health.in_flight += 1
@@ -63,104 +63,111 @@
             health.unanswered_since = sent_at
         in_flight = health.in_flight
         try:
-            done = conn.exchange(calls, timeout_s, setting)
+            result = conn.exchange(calls, timeout_s, setting)
         finally:
             health.in_flight -= 1
-            pool.own.serve_line()
+            access.local_pool.serve_queue()
         now = self._clock.now()
-        if isinstance(done, Success):
-            health.on_answer(now, done.unwrap()[-1].position)
+        if isinstance(result, Success):
+            health.on_answer(now, result.unwrap()[-1].position)
             health.on_served(now - sent_at, now)
-            pool.on_replies(conn, done.unwrap(), in_flight)
-        return done
+            access.on_replies(conn, result.unwrap(), in_flight)
+        return result
 
     def run(
         self,
-        pool: MemberAccess,
-        conn: LentSession,
-        work: Work,
+        access: MemberAccess,
+        conn: MemberSession,
+        request: StatementRequest,
         floor: Position | None,
         is_proof_needed: bool,
         deadline: float,
     ) -> Result[Reply, Failure]:
-        """Run a statement, with a proof of leadership where needed.
+        """Run a statement, with a proof of leadership where one is needed.
 
-        The proof is a plain transaction opened behind the statement: a
-        member that still leads then led while the statement ran.
+        The proof is a read-write transaction that is opened after the
+        statement: a member that leads at that time also led while the
+        statement ran.
         """
-        done = self._run(pool, conn, work, floor, is_proof_needed, deadline)
-        is_done = isinstance(done, Success)
+        result = self._run(
+            access, conn, request, floor, is_proof_needed, deadline
+        )
+        is_done = isinstance(result, Success)
         self._metrics.count(
             'tries',
-            work.route.freshness.value,
-            'write' if work.run.is_write else 'read',
-            _role_of(pool, work),
-            'done' if is_done else done.failure().code,
+            request.route.freshness.value,
+            'write' if request.run.is_write else 'read',
+            _role_of(access, request),
+            'done' if is_done else result.failure().code,
         )
-        return done
+        return result
 
     def _run(
         self,
-        pool: MemberAccess,
-        conn: LentSession,
-        work: Work,
+        access: MemberAccess,
+        conn: MemberSession,
+        request: StatementRequest,
         floor: Position | None,
         is_proof_needed: bool,
         deadline: float,
     ) -> Result[Reply, Failure]:
-        calls: list[Call] = [_statement(work, floor)]
+        calls: list[Call] = [_statement(request, floor)]
         if is_proof_needed:
             calls += (OpenTransaction(is_read_only=False), RollBack())
-        setting = SessionSetting(work.session, work.prepared)
+        setting = SessionSetting(request.session, request.prepared)
         sent_at = self._clock.now()
-        done = self.exchange(pool, conn, calls, deadline, setting)
-        if not isinstance(done, Success):
-            return done
-        reply, *others = done.unwrap()
+        result = self.exchange(access, conn, calls, deadline, setting)
+        if not isinstance(result, Success):
+            return result
+        reply, *others = result.unwrap()
         if reply.failure is not None:
             return Failed(reply.failure)
         if is_proof_needed:
             proof = others[0]
             if proof.failure is not None:
-                return Failed(NotPrimary('lead could not be proved'))
-            prove(work.group, pool, sent_at, proof.position)
+                return Failed(
+                    NotPrimary('member could not prove its leadership')
+                )
+            record_proof(request.group, access, sent_at, proof.position)
         return Success(reply)
 
     def open_transaction(
         self,
-        pool: MemberAccess,
-        conn: LentSession,
+        access: MemberAccess,
+        conn: MemberSession,
         group: Group,
         call: OpenTransaction,
         deadline: float,
     ) -> Result[None, Failure]:
-        """Open a transaction; a plain one proves the lead."""
+        """Open a transaction; a read-write transaction proves leadership."""
         sent_at = self._clock.now()
-        done = self.exchange(pool, conn, (call,), deadline)
-        if not isinstance(done, Success):
-            return done
-        reply = done.unwrap()[0]
+        result = self.exchange(access, conn, (call,), deadline)
+        if not isinstance(result, Success):
+            return result
+        reply = result.unwrap()[0]
         if reply.failure is not None:
             return Failed(reply.failure)
         if not call.is_read_only:
-            prove(group, pool, sent_at, reply.position)
+            record_proof(group, access, sent_at, reply.position)
         return Success(None)
 
 
-def prove(
-    group: Group, pool: MemberAccess, sent_at: float, position: Position
+def record_proof(
+    group: Group, access: MemberAccess, sent_at: float, position: Position
 ) -> None:
-    """Note that a pool's member has proved to lead its group."""
-    member = pool.health.record.member
+    """Record that a member has proved its leadership of a group."""
+    member = access.health.record.member
     if group.state.on_leadership_proof(member, sent_at, position):
-        group.on_primary()
+        group.notify_primary_changed()
 
 
-def _role_of(pool: MemberAccess, work: Work) -> str:
-    is_primary = pool.health.record.member == work.group.state.primary
+def _role_of(access: MemberAccess, request: StatementRequest) -> str:
+    is_primary = access.health.record.member == request.group.state.primary
     return 'primary' if is_primary else 'replica'
 
 
-def _statement(work: Work, floor: Position | None) -> RunStatement:
-    alias = alias_of(work.prepared) if work.prepared else ''
-    return RunStatement(work.run.request_id, work.run.text, alias, floor)
+def _statement(
+    request: StatementRequest, floor: Position | None
+) -> RunStatement:
+    alias = alias_of(request.prepared) if request.prepared else ''
+    return RunStatement(request.run.request_id, request.run.text, alias, floor)
--- a/packages/node/src/trefoilpulley_node/proxy/host_registration.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_registration.py
@@ -1,4 +1,4 @@
-"""Entry of this host in the platform's service, bound to a lease."""
+"""Registration of this host in the platform's service, bound to a lease."""
 
 from __future__ import annotations
 
@@ -25,22 +25,25 @@
     from trefoilpulley_core.platform import KeyValue
     from trefoilpulley_core.platform import Platform
 
-LEASE_S = 30
-"""Time to live of a host's lease; probes notice a death sooner."""
+LEASE_TTL_S = 30
+"""Time to live of a host's lease, in seconds.
 
-RENEW_S = 10.0
+The probes of the membership detect a dead host earlier.
+"""
+
+RENEW_INTERVAL_S = 10.0
 """Time between two renewals of the lease, in seconds."""
 
-RETRY_S = 1.0
-"""Pause after a call that failed, in seconds."""
+RETRY_INTERVAL_S = 1.0
+"""Time before a failed call is retried, in seconds."""
 
 
 class HostRegistration(Service):
-    """Keeps the host listed, so that other hosts find it.
+    """Keeps this host registered, so that other hosts can find it.
 
     Parameters
     ----------
-    me : HostEntry
+    host_entry : HostEntry
         Entry of this host.
     platform : Platform
         The platform's service.
@@ -49,11 +52,11 @@
     """
 
     def __init__(
-        self, me: HostEntry, platform: Platform, clock: Clock
+        self, host_entry: HostEntry, platform: Platform, clock: Clock
     ) -> None:
         self._clock = clock
         self._renewed_at = clock.now()
-        self._me = me
+        self._host_entry = host_entry
         self._platform = platform
         self._lease_id = 0
         self._holder_id: int | None = None
@@ -61,7 +64,10 @@
 
     @property
     def holder_id(self) -> int | None:
-        """Number that no other running host has; from its first lease."""
+        """Number that is unique among the running hosts.
+
+        ``None`` before the first lease is granted.
+        """
         return self._holder_id
 
     @property
@@ -70,24 +76,24 @@
         return self._clock.now() - self._renewed_at
 
     def start(self) -> None:
-        """Begin to register."""
+        """Start to register the host and to renew its lease."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the lease, which removes the entry."""
+        """Revoke the lease, which removes the entry."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         if self._lease_id:
-            with gevent.Timeout(RETRY_S / 2, False):
+            with gevent.Timeout(RETRY_INTERVAL_S / 2, False):
                 self._platform.revoke_lease(self._lease_id)
 
     def _run(self) -> None:
         while True:
             is_listed = self._renew() if self._lease_id else self._register()
-            gevent.sleep(RENEW_S if is_listed else RETRY_S)
+            gevent.sleep(RENEW_INTERVAL_S if is_listed else RETRY_INTERVAL_S)
 
     def _register(self) -> bool:
-        granted = self._platform.grant_lease(LEASE_S)
+        granted = self._platform.grant_lease(LEASE_TTL_S)
         if not isinstance(granted, Success):
             return False
         lease_id = granted.unwrap().lease_id
@@ -98,13 +104,13 @@
         return bool(self._lease_id)
 
     def _put(self, lease_id: int) -> Result[int, Failure]:
-        key = f'{HOST_PREFIX}{self._me.name}'
-        value = write_host(self._me)
-        done = self._platform.compare_and_swap(key, 0, value, lease_id)
-        if isinstance(done, Success):
-            return done
-        if not isinstance(done.failure(), RevisionConflict):
-            return done
+        key = f'{HOST_PREFIX}{self._host_entry.name}'
+        value = write_host(self._host_entry)
+        result = self._platform.compare_and_swap(key, 0, value, lease_id)
+        if isinstance(result, Success):
+            return result
+        if not isinstance(result.failure(), RevisionConflict):
+            return result
         found = self._platform.get(key)
         if not isinstance(found, Success):
             return found
@@ -113,11 +119,11 @@
         return self._platform.compare_and_swap(key, revision, value, lease_id)
 
     def _renew(self) -> bool:
-        done = self._platform.keep_alive(self._lease_id)
-        if isinstance(done, Success):
+        result = self._platform.keep_alive(self._lease_id)
+        if isinstance(result, Success):
             self._renewed_at = self._clock.now()
             return True
-        if isinstance(done.failure(), LeaseExpired):
+        if isinstance(result.failure(), LeaseExpired):
             self._lease_id = 0
             return self._register()
         return False
--- a/packages/node/src/trefoilpulley_node/proxy/host_vote.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_vote.py
@@ -1,4 +1,4 @@
-"""Asks the hosts whether a primary is lost, and answers them."""
+"""Asks other hosts whether they reach a member, and answers them."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
     from trefoilpulley_node.proxy.member_prober import MemberProber
 
 VOTE_TIMEOUT_S = 0.35
-"""Longest wait for what other hosts say of a member, in seconds."""
+"""Timeout for the reports of other hosts on a member, in seconds."""
 
-VOTE_VALID_S = 1.5
-"""Time for which a vote tells how many hosts answer, in seconds.
+VOTE_TTL_S = 1.5
+"""Time for which the answer rate of a vote is valid, in seconds.
 
-Votes follow each other sooner while a primary is missed.
+While a primary is unreachable, votes follow each other at shorter intervals.
 """
 
-RECENT_ANSWER_S = 0.15
-"""Age up to which an answer shows that a member is reached."""
+MAX_RECENT_ANSWER_AGE_S = 0.15
+"""Age up to which a member's last answer proves it reachable, in seconds."""
 
 
 class HostVote:
-    """What the registered hosts say of a member.
+    """Collects what the voters of a group report on a member.
 
     Parameters
     ----------
     host : str
         Name of this host.
     prober : MemberProber
-        Asks the members.
+        Checks whether this host reaches a member.
     peers : Peers
-        Other hosts.
+        Connections to the other hosts.
     registered_hosts : Callable[[], Mapping[str, str]]
         Availability zone of each registered host, this one included.
     groups : Mapping[str, Group]
@@ -66,53 +66,55 @@
         self._host = host
         self._prober = prober
         self._peers = peers
-        self._registered = registered_hosts
+        self._registered_hosts = registered_hosts
         self._groups = groups
         self._clock = clock
-        self._answers = 1.0
-        self._asked_at = float('-inf')
-
-    def ask(self, group: Group, lost: str | None) -> tuple[ReachReport, ...]:
-        """Return what the hosts say that answer in time."""
-        if lost is None:
+        self._answer_rate = 1.0
+        self._voted_at = float('-inf')
+
+    def collect_reports(
+        self, group: Group, lost_member: str | None
+    ) -> tuple[ReachReport, ...]:
+        """Return the reports of the voters that answer before the timeout."""
+        if lost_member is None:
             return ()
-        question = ReachQuestion(group.state.group, lost)
-        jury = [h for h in self.jury(group) if h != self._host]
-        asked = [
+        question = ReachQuestion(group.state.group, lost_member)
+        voters = [h for h in self.voters(group) if h != self._host]
+        greenlets = [
             gevent.spawn(self._peers.call_host, host, question, VOTE_TIMEOUT_S)
-            for host in jury
+            for host in voters
         ]
         reports: tuple[ReachReport, ...] = ()
-        for done in gevent.iwait(asked, timeout=VOTE_TIMEOUT_S):
-            report = done.value.value_or(None) if done.value else None
+        for greenlet in gevent.iwait(greenlets, timeout=VOTE_TIMEOUT_S):
+            report = greenlet.value.value_or(None) if greenlet.value else None
             if not isinstance(report, ReachReport):
                 continue
             reports = (*reports, report)
-            if self.is_lost(group, lost, reports, is_claimed=False):
-                # No answer that is still out can change the outcome.
+            if self.is_lost(group, lost_member, reports, is_claimed=False):
+                # The outcome is decided: no outstanding report can change it.
                 break
-        gevent.killall(asked, block=False)
-        self._answers = (1 + len(reports)) / (1 + len(jury))
-        self._asked_at = self._clock.now()
+        gevent.killall(greenlets, block=False)
+        self._answer_rate = (1 + len(reports)) / (1 + len(voters))
+        self._voted_at = self._clock.now()
         return reports
 
-    def jury(self, group: Group) -> dict[str, str]:
-        """Return the zones of the hosts that vote, this one included."""
-        jury = choose_voters(group.state.group, self._registered())
-        jury.setdefault(self._host, self._registered()[self._host])
-        return jury
+    def voters(self, group: Group) -> dict[str, str]:
+        """Return the availability zone of each voter, this host included."""
+        voters = choose_voters(group.state.group, self._registered_hosts())
+        voters.setdefault(self._host, self._registered_hosts()[self._host])
+        return voters
 
     def is_reached(
         self, group: Group, member: str, hosts: Iterable[str]
     ) -> bool:
-        """Return whether a member answers one of some hosts."""
+        """Return whether at least one of the given hosts reaches a member."""
         question = ReachQuestion(group.state.group, member)
-        asked = [
+        greenlets = [
             gevent.spawn(self._peers.call_host, host, question, VOTE_TIMEOUT_S)
             for host in hosts
         ]
-        for done in gevent.iwait(asked, timeout=VOTE_TIMEOUT_S):
-            report = done.value.value_or(None) if done.value else None
+        for greenlet in gevent.iwait(greenlets, timeout=VOTE_TIMEOUT_S):
+            report = greenlet.value.value_or(None) if greenlet.value else None
             if isinstance(report, ReachReport) and report.is_reached:
                 return True
         return False
@@ -120,35 +122,36 @@
     def is_lost(
         self,
         group: Group,
-        lost: str,
+        lost_member: str,
         reports: Sequence[ReachReport],
         is_claimed: bool,
     ) -> bool:
-        """Return whether enough hosts miss a member."""
-        health = group.state.members.get(lost)
+        """Return whether enough voters can't reach a member."""
+        health = group.state.members.get(lost_member)
         zone = health.record.zone if health else ''
-        return has_loss_quorum(reports, self.jury(group), zone, is_claimed)
+        return has_loss_quorum(reports, self.voters(group), zone, is_claimed)
 
     def on_reach_question(self, question: ReachQuestion) -> ReachReport:
-        """Return whether a member answers this host."""
+        """Return whether this host reaches a member."""
         group = self._groups.get(question.group)
         if group is None:
             return ReachReport(self._host, is_reached=False)
         health = group.state.members.get(question.member)
         now = self._clock.now()
-        if health and now - health.last_answer_at < RECENT_ANSWER_S:
+        if health and now - health.last_answer_at < MAX_RECENT_ANSWER_AGE_S:
             return ReachReport(self._host, is_reached=True)
-        reached = self._prober.reach(group, question.member)
-        if not reached:
-            access = group.pool_of(question.member)
+        is_reachable = self._prober.can_connect(group, question.member)
+        if not is_reachable:
+            access = group.find_access(question.member)
             if access is not None and access.is_relayed:
-                # Without statements of its own it would not notice.
+                # This host sends no statements of its own to the member, so
+                # that no failed statement would reveal the loss.
                 access.health.on_unreachable(now)
-            group.attention.set()
-        return ReachReport(self._host, reached)
+            group.check_requested.set()
+        return ReachReport(self._host, is_reachable)
 
-    def recent_answers(self, now: float) -> float | None:
-        """Return the part of the hosts that answered a recent vote."""
-        if now - self._asked_at > VOTE_VALID_S:
+    def recent_answer_rate(self, now: float) -> float | None:
+        """Return the rate of hosts that answered the last vote, if recent."""
+        if now - self._voted_at > VOTE_TTL_S:
             return None
-        return self._answers
+        return self._answer_rate
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -1,4 +1,4 @@
-"""Connections of this host to one member."""
+"""Connection pool of this host for one member."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from trefoilpulley_core.proxy.upstream_session import ConnectionLimitReached
 from trefoilpulley_core.proxy.upstream_session import UnknownStatement
 from trefoilpulley_core.proxy.waiting_line import ConnectionQueue
-from trefoilpulley_node.proxy.lent_session import LentSession
+from trefoilpulley_node.proxy.lent_session import MemberSession
 from trefoilpulley_node.proxy.lent_session import SetupFailed
 
 if TYPE_CHECKING:
@@ -42,28 +42,32 @@
     from trefoilpulley_node.proxy.lent_session import SessionSetting
 
 DIAL_TIMEOUT_S = 0.4
-"""Longest time to open a connection; a busy member takes tens of ms."""
+"""Timeout to open a connection, in seconds; a busy member takes tens of ms."""
 
-LIMIT_RETRY_S = 0.05
-"""Time between two tries to connect to a member that is full."""
+LIMIT_RETRY_INTERVAL_S = 0.05
+"""Time between two attempts to connect to a full member, in seconds.
+
+A full member has as many connections as it allows. The interval applies while
+this host has no connection to the member.
+"""
 
 
 @dataclass(eq=False, slots=True)
-class PooledSession(LentSession):
-    """Connection to a member with what is set on it."""
+class PooledSession(MemberSession):
+    """Pooled connection to a member, with its session state."""
 
     upstream: UpstreamSession
     """Connection."""
 
     state: ConnectionState = field(default_factory=ConnectionState)
-    """Values and prepared statements on the connection."""
+    """Session values and prepared statements set on the connection."""
 
     since: float = 0.0
-    """Time at which it was last taken or given back, in seconds."""
+    """Time of the last acquisition or release, in seconds."""
 
     @property
     def is_usable(self) -> bool:
-        """Whether the connection is open and owes no reply."""
+        """Whether the connection is open and no reply is outstanding."""
         return self.upstream.is_usable
 
     def exchange(
@@ -76,30 +80,30 @@
         setup: tuple[Call, ...] = ()
         if setting is not None:
             setup = plan_setup(self.state, setting.session, setting.prepared)
-        done = self.upstream.exchange((*setup, *calls), timeout_s)
-        if not isinstance(done, Success):
-            return done
-        replies = done.unwrap()
+        result = self.upstream.exchange((*setup, *calls), timeout_s)
+        if not isinstance(result, Success):
+            return result
+        replies = result.unwrap()
         if any(r.failure is not None for r in replies[: len(setup)]):
             self.upstream.close()
-            return Failed(SetupFailed('session values were refused'))
+            return Failed(SetupFailed('member refused the session values'))
         replies = replies[len(setup) :]
         if any(isinstance(r.failure, UnknownStatement) for r in replies):
             self.state.aliases.clear()
         return Success(replies)
 
     def close(self) -> None:
-        """Close the connection; the member rolls back."""
+        """Close the connection; the member rolls back an open transaction."""
         self.upstream.close()
 
 
 class MemberPool:
-    """Opens, lends and closes the connections to one member.
+    """Opens, hands out and closes the connections to one member.
 
     Parameters
     ----------
     health : MemberHealth
-        How the member answers this host.
+        Health of the member as seen from this host.
     dialer : UpstreamDialer
         Opens connections.
     clock : Clock
@@ -111,35 +115,35 @@
     ) -> None:
         self.health = health
         self.share = ConnectionShare()
-        """Connections that this host may open."""
+        """Number of connections that this host may open to the member."""
 
-        self.flight = ConcurrencyLimit()
-        """Statements that may be at the member at once."""
+        self.in_flight_limit = ConcurrencyLimit()
+        """Number of statements that may be in flight at the member."""
 
-        self.is_kept = True
-        """Whether idle connections are kept at all."""
+        self.is_idle_kept = True
+        """Whether idle connections stay open."""
 
         self._dialer = dialer
         self._clock = clock
         self._idle: list[PooledSession] = []
-        self._line = ConnectionQueue()
+        self._queue = ConnectionQueue()
         self._open = 0
-        self._handed = 0
+        self._assigned = 0
         self._is_closed = False
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open or being opened."""
+        """Number of connections that are open or being opened."""
         return self._open
 
     @property
     def waiting(self) -> int:
-        """Pieces of work that wait for a connection."""
-        return len(self._line)
+        """Number of requests that wait for a connection."""
+        return len(self._queue)
 
     @property
     def has_idle(self) -> bool:
-        """Whether a connection is free."""
+        """Whether a connection is idle."""
         return bool(self._idle)
 
     def acquire(
@@ -149,26 +153,28 @@
         session: SessionState,
         admit_by: float | None = None,
     ) -> Result[PooledSession, Failure]:
-        """Lend a connection, or say why none can be had in time.
+        """Return a connection, or the reason why none is available in time.
 
         Parameters
         ----------
         priority : int
-            Importance of the work; 0 is the highest of a route's.
+            Priority of the request; 0 is the highest priority of a route.
         deadline : float
-            Time by which the work must be done, in seconds.
+            Time by which the request must be done, in seconds.
         session : SessionState
-            Values that the work needs; a connection that has them is
-            preferred.
+            Session values that the request needs; a connection that has these
+            values already is preferred.
         admit_by : float, optional
-            Time by which its turn must come, in seconds; the deadline
-            without it.
+            Time by which the request must get its connection, in seconds;
+            defaults to the deadline.
         """
-        turn_by = deadline if admit_by is None else min(admit_by, deadline)
+        admission_deadline = (
+            deadline if admit_by is None else min(admit_by, deadline)
+        )
         while not self._is_closed:
             now = self._clock.now()
             if self._has_room:
-                conn = self._take_idle(session)
+                conn = self._pop_idle(session)
                 if conn is not None:
                     return Success(conn)
                 if now >= deadline:
@@ -180,105 +186,109 @@
                         return dialled
                     self.share.on_refused(now)
                     if self._open == 0:
-                        wait_s = min(LIMIT_RETRY_S, deadline - now)
-                        conn = self._wait(priority, deadline, wait_s)
+                        wait_s = min(LIMIT_RETRY_INTERVAL_S, deadline - now)
+                        conn = self._wait_for_retry(priority, deadline, wait_s)
                         if conn is not None:
                             return Success(conn)
                         continue
-            work = self._join(priority, turn_by, now)
-            if work is None:
-                return Failed(Overloaded('line for connections is too long'))
-            conn = self._await(work, turn_by - now)
+            waiter = self._enqueue(priority, admission_deadline, now)
+            if waiter is None:
+                return Failed(Overloaded('connection queue is too long'))
+            conn = self._wait_for_turn(waiter, admission_deadline - now)
             if conn is not None:
                 return Success(conn)
         if self._is_closed:
-            return Failed(NoUpstream('member has left'))
-        return Failed(Overloaded('no connection came free in time'))
+            return Failed(NoUpstream('member has left the group'))
+        return Failed(Overloaded('timed out waiting for a connection'))
 
     def release(self, conn: PooledSession) -> None:
-        """Take a connection back for the next work."""
+        """Return a connection to the pool."""
         now = self._clock.now()
-        self._line.on_released(now - conn.since)
+        self._queue.on_released(now - conn.since)
         if not conn.is_usable or self._is_closed:
-            self._drop(conn)
+            self._close_connection(conn)
             return
         if self._open > self.share.max_open:
-            self._drop(conn)
+            self._close_connection(conn)
             return
         conn.since = now
         self._idle.append(conn)
-        self.serve_line()
+        self.serve_queue()
 
-    def serve_line(self) -> None:
-        """Let waiting work go on where there is room for it."""
+    def serve_queue(self) -> None:
+        """Wake waiting requests while the member has capacity for them."""
         now = self._clock.now()
-        while len(self._line) and self._has_room:
+        while len(self._queue) and self._has_room:
             can_dial = self._open < self.share.limit(now)
             if not self._idle and not can_dial:
                 return
-            work = self._line.pop(now)
-            if work is None:
+            waiter = self._queue.pop(now)
+            if waiter is None:
                 return
             conn = self._idle.pop() if self._idle else None
             if conn is not None:
                 conn.since = now
-            self._handed += 1
-            work.handle.set(conn)
+            self._assigned += 1
+            waiter.handle.set(conn)
             if conn is None:
-                # It looks for itself; more may not fit.
+                # The waiting request dials or waits again itself, and there
+                # may be no capacity for a second one.
                 return
 
     def on_replies(self, replies: Sequence[Reply], in_flight: int) -> None:
-        """Learn from the replies whether the member is full."""
+        """Adjust the in-flight limit to the replies of the member."""
         now = self._clock.now()
         if any(isinstance(r.failure, Overloaded) for r in replies):
-            self.flight.on_busy(in_flight, now)
+            self.in_flight_limit.on_busy(in_flight, now)
         else:
-            self.flight.on_served(self.health.expected_s(now), now)
+            self.in_flight_limit.on_served(self.health.expected_s(now), now)
 
     def discard(self, conn: PooledSession) -> None:
-        """Close a connection; its transaction is rolled back."""
-        self._drop(conn)
+        """Close a connection; the member rolls back an open transaction."""
+        self._close_connection(conn)
 
-    def warm(self) -> None:
-        """Open a connection ahead of the work where none is open."""
-        if self._open or not self.is_kept or self._is_closed:
+    def open_ahead(self) -> None:
+        """Open a connection before a request needs it, where none is open."""
+        if self._open or not self.is_idle_kept or self._is_closed:
             return
         if self.health.failing_since is None:
-            gevent.spawn(self._warm)
+            gevent.spawn(self._open_ahead)
 
     def trim(self, now: float) -> None:
-        """Close idle connections that are not kept."""
-        while self._idle and self._open > self._kept:
+        """Close idle connections above the number that stays open."""
+        while self._idle and self._open > self._max_kept:
             if now - self._idle[0].since < EXCESS_IDLE_TIMEOUT_S:
                 return
-            self._drop(self._idle.pop(0))
+            self._close_connection(self._idle.pop(0))
 
     def close(self) -> None:
-        """Close idle connections; those lent close when they return."""
+        """Close the pool and its idle connections.
+
+        A connection in use is closed when it is released.
+        """
         self._is_closed = True
         for conn in self._idle:
             conn.close()
             self._open -= 1
         self._idle.clear()
-        for work in self._line.drain():
-            self._handed += 1
-            work.handle.set(None)
+        for waiter in self._queue.drain():
+            self._assigned += 1
+            waiter.handle.set(None)
 
     @property
-    def _kept(self) -> int:
-        return self.share.min_idle if self.is_kept else 0
+    def _max_kept(self) -> int:
+        return self.share.min_idle if self.is_idle_kept else 0
 
-    def _take_idle(self, session: SessionState) -> PooledSession | None:
+    def _pop_idle(self, session: SessionState) -> PooledSession | None:
         while self._idle:
-            conn = self._pick(session)
+            conn = self._pop_matching(session)
             if conn.is_usable:
                 conn.since = self._clock.now()
                 return conn
-            self._drop(conn)
+            self._close_connection(conn)
         return None
 
-    def _pick(self, session: SessionState) -> PooledSession:
+    def _pop_matching(self, session: SessionState) -> PooledSession:
         for i in range(len(self._idle) - 1, -1, -1):
             if self._idle[i].state.has_values_of(session):
                 return self._idle.pop(i)
@@ -300,83 +310,92 @@
             return dialled
         if timeout_s >= DIAL_TIMEOUT_S or not _is_timeout(failure):
             self.health.on_unreachable(now)
-            self._wake_all()
-        # Nothing of the caller's was sent.
+            self._wake_waiters()
+        # No request of the caller was sent on the connection.
         return Failed(NoUpstream(f'{failure.code} {failure.detail}'))
 
-    def _warm(self) -> None:
+    def _open_ahead(self) -> None:
         dialled = self._dial(self._clock.now() + DIAL_TIMEOUT_S)
         if isinstance(dialled, Success):
             self.release(dialled.unwrap())
 
-    def _wake_all(self) -> None:
-        """Let waiting work try again, so that it fails at once."""
+    def _wake_waiters(self) -> None:
+        """Wake the waiting requests, so that each of them fails early."""
         if self._open:
             return
-        for work in self._line.drain():
-            self._handed += 1
-            work.handle.set(None)
+        for waiter in self._queue.drain():
+            self._assigned += 1
+            waiter.handle.set(None)
 
     @property
     def _has_room(self) -> bool:
-        """Whether one statement more may be sent to the member."""
-        return self.health.in_flight + self._handed < self.flight.value
+        """Whether one more statement may be sent to the member."""
+        return (
+            self.health.in_flight + self._assigned < self.in_flight_limit.value
+        )
 
-    def _join(
-        self, priority: int, turn_by: float, now: float
+    def _enqueue(
+        self, priority: int, admission_deadline: float, now: float
     ) -> QueuedWork | None:
-        """Wait for a turn; ``None`` where it would come too late."""
+        """Queue a request, or return ``None`` where it would wait too long."""
         if self._has_room:
-            servers, mean_hold_s = self._open, self._line.mean_hold_s
+            servers, mean_hold_s = self._open, self._queue.mean_hold_s
         else:
-            servers = self.flight.value
+            servers = self.in_flight_limit.value
             mean_hold_s = self.health.expected_s(now)
-        return self._line.enqueue(
-            priority, turn_by, now, servers, mean_hold_s, AsyncResult()
+        return self._queue.enqueue(
+            priority,
+            admission_deadline,
+            now,
+            servers,
+            mean_hold_s,
+            AsyncResult(),
         )
 
-    def _wait(
+    def _wait_for_retry(
         self, priority: int, deadline: float, wait_s: float
     ) -> PooledSession | None:
         now = self._clock.now()
-        work = self._line.enqueue(
-            priority, deadline, now, 1, self._line.mean_hold_s, AsyncResult()
+        waiter = self._queue.enqueue(
+            priority, deadline, now, 1, self._queue.mean_hold_s, AsyncResult()
         )
-        if work is None:
+        if waiter is None:
             return None
-        return self._await(work, wait_s)
+        return self._wait_for_turn(waiter, wait_s)
 
-    def _await(self, work: QueuedWork, wait_s: float) -> PooledSession | None:
+    def _wait_for_turn(
+        self, waiter: QueuedWork, wait_s: float
+    ) -> PooledSession | None:
         try:
-            conn = work.handle.get(timeout=wait_s)
+            conn = waiter.handle.get(timeout=wait_s)
         except Timeout:
-            if not work.is_done:
-                self._line.remove(work)
+            if not waiter.is_done:
+                self._queue.remove(waiter)
                 return None
-            # Its turn came in the same moment.
-            conn = work.handle.get()
+            # The request got its turn at the moment of the timeout.
+            conn = waiter.handle.get()
         except gevent.GreenletExit:
-            self._give_up(work)
+            self._abandon(waiter)
             raise
-        self._handed -= 1
+        self._assigned -= 1
         return conn
 
-    def _give_up(self, work: QueuedWork) -> None:
-        """Let nothing be lost that was handed to work that has ended."""
-        if not work.is_done:
-            self._line.remove(work)
+    def _abandon(self, waiter: QueuedWork) -> None:
+        """Take back what was handed to a greenlet that has been killed."""
+        if not waiter.is_done:
+            self._queue.remove(waiter)
             return
-        self._handed -= 1
-        conn = work.handle.get()
+        self._assigned -= 1
+        conn = waiter.handle.get()
         if conn is None:
-            self.serve_line()
+            self.serve_queue()
         else:
             self.release(conn)
 
-    def _drop(self, conn: PooledSession) -> None:
+    def _close_connection(self, conn: PooledSession) -> None:
         conn.close()
         self._open -= 1
-        self.serve_line()
+        self.serve_queue()
 
 
 def _failure_of(result: Result) -> Failure | None:
--- a/packages/node/src/trefoilpulley_node/proxy/member_prober.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_prober.py
@@ -1,4 +1,4 @@
-"""Asks members whether they answer, lead, and how far their log goes."""
+"""Sends health checks, status requests and replication commands to members."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from trefoilpulley_core.proxy.upstream_session import OpenTransaction
 from trefoilpulley_core.proxy.upstream_session import ResumeReplication
 from trefoilpulley_core.proxy.upstream_session import RollBack
-from trefoilpulley_node.proxy.exchange import prove
+from trefoilpulley_node.proxy.exchange import record_proof
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -31,31 +31,31 @@
     from trefoilpulley_node.proxy.exchange import Exchanger
 
 PROBE_PRIORITY = -1
-"""Importance of the system's own requests, before any route's."""
+"""Priority of the system's own requests, ahead of every route's."""
 
 PROBE_TIMEOUT_S = 0.25
-"""Longest time of a question to a member, in seconds."""
+"""Timeout of a request to a member, in seconds."""
 
-LAST_STATUS_S = 0.06
-"""Wait for the last member once most have answered, in seconds."""
+LAST_STATUS_TIMEOUT_S = 0.06
+"""Time to wait for the remaining members once most answered, in seconds."""
 
-STATUS_TRIES = 4
-"""Times that a member without a free slot is asked for its status."""
+MAX_STATUS_ATTEMPTS = 4
+"""Attempts to read the status of a member without a free slot."""
 
-STATUS_PAUSE_S = 0.03
-"""Pause before a busy member is asked again, in seconds."""
+STATUS_RETRY_INTERVAL_S = 0.03
+"""Time before the status of a busy member is read again, in seconds."""
 
 _NO_VALUES = SessionState()
 _ASK_STATUS = AskStatus()
 
 
 class MemberProber:
-    """Questions of this host to members.
+    """Sends this host's health checks and commands to members.
 
     Parameters
     ----------
     exchanger : Exchanger
-        Runs requests on connections.
+        Sends requests on connections.
     dialer : UpstreamDialer
         Opens connections.
     clock : Clock
@@ -69,41 +69,41 @@
         self._dialer = dialer
         self._clock = clock
 
-    def prove_lead(self, group: Group, member: str) -> bool:
-        """Return whether a member proves to lead, and note it."""
+    def verify_leader(self, group: Group, member: str) -> bool:
+        """Return whether a member proves its leadership; record the proof."""
         sent_at = self._clock.now()
-        opened = self._ask(
+        reply = self._send(
             group, member, (OpenTransaction(is_read_only=False), RollBack())
         )
-        if opened is None or opened.failure is not None:
+        if reply is None or reply.failure is not None:
             return False
-        prove(group, group.pools[member], sent_at, opened.position)
+        record_proof(group, group.accesses[member], sent_at, reply.position)
         return True
 
     def find_leader(self, group: Group) -> bool:
-        """Ask every member at once; return whether one leads."""
-        asked = [
-            gevent.spawn(self.prove_lead, group, member)
+        """Ask all members at once; return whether a primary is known then."""
+        greenlets = [
+            gevent.spawn(self.verify_leader, group, member)
             for member in group.state.members
         ]
-        for _ in gevent.iwait(asked, timeout=PROBE_TIMEOUT_S):
+        for _ in gevent.iwait(greenlets, timeout=PROBE_TIMEOUT_S):
             if group.state.primary is not None:
                 return True
         return group.state.primary is not None
 
-    def reach(self, group: Group, member: str) -> bool:
-        """Return whether a member takes a new connection."""
-        pool = group.pool_of(member)
-        if pool is None:
+    def can_connect(self, group: Group, member: str) -> bool:
+        """Return whether a member accepts a new connection."""
+        access = group.find_access(member)
+        if access is None:
             return False
-        dialled = self._dialer.dial(pool.health.record, PROBE_TIMEOUT_S)
+        dialled = self._dialer.dial(access.health.record, PROBE_TIMEOUT_S)
         now = self._clock.now()
         if isinstance(dialled, Success):
             dialled.unwrap().close()
-            pool.health.on_answer(now, pool.health.position)
+            access.health.on_answer(now, access.health.position)
             return True
         if isinstance(dialled.failure(), ConnectionLimitReached):
-            pool.health.on_answer(now, pool.health.position)
+            access.health.on_answer(now, access.health.position)
             return True
         return False
 
@@ -113,35 +113,35 @@
         member: str,
         call: AskStatus | HoldReplication = _ASK_STATUS,
     ) -> LogStatus | None:
-        """Return what a member says of its log, or ``None``."""
-        for _ in range(STATUS_TRIES):
-            reply = self._ask(group, member, (call,))
+        """Return the log status of a member, or ``None`` without an answer."""
+        for _ in range(MAX_STATUS_ATTEMPTS):
+            reply = self._send(group, member, (call,))
             if reply is None:
                 return None
             if reply.status is not None:
                 return reply.status
             if not isinstance(reply.failure, Overloaded):
                 return None
-            gevent.sleep(STATUS_PAUSE_S)
+            gevent.sleep(STATUS_RETRY_INTERVAL_S)
         return None
 
-    def hold(
+    def pause_replication(
         self, group: Group, statuses: Mapping[str, LogStatus]
     ) -> dict[str, LogStatus]:
-        """Stop the replicas from receiving; return how far they got.
+        """Pause replication at the replicas; return their log statuses.
 
-        A primary that is cut off from here then can't have a commit
-        confirmed by a replica that is not chosen.
+        While replication is paused, a replica that is not promoted can't
+        confirm a commit of a primary that this host can't reach.
         """
         term = 1 + max((s.term for s in statuses.values()), default=0)
         return self.read_statuses(
             group, tuple(statuses), HoldReplication(term)
         )
 
-    def resume(self, group: Group, members: Iterable[str]) -> None:
-        """Let replicas receive again after a change was abandoned."""
+    def resume_replication(self, group: Group, members: Iterable[str]) -> None:
+        """Resume replication at replicas after a change was abandoned."""
         for member in members:
-            gevent.spawn(self._ask, group, member, (ResumeReplication(),))
+            gevent.spawn(self._send, group, member, (ResumeReplication(),))
 
     def read_statuses(
         self,
@@ -149,43 +149,43 @@
         members: tuple[str, ...],
         call: AskStatus | HoldReplication = _ASK_STATUS,
     ) -> dict[str, LogStatus]:
-        """Return the status of each member that answers in time."""
-        asked = {
+        """Return the log status of each member that answers in time."""
+        greenlets = {
             m: gevent.spawn(self.read_status, group, m, call) for m in members
         }
         enough = len(group.state.members) // 2 + 1
         answers = 0
-        for done in gevent.iwait(
-            list(asked.values()), timeout=2 * PROBE_TIMEOUT_S
+        for greenlet in gevent.iwait(
+            list(greenlets.values()), timeout=2 * PROBE_TIMEOUT_S
         ):
-            answers += done.value is not None
+            answers += greenlet.value is not None
             if answers >= enough:
                 break
-        gevent.joinall(list(asked.values()), timeout=LAST_STATUS_S)
-        found = {m: g.value for m, g in asked.items()}
-        gevent.killall(list(asked.values()), block=False)
+        gevent.joinall(list(greenlets.values()), timeout=LAST_STATUS_TIMEOUT_S)
+        found = {m: g.value for m, g in greenlets.items()}
+        gevent.killall(list(greenlets.values()), block=False)
         return {m: s for m, s in found.items() if s is not None}
 
     def demote(self, group: Group, member: str, term: int) -> LogStatus | None:
-        """Make a primary of a lower term a replica."""
-        reply = self._ask(group, member, (Demote(term),))
+        """Demote a primary of a lower term; return its log status."""
+        reply = self._send(group, member, (Demote(term),))
         return reply.status if reply else None
 
-    def _ask(
+    def _send(
         self, group: Group, member: str, calls: tuple[Call, ...]
     ) -> Reply | None:
-        pool = group.pool_of(member)
-        if pool is None:
+        access = group.find_access(member)
+        if access is None:
             return None
         deadline = self._clock.now() + PROBE_TIMEOUT_S
-        lent = pool.acquire(PROBE_PRIORITY, deadline, _NO_VALUES)
-        if not isinstance(lent, Success):
+        acquired = access.acquire(PROBE_PRIORITY, deadline, _NO_VALUES)
+        if not isinstance(acquired, Success):
             return None
-        conn = lent.unwrap()
+        conn = acquired.unwrap()
         try:
-            done = self._exchanger.exchange(pool, conn, calls, deadline)
+            result = self._exchanger.exchange(access, conn, calls, deadline)
         except gevent.GreenletExit:
-            pool.discard(conn)
+            access.discard(conn)
             raise
-        pool.release(conn)
-        return done.unwrap()[0] if isinstance(done, Success) else None
+        access.release(conn)
+        return result.unwrap()[0] if isinstance(result, Success) else None
--- a/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
@@ -33,38 +33,38 @@
 REMOVAL_GRACE_S = 3.0
 """Time for which a member without an entry is kept, in seconds.
 
-Entries that lapsed while the service was away are back about two seconds
-after its return.
+Entries that expired during an outage of the service are registered again about
+two seconds after the outage.
 """
 
-PROOF_S = 0.6
-"""Time for which a new watch must hold to count as in force, in seconds.
+WATCH_STABLE_S = 0.6
+"""Time after which a new watch counts as established, in seconds.
 
-Longer than a connection takes to fail.
+The time exceeds the time that a connection takes to fail.
 """
 
-FIRST_BACKOFF_S = 0.2
-"""Pause after the first failure of the service, in seconds."""
+MIN_BACKOFF_S = 0.2
+"""Backoff after the first failure of the service, in seconds."""
 
-LAST_BACKOFF_S = 1.0
-"""Longest pause between two tries to reach the service, in seconds."""
+MAX_BACKOFF_S = 1.0
+"""Longest backoff between two attempts to reach the service, in seconds."""
 
 
 class PlatformFollower(Service):
-    """Keeps the directory as the service has it.
+    """Keeps the directory in line with the platform's service.
 
     Parameters
     ----------
     platform : Platform
         The platform's service.
     documents : PlatformDocuments
-        How the platform writes routes and members.
+        Format of the platform's routes and member entries.
     directory : ProxyDirectory
-        Takes routes and members.
+        Receives routes and members.
     on_hosts : Callable[[tuple[HostEntry, ...]], None]
-        Takes the hosts that hold a lease.
+        Called with the hosts that hold a lease.
     on_claim : Callable[[str, Claim, int], None]
-        Takes a group's claim and its revision.
+        Called with a group, its claim and the claim's revision.
     clock : Clock
         Monotonic time.
     """
@@ -86,47 +86,47 @@
         self._clock = clock
         self._revisions: dict[str, int] = {}
         self._hosts: dict[str, HostEntry] = {}
-        self._removals: dict[str, float] = {}
+        self._removals_due: dict[str, float] = {}
         self._unreadable: set[str] = set()
         self._greenlet: gevent.Greenlet | None = None
         self._watch: Watch | None = None
-        self._broken = Event()
+        self._watch_failed = Event()
         self._failure: Failure | None = None
         self.is_following = False
-        """Whether a watch is in force."""
+        """Whether a watch is established."""
 
         self.is_synchronized = False
-        """Whether everything has been read once."""
+        """Whether all entries have been read at least once."""
 
     @property
     def hosts(self) -> tuple[HostEntry, ...]:
-        """Hosts that hold a lease, as last seen."""
+        """Hosts that held a lease at the last update."""
         return tuple(self._hosts.values())
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the service."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop to follow."""
+        """Stop to follow the service."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         if self._watch is not None:
             self._watch.cancel()
 
-    def tick(self) -> None:
-        """Forget the members whose grace is over."""
+    def remove_expired(self) -> None:
+        """Remove the members without an entry whose grace period is over."""
         now = self._clock.now()
-        for member, at in list(self._removals.items()):
+        for member, at in list(self._removals_due.items()):
             if now >= at:
-                del self._removals[member]
+                del self._removals_due[member]
                 self._directory.remove_member(member)
 
     def _run(self) -> None:
-        backoff_s = FIRST_BACKOFF_S
+        backoff_s = MIN_BACKOFF_S
         is_synchronized = False
         while True:
-            self._broken.clear()
+            self._watch_failed.clear()
             self._failure = None
             self._watch = self._platform.watch(
                 '', self._on_change, self._on_failure
@@ -135,23 +135,23 @@
                 is_synchronized = self._synchronize()
                 self.is_synchronized |= is_synchronized
             if self._failure is None and is_synchronized:
-                if not self._broken.wait(timeout=PROOF_S):
-                    self._show_following(True)
-                    backoff_s = FIRST_BACKOFF_S
-                    self._broken.wait()
+                if not self._watch_failed.wait(timeout=WATCH_STABLE_S):
+                    self._set_following(True)
+                    backoff_s = MIN_BACKOFF_S
+                    self._watch_failed.wait()
             self._watch.cancel()
             if isinstance(self._failure, WatchExpired):
                 is_synchronized = False
                 continue
-            self._show_following(False)
+            self._set_following(False)
             gevent.sleep(backoff_s)
-            backoff_s = min(LAST_BACKOFF_S, 2 * backoff_s)
+            backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
 
     def _on_failure(self, failure: Failure) -> None:
         self._failure = failure
-        self._broken.set()
+        self._watch_failed.set()
 
-    def _show_following(self, is_following: bool) -> None:
+    def _set_following(self, is_following: bool) -> None:
         if is_following == self.is_following:
             return
         self.is_following = is_following
@@ -162,14 +162,15 @@
             events.PLATFORM_UNREACHABLE.log(failure=code)
 
     def _synchronize(self) -> bool:
-        """Read everything; what is missing now has been removed."""
-        # One call for all of it: a start of all hosts reads it from each.
-        read = self._platform.get_prefix('')
-        if not isinstance(read, Success):
+        """Read all entries and remove those that no longer exist."""
+        # A single call limits the load on the service, since all hosts may
+        # start at the same time.
+        result = self._platform.get_prefix('')
+        if not isinstance(result, Success):
             return False
-        for entry in read.unwrap():
+        for entry in result.unwrap():
             self._on_change(entry)
-        listed = {e.key for e in read.unwrap()}
+        listed = {e.key for e in result.unwrap()}
         prefixes = (self._documents.members_prefix, PROXY_PREFIX)
         for key in list(self._revisions):
             if key.startswith(prefixes) and key not in listed:
@@ -193,43 +194,45 @@
             self._revisions.pop(entry.key, None)
 
     def _on_routes(self, entry: KeyValue) -> None:
-        read = self._documents.decode_routes(entry.value)
-        if isinstance(read, Success):
-            self._directory.set_routes(read.unwrap())
+        result = self._documents.decode_routes(entry.value)
+        if isinstance(result, Success):
+            self._directory.set_routes(result.unwrap())
         else:
-            self._refuse(entry, read.failure())
+            self._log_unreadable(entry, result.failure())
 
     def _on_member(self, entry: KeyValue) -> None:
         member = entry.key.removeprefix(self._documents.members_prefix)
         if entry.value:
-            read = self._documents.decode_member(entry.key, entry.value)
-            if isinstance(read, Success):
-                self._removals.pop(member, None)
-                self._directory.set_member(read.unwrap())
+            result = self._documents.decode_member(entry.key, entry.value)
+            if isinstance(result, Success):
+                self._removals_due.pop(member, None)
+                self._directory.set_member(result.unwrap())
                 return
-            self._refuse(entry, read.failure())
-        self._removals.setdefault(member, self._clock.now() + REMOVAL_GRACE_S)
+            self._log_unreadable(entry, result.failure())
+        self._removals_due.setdefault(
+            member, self._clock.now() + REMOVAL_GRACE_S
+        )
 
     def _on_host(self, entry: KeyValue) -> None:
         name = entry.key.removeprefix(HOST_PREFIX)
-        read = read_host(entry) if entry.value else None
-        if isinstance(read, Success):
-            self._hosts[name] = read.unwrap()
+        result = read_host(entry) if entry.value else None
+        if isinstance(result, Success):
+            self._hosts[name] = result.unwrap()
         else:
             self._hosts.pop(name, None)
-            if read is not None:
-                self._refuse(entry, read.failure())
+            if result is not None:
+                self._log_unreadable(entry, result.failure())
         self._on_hosts(tuple(self._hosts.values()))
 
     def _on_claim_entry(self, entry: KeyValue) -> None:
-        read = read_claim(entry)
-        if isinstance(read, Success):
+        result = read_claim(entry)
+        if isinstance(result, Success):
             group = entry.key.removeprefix(CLAIM_PREFIX)
-            self._on_claim(group, read.unwrap(), entry.mod_revision)
+            self._on_claim(group, result.unwrap(), entry.mod_revision)
         else:
-            self._refuse(entry, read.failure())
+            self._log_unreadable(entry, result.failure())
 
-    def _refuse(self, entry: KeyValue, failure: Failure) -> None:
+    def _log_unreadable(self, entry: KeyValue, failure: Failure) -> None:
         if entry.key in self._unreadable:
             return
         self._unreadable.add(entry.key)
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -1,4 +1,4 @@
-"""Changes the primary of a group: after a loss, or as planned."""
+"""Changes the primary of a group, by failover or by planned handover."""
 
 from __future__ import annotations
 
@@ -28,72 +28,83 @@
     from trefoilpulley_core.proxy.succession import ReachReport
     from trefoilpulley_core.proxy.upstream_session import LogStatus
     from trefoilpulley_node.peers import Peers
-    from trefoilpulley_node.proxy.claims import ClaimBook
+    from trefoilpulley_node.proxy.claims import ClaimStore
     from trefoilpulley_node.proxy.directory import Group
     from trefoilpulley_node.proxy.host_vote import HostVote
     from trefoilpulley_node.proxy.member_prober import MemberProber
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
 
 NOTICE_TIMEOUT_S = 0.35
-"""Longest time to tell another host who leads, in seconds."""
+"""Timeout of a leader notice to another host, in seconds."""
 
-PROMOTION_S = 0.8
-"""Time that the platform takes to carry out a promotion, with slack."""
+EXPECTED_PROMOTION_S = 0.8
+"""Expected duration of a promotion with a margin, in seconds."""
 
-ORDER_TRIES = 4
-"""Times that an order without an answer is sent."""
+MAX_ORDER_ATTEMPTS = 4
+"""Attempts to send a promotion order that gets no answer."""
 
-CATCH_UP_S = 1.5
-"""Longest wait for the next primary to have the whole log, in seconds."""
+CATCH_UP_TIMEOUT_S = 1.5
+"""Timeout for the next primary to receive the whole log, in seconds."""
 
-RESPITE_S = 1.1
-"""Time that the host with the claim has before another one acts."""
+CLAIM_HOLDER_TIMEOUT_S = 1.1
+"""Time in which only the host that holds the claim acts, in seconds.
 
-LEAD_POLL_S = 0.03
-"""Pause between two questions whether the new primary leads."""
+Another host starts no change of the same group before this time is over.
+"""
+
+LEAD_POLL_INTERVAL_S = 0.03
+"""Time between two checks whether the new primary leads, in seconds."""
 
 LEAD_TIMEOUT_S = 1.5
-"""Time after which a promotion that shows no effect is ordered anew."""
+"""Timeout for a promoted member to lead, in seconds.
+
+After the timeout, the next check of the group decides again.
+"""
+
+FAILOVER_BACKOFF_S = 0.7
+"""Time without a new failover after one was abandoned, in seconds.
 
-KEPT_PAUSE_S = 0.7
-"""Pause after most hosts still reached a primary missed here."""
+Applies for example where most hosts still reach a primary that this host can't
+reach.
+"""
 
-DEMOTE_AFTER_S = 0.42
-"""Time from the order until the leaving primary is demoted.
+DEMOTION_DELAY_S = 0.42
+"""Delay from the promotion order to the old primary's demotion, in seconds.
 
-The platform takes some hundred ms more to finish, in which the last
-records reach the new primary; writes wait for that long and no more.
+The platform takes some hundred milliseconds longer to finish the promotion. In
+this remaining time, the last records reach the new primary, and writes wait no
+longer than this.
 """
 
 
 class PrimaryChanger:
-    """Carries out the changes of primary that fall to this host.
+    """Carries out the primary changes that this host is responsible for.
 
     Parameters
     ----------
     host : str
         Name of this host.
     prober : MemberProber
-        Asks the members.
+        Sends health checks and status requests to the members.
     vote : HostVote
-        Asks the other hosts.
-    claims : ClaimBook
-        Claims of the groups.
+        Collects reports from the other hosts.
+    claims : ClaimStore
+        Newest claim of each group.
     promotions : PromotionService
-        Orders promotions.
+        Orders promotions from the platform.
     peers : Peers
-        Other hosts.
+        Connections to the other hosts.
     registered_hosts : Callable[[], Mapping[str, str]]
         Availability zone of each registered host, this one included.
     groups : Mapping[str, Group]
         Groups by name.
     holder_id : Callable[[], int | None]
-        Number that no other running host has; ``None`` before it is
+        Number that is unique among the running hosts; ``None`` before it is
         known.
     clock : Clock
         Monotonic time.
     metrics : ProxyMetrics
-        Counts changes.
+        Counts primary changes.
     """
 
     def __init__(
@@ -101,7 +112,7 @@
         host: str,
         prober: MemberProber,
         vote: HostVote,
-        claims: ClaimBook,
+        claims: ClaimStore,
         promotions: PromotionService,
         peers: Peers,
         registered_hosts: Callable[[], Mapping[str, str]],
@@ -117,63 +128,72 @@
         self._claims = claims
         self._promotions = promotions
         self._peers = peers
-        self._registered = registered_hosts
+        self._registered_hosts = registered_hosts
         self._groups = groups
         self._holder_id = holder_id
         self._clock = clock
-        self._kept_until: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}
 
-    def replace(self, group: Group, lost: str | None) -> None:
-        """Promote another member where most hosts miss the primary.
+    def fail_over(self, group: Group, lost_primary: str | None) -> None:
+        """Promote another member where most voters can't reach the primary.
 
         Parameters
         ----------
         group : Group
-            Group without a primary that answers here.
-        lost : str | None
-            Primary that does not answer, if one is known.
+            Group whose primary does not answer this host.
+        lost_primary : str | None
+            Primary that does not answer; ``None`` where no primary is known.
         """
         now = self._clock.now()
         state = group.state
         if now < state.failover_due_at:
             return
-        if now < self._kept_until.get(state.group, now):
+        if now < self._backoff_until.get(state.group, now):
             return
         after_round = self._claims.last_round(state.group)
         if not self._wait_turn(group, after_round, is_service_out=False):
             return
-        asked = gevent.spawn(self._vote.ask, group, lost)
+        pending_reports = gevent.spawn(
+            self._vote.collect_reports, group, lost_primary
+        )
         statuses = self._prober.read_statuses(
-            group, state.members_except(lost)
+            group, state.members_except(lost_primary)
         )
-        reports = asked.get()
-        if lost and not self._vote.is_lost(group, lost, reports, True):
-            self._keep(group, lost, reports)
+        reports = pending_reports.get()
+        if lost_primary and not self._vote.is_lost(
+            group, lost_primary, reports, True
+        ):
+            self._keep_primary(group, lost_primary, reports)
             return
-        if self._has_leader(group, lost, statuses):
+        if self._has_leader(group, lost_primary, statuses):
             return
         if not can_choose_target(
-            len(state.members), len(statuses), reports, self._vote.jury(group)
+            len(state.members),
+            len(statuses),
+            reports,
+            self._vote.voters(group),
         ):
-            self._pause(group)
+            self._back_off(group)
             return
         target = choose_target(state, statuses)
         if target is None:
             return
-        round_number = self._take_round(group, after_round, target)
+        round_number = self._claim_round(group, after_round, target)
         if round_number is None:
-            round_number = self._go_on_alone(
-                group, after_round, target, lost, reports
+            round_number = self._claim_without_service(
+                group, after_round, target, lost_primary, reports
             )
         if round_number is not None and group.synchronous_replicas:
-            target = self._choose_held(group, lost, statuses)
+            target = self._choose_complete_replica(
+                group, lost_primary, statuses
+            )
         if round_number is None or target is None:
-            self._pause(group)
+            self._back_off(group)
         else:
-            self._change(group, target, round_number, None)
+            self._promote(group, target, round_number, None)
 
     def hand_over(self, group: Group, leaving: str) -> None:
-        """Move the lead away from a primary that is about to stop."""
+        """Promote another member before the present primary stops."""
         state = group.state
         if self._clock.now() < state.failover_due_at:
             return
@@ -183,83 +203,88 @@
         if state.primary != leaving:
             return
         statuses = self._prober.read_statuses(group, tuple(state.members))
-        old = statuses.pop(leaving, None)
+        old_status = statuses.pop(leaving, None)
         staying = {
             m: s
             for m, s in statuses.items()
             if m in state.members and not state.members[m].record.is_leaving
         }
         target = choose_target(state, staying)
-        if target is None or old is None:
+        if target is None or old_status is None:
             return
-        round_number = self._take_round(group, after_round, target)
+        round_number = self._claim_round(group, after_round, target)
         if round_number is None:
             return
         if not group.synchronous_replicas:
-            self._change(group, target, round_number, (leaving, old))
-        elif self._catch_up(group, leaving, old, target):
-            self._change(group, target, round_number, None)
+            self._promote(group, target, round_number, (leaving, old_status))
+        elif self._demote_and_catch_up(group, leaving, old_status, target):
+            self._promote(group, target, round_number, None)
 
     def on_leader_notice(self, notice: LeaderNotice) -> LeaderNotice:
-        """Ask a member that another host says leads; return the notice."""
-        self._claims.raise_round(notice.group, notice.round)
+        """Check whether the announced member leads; return the notice."""
+        self._claims.advance_round(notice.group, notice.round)
         group = self._groups.get(notice.group)
         if group is not None and group.state.primary != notice.member:
-            self._prober.prove_lead(group, notice.member)
+            self._prober.verify_leader(group, notice.member)
         return notice
 
-    def _pause(self, group: Group) -> None:
-        """Leave a group alone for a while; nobody need wait for it."""
-        until = self._clock.now() + KEPT_PAUSE_S
-        self._kept_until[group.state.group] = until
-        group.state.no_failover_until = until
+    def _back_off(self, group: Group) -> None:
+        """Suspend failovers of a group, and let no request wait for one."""
+        deadline = self._clock.now() + FAILOVER_BACKOFF_S
+        self._backoff_until[group.state.group] = deadline
+        group.state.no_failover_until = deadline
 
-    def _choose_held(
+    def _choose_complete_replica(
         self,
         group: Group,
-        lost: str | None,
+        lost_primary: str | None,
         statuses: dict[str, LogStatus],
     ) -> str | None:
         """Return the member to promote where replicas confirm commits.
 
-        Only the host with the claim holds replicas and lets them go: a
-        hold that another host ended would let a commit slip by.
+        Replication to the replicas is paused first. Only the host that holds
+        the claim pauses and resumes replication: if another host resumed it, a
+        replica that is not promoted could confirm a commit, and the new
+        primary would lack the commit.
         """
         synchronous = group.synchronous_replicas
-        held = self._prober.hold(group, statuses)
+        paused_statuses = self._prober.pause_replication(group, statuses)
         replicas = len(group.state.members) - 1
-        if has_every_commit(replicas, len(held), synchronous):
-            return choose_target(group.state, held)
-        self._prober.resume(group, statuses)
+        if has_every_commit(replicas, len(paused_statuses), synchronous):
+            return choose_target(group.state, paused_statuses)
+        self._prober.resume_replication(group, statuses)
         events.PRIMARY_KEPT.log(
             group=group.state.group,
-            member=lost,
+            member=lost_primary,
             replicas=replicas,
-            answering=len(held),
+            answering=len(paused_statuses),
             synchronous=synchronous,
         )
         return None
 
-    def _catch_up(
-        self, group: Group, leaving: str, old: LogStatus, target: str
+    def _demote_and_catch_up(
+        self, group: Group, leaving: str, old_status: LogStatus, target: str
     ) -> bool:
-        """Demote a leaving primary and wait until the next has its log."""
-        demoted = self._demote_now(group, leaving, old)
-        until = self._clock.now() + CATCH_UP_S
-        while demoted is not None and self._clock.now() < until:
+        """Demote a leaving primary; return whether the target has its log."""
+        demoted = self._demote_member(group, leaving, old_status)
+        deadline = self._clock.now() + CATCH_UP_TIMEOUT_S
+        while demoted is not None and self._clock.now() < deadline:
             status = self._prober.read_status(group, target)
             if status is not None and status.received >= demoted.received:
                 return True
-            gevent.sleep(LEAD_POLL_S)
+            gevent.sleep(LEAD_POLL_INTERVAL_S)
         return False
 
     def _wait_turn(
         self, group: Group, after_round: int, is_service_out: bool
     ) -> bool:
-        """Give the hosts before this one their head start."""
+        """Wait for this host's turn; return whether a change is still due.
+
+        The hosts that precede this host in rank act first.
+        """
         state = group.state
         delay_s = failover_delay_s(
-            state.group, self._host, self._registered(), is_service_out
+            state.group, self._host, self._registered_hosts(), is_service_out
         )
         gevent.sleep(delay_s)
         if self._claims.last_round(state.group) != after_round:
@@ -267,78 +292,91 @@
         return self._clock.now() >= state.failover_due_at
 
     def _has_leader(
-        self, group: Group, lost: str | None, statuses: dict[str, LogStatus]
+        self,
+        group: Group,
+        lost_primary: str | None,
+        statuses: dict[str, LogStatus],
     ) -> bool:
-        """Return whether a member leads after all."""
-        health = group.state.members.get(lost or '')
+        """Return whether a member leads, so that no failover is needed."""
+        health = group.state.members.get(lost_primary or '')
         if health is not None and health.failing_since is None:
             return True
         return any(
-            s.is_primary and self._prober.prove_lead(group, m)
+            s.is_primary and self._prober.verify_leader(group, m)
             for m, s in statuses.items()
         )
 
-    def _keep(
-        self, group: Group, lost: str, reports: Sequence[ReachReport]
+    def _keep_primary(
+        self, group: Group, lost_primary: str, reports: Sequence[ReachReport]
     ) -> None:
-        self._pause(group)
+        self._back_off(group)
         events.PRIMARY_KEPT.log(
             group=group.state.group,
-            member=lost,
+            member=lost_primary,
             missed_by=1 + sum(1 for r in reports if not r.is_reached),
             reached_by=sum(1 for r in reports if r.is_reached),
-            hosts=len(self._vote.jury(group)),
+            hosts=len(self._vote.voters(group)),
         )
 
-    def _change(
+    def _promote(
         self,
         group: Group,
         target: str,
         round_number: int,
-        old: tuple[str, LogStatus] | None,
+        old_status: tuple[str, LogStatus] | None,
     ) -> None:
-        """Order one promotion and see it through.
+        """Order a promotion and wait until it takes effect.
 
-        Where it shows no effect, the next look at the group decides anew
-        from what it then sees, never from what was seen before.
+        A promotion without effect is not repeated here. The next check of the
+        group decides again from the state of the members at that time.
         """
         state = group.state
         began_at = self._clock.now()
-        if not self._order(group, target, round_number):
+        if not self._order_promotion(group, target, round_number):
             return
-        state.failover_due_at = self._clock.now() + PROMOTION_S
-        if old is not None:
-            self._demote(group, *old)
-        is_over = self._await_lead(group, target)
-        cause = 'lost' if old is None else 'leaving'
-        outcome = 'over' if is_over else 'no-effect'
+        state.failover_due_at = self._clock.now() + EXPECTED_PROMOTION_S
+        if old_status is not None:
+            self._demote_after_delay(group, *old_status)
+        has_taken_effect = self._wait_for_lead(group, target)
+        cause = 'lost' if old_status is None else 'leaving'
+        outcome = 'over' if has_taken_effect else 'no-effect'
         self._metrics.count('primary_changes', cause, outcome)
-        if is_over:
-            took_s = self._clock.now() - began_at
+        if has_taken_effect:
+            duration_s = self._clock.now() - began_at
             events.CHANGE_OVER.log(
-                group=state.group, member=target, took_ms=round(1000 * took_s)
+                group=state.group,
+                member=target,
+                took_ms=round(1000 * duration_s),
             )
-            self._tell_hosts(group, target, round_number)
+            self._announce_leader(group, target, round_number)
         state.failover_due_at = float('-inf')
 
-    def _tell_hosts(
+    def _announce_leader(
         self, group: Group, member: str, round_number: int
     ) -> None:
-        """Let the hosts that can't see the service know the leader."""
+        """Notify all hosts of the leader.
+
+        A host that can't reach the platform's service learns of the leader by
+        this notice only.
+        """
         notice = LeaderNotice(group.state.group, member, round_number)
-        for host in self._registered():
+        for host in self._registered_hosts():
             if host != self._host:
                 gevent.spawn(
                     self._peers.call_host, host, notice, NOTICE_TIMEOUT_S
                 )
 
-    def _take_round(
+    def _claim_round(
         self, group: Group, after_round: int, target: str
     ) -> int | None:
-        """Claim the change; ``None`` where another acts or none can say."""
+        """Claim the change; return its round, or ``None`` where that failed.
+
+        The claim fails where another host holds it or the platform's service
+        can't confirm it.
+        """
         name = group.state.group
-        taken = self._claims.take(name, after_round, target)
-        failure = None if isinstance(taken, Success) else taken.failure()
+        claimed = self._claims.try_claim(name, after_round, target)
+        failure = None if isinstance(claimed, Success) else claimed.failure()
         events.CHANGE_CLAIMED.log(
             group=name,
             target=target,
@@ -346,58 +384,71 @@
             failure=failure.code if failure else None,
         )
         if failure is None:
-            return taken.unwrap()
+            return claimed.unwrap()
         if isinstance(failure, RevisionConflict):
-            # Another host acts; give it the time to finish.
-            group.state.failover_due_at = self._clock.now() + RESPITE_S
+            # Another host holds the claim and needs time to finish the change.
+            group.state.failover_due_at = (
+                self._clock.now() + CLAIM_HOLDER_TIMEOUT_S
+            )
         return None
 
-    def _go_on_alone(
+    def _claim_without_service(
         self,
         group: Group,
         after_round: int,
         target: str,
-        lost: str | None,
+        lost_primary: str | None,
         reports: Sequence[ReachReport],
     ) -> int | None:
-        """Return a round of this side's own while the service is out.
+        """Return a round that is used while the platform's service is out.
 
-        Only the side with most of all hosts may, one host after the
-        other, and only while no member has come to lead meanwhile.
+        Only a host on the side of a network partition that has a majority of
+        all hosts may continue without a claim. The hosts take turns, and none
+        continues once a member leads.
         """
-        if self._clock.now() < group.state.failover_due_at or lost is None:
+        if (
+            self._clock.now() < group.state.failover_due_at
+            or lost_primary is None
+        ):
             return None
-        if not self._vote.is_lost(group, lost, reports, is_claimed=False):
+        if not self._vote.is_lost(
+            group, lost_primary, reports, is_claimed=False
+        ):
             return None
         if not self._wait_turn(group, after_round, is_service_out=True):
             return None
-        if self._prober.reach(group, lost) or self._leads_now(group):
+        if self._prober.can_connect(
+            group, lost_primary
+        ) or self._has_leading_member(group):
             return None
         name = group.state.group
-        self._claims.raise_round(name, after_round + 1)
+        self._claims.advance_round(name, after_round + 1)
         events.CHANGE_CLAIMED.log(
             group=name, target=target, round=after_round + 1, failure='alone'
         )
         return after_round + 1
 
-    def _leads_now(self, group: Group) -> bool:
+    def _has_leading_member(self, group: Group) -> bool:
         return any(
-            self._prober.prove_lead(group, m)
+            self._prober.verify_leader(group, m)
             for m in tuple(group.state.members)
         )
 
-    def _order(self, group: Group, target: str, round_number: int) -> bool:
-        """Order a promotion; return whether it may have been taken."""
+    def _order_promotion(
+        self, group: Group, target: str, round_number: int
+    ) -> bool:
+        """Order a promotion; return whether it may have been accepted."""
         holder_id = self._holder_id()
         if holder_id is None:
             return False
         name = group.state.group
         token = fencing_token(round_number, holder_id)
-        for _ in range(ORDER_TRIES):
-            # The same order again is harmless: once it is carried out, a
-            # late repeat finds the member leading, or a higher token.
-            done = self._promotions.promote(name, target, self._host, token)
-            failure = None if isinstance(done, Success) else done.failure()
+        for _ in range(MAX_ORDER_ATTEMPTS):
+            # Repeating the order is safe: once the promotion is carried out, a
+            # late repetition is rejected, since the member leads already or
+            # the platform has seen a higher token.
+            result = self._promotions.promote(name, target, self._host, token)
+            failure = None if isinstance(result, Success) else result.failure()
             if not isinstance(failure, PlatformAnswerLost):
                 break
         events.PROMOTION_ORDERED.log(
@@ -408,31 +459,33 @@
             detail=failure.detail if failure else None,
         )
         if isinstance(failure, PromotionRefused):
-            self._claims.raise_round(name, round_number)
+            self._claims.advance_round(name, round_number)
         return failure is None or isinstance(failure, PlatformAnswerLost)
 
-    def _demote(self, group: Group, leaving: str, old: LogStatus) -> None:
-        gevent.sleep(DEMOTE_AFTER_S)
+    def _demote_after_delay(
+        self, group: Group, leaving: str, old_status: LogStatus
+    ) -> None:
+        gevent.sleep(DEMOTION_DELAY_S)
         if group.state.primary == leaving:
-            self._demote_now(group, leaving, old)
+            self._demote_member(group, leaving, old_status)
 
-    def _demote_now(
-        self, group: Group, leaving: str, old: LogStatus
+    def _demote_member(
+        self, group: Group, leaving: str, old_status: LogStatus
     ) -> LogStatus | None:
-        demoted = self._prober.demote(group, leaving, old.term + 1)
+        demoted = self._prober.demote(group, leaving, old_status.term + 1)
         events.HANDOVER_STEP.log(
             group=group.state.group,
             step='demote',
             member=leaving,
-            term=old.term + 1,
+            term=old_status.term + 1,
             received=str(demoted.received) if demoted else None,
         )
         return demoted
 
-    def _await_lead(self, group: Group, target: str) -> bool:
-        until = self._clock.now() + LEAD_TIMEOUT_S
-        while self._clock.now() < until:
-            if self._prober.prove_lead(group, target):
+    def _wait_for_lead(self, group: Group, target: str) -> bool:
+        deadline = self._clock.now() + LEAD_TIMEOUT_S
+        while self._clock.now() < deadline:
+            if self._prober.verify_leader(group, target):
                 return True
-            gevent.sleep(LEAD_POLL_S)
+            gevent.sleep(LEAD_POLL_INTERVAL_S)
         return False
--- a/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
@@ -1,9 +1,9 @@
-"""Waits for a change of primary, as long as that serves the caller.
+"""Lets requests wait for a new primary while waiting can help the caller.
 
-Load pattern: while a primary is gone, work for it arrives at the full
-rate. Work whose time ends before the change should be over is turned away
-at once, so that its caller loses no time; the rest waits in line and runs
-as soon as the new primary has proved itself.
+Load pattern: while a primary is lost, its requests arrive at the full rate. A
+request whose deadline comes before the expected end of the change is refused
+at once, so that its caller loses no time. Other requests wait and run as soon
+as the new primary has proved its leadership.
 """
 
 from __future__ import annotations
@@ -13,32 +13,36 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.work import Work
+    from trefoilpulley_node.proxy.work import StatementRequest
 
-FAILOVER_S = 1.3
-"""Time from the loss of a primary to the lead of the next, in seconds.
+EXPECTED_FAILOVER_S = 1.3
+"""Expected time from the loss of a primary to the next, in seconds.
 
-Detection, agreement and the platform's promotion together.
+Covers detection, the vote and the platform's promotion.
 """
 
-SEARCH_S = 0.15
-"""Time to find a primary that moved, in seconds."""
+EXPECTED_SEARCH_S = 0.15
+"""Expected time to find a primary that has changed, in seconds."""
 
-LOST_AFTER_S = 0.1
-"""Time without an answer after a failure that makes a primary lost."""
+LOST_TIMEOUT_S = 0.1
+"""Time after which a failing primary counts as lost, in seconds.
 
-LEAVING_WORK_S = 5.0
-"""Time for which a leaving primary takes new work, in seconds.
+Counted from its first failure since its last answer.
+"""
+
+MAX_LEAVING_S = 5.0
+"""Time for which a leaving primary gets new requests, in seconds.
 
-A handover takes less than a second; two may fail before.
+A handover takes less than a second; the time leaves room for two failed
+attempts.
 """
 
-RUN_SHARE = 0.15
-"""Part of a statement's time that is kept for running it."""
+RUN_TIME_FACTOR = 0.15
+"""Fraction of a statement's time limit that is reserved to run it."""
 
 
 class PrimaryWait:
-    """Decides whether to wait for a primary, and waits.
+    """Decides whether a request waits for a primary, and waits.
 
     Parameters
     ----------
@@ -57,35 +61,38 @@
             return True
         now = self._clock.now()
         leaving = health.leaving_since
-        if leaving is not None and now - leaving > LEAVING_WORK_S:
+        if leaving is not None and now - leaving > MAX_LEAVING_S:
             return True
         failing = health.failing_since
-        return failing is not None and now - failing > LOST_AFTER_S
+        return failing is not None and now - failing > LOST_TIMEOUT_S
 
     def is_serving(self, group: Group) -> bool:
-        """Return whether the primary answers, so that no other comes."""
+        """Return whether the primary answers and no change is expected."""
         state = group.state
         health = state.members.get(state.primary or '')
         if health is None or health.failing_since is not None:
             return False
         return not self.is_lost(group)
 
-    def wait(self, work: Work) -> bool:
-        """Wait for a primary; false where it would come too late."""
+    def wait(self, request: StatementRequest) -> bool:
+        """Wait for a primary; return whether one was found in time."""
         now = self._clock.now()
-        if now < work.group.state.no_failover_until:
+        if now < request.group.state.no_failover_until:
             return False
-        spare_s = RUN_SHARE * (work.deadline - work.arrived_at)
-        latest = work.deadline - spare_s
-        if self._due_at(work.group, now) > latest:
+        spare_s = RUN_TIME_FACTOR * (request.deadline - request.arrived_at)
+        wait_until = request.deadline - spare_s
+        if self._expected_at(request.group, now) > wait_until:
             return False
-        return work.group.changed.wait(max(0.0, latest - now))
+        return request.group.primary_changed.wait(max(0.0, wait_until - now))
 
-    def _due_at(self, group: Group, now: float) -> float:
+    def _expected_at(self, group: Group, now: float) -> float:
         state = group.state
         if state.failover_due_at > now:
             return state.failover_due_at
         health = state.members.get(state.primary or '')
         if health is not None and health.failing_since is not None:
-            return max(now + SEARCH_S, health.failing_since + FAILOVER_S)
-        return now + SEARCH_S
+            return max(
+                now + EXPECTED_SEARCH_S,
+                health.failing_since + EXPECTED_FAILOVER_S,
+            )
+        return now + EXPECTED_SEARCH_S
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -1,4 +1,4 @@
-"""Composition root of a host whose callers' sessions are connections."""
+"""Composition root of a proxy host."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from trefoilpulley_node.peer_server import PeerServer
 from trefoilpulley_node.peers import Peers
 from trefoilpulley_node.proxy.caller_session import SessionFactory
-from trefoilpulley_node.proxy.claims import ClaimBook
-from trefoilpulley_node.proxy.connection_lender import ConnectionLender
+from trefoilpulley_node.proxy.claims import ClaimStore
+from trefoilpulley_node.proxy.connection_lender import RelayServer
 from trefoilpulley_node.proxy.directory import ProxyDirectory
 from trefoilpulley_node.proxy.evidence_exchange import EvidenceExchange
 from trefoilpulley_node.proxy.exchange import Exchanger
@@ -33,13 +33,13 @@
 from trefoilpulley_node.proxy.host_vote import HostVote
 from trefoilpulley_node.proxy.member_prober import MemberProber
 from trefoilpulley_node.proxy.platform_follower import PlatformFollower
+from trefoilpulley_node.proxy.primary_changer import CLAIM_HOLDER_TIMEOUT_S
 from trefoilpulley_node.proxy.primary_changer import PrimaryChanger
-from trefoilpulley_node.proxy.primary_changer import RESPITE_S
 from trefoilpulley_node.proxy.primary_wait import PrimaryWait
 from trefoilpulley_node.proxy.primary_watch import PrimaryWatch
 from trefoilpulley_node.proxy.proxy_state import make_state
 from trefoilpulley_node.proxy.proxy_state import ProxyState
-from trefoilpulley_node.proxy.session_registry import NOTICE_S
+from trefoilpulley_node.proxy.session_registry import BALANCER_NOTICE_S
 from trefoilpulley_node.proxy.session_registry import SessionRegistry
 from trefoilpulley_node.proxy.statement_runner import StatementRunner
 from trefoilpulley_wire.listener import Listener
@@ -58,12 +58,12 @@
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
     from trefoilpulley_node.proxy.proxy_settings import ProxySettings
 
-UPKEEP_S = 0.25
-"""Time between two rounds of upkeep, in seconds."""
+MAINTENANCE_INTERVAL_S = 0.25
+"""Time between two maintenance runs, in seconds."""
 
 
 class ProxyComposition:
-    """Builds each part once, on first use.
+    """Creates each component of a host once, at its first use.
 
     Parameters
     ----------
@@ -72,15 +72,15 @@
     platform : Platform
         The platform's service.
     documents : PlatformDocuments
-        How the platform writes routes and members.
+        Format of the platform's routes and member entries.
     dialer : UpstreamDialer
         Opens connections to members.
     promotions : PromotionService
-        Orders promotions.
+        Orders promotions from the platform.
     clock : Clock
-        Monotonic time that goes on while the machine is suspended.
+        Monotonic time that continues while the machine is suspended.
     metrics : ProxyMetrics
-        Counts what the host does.
+        Counters, histograms and gauges of the host.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         metrics: ProxyMetrics,
     ) -> None:
         self.metrics = metrics
-        """Counters and histograms of the host."""
+        """Counters, histograms and gauges of the host."""
 
         self._cfg = cfg
         self._platform = platform
@@ -102,18 +102,19 @@
         self._dialer = dialer
         self._promotions = promotions
         self._clock = clock
-        # Only tells the starts of one host apart; never a decision's time.
+        # The incarnation only distinguishes the starts of one host; no
+        # decision uses it as a time.
         self._incarnation = time.time_ns()
         self._rng = random.Random(self._incarnation)
         self._watches: list[PrimaryWatch] = []
         self._isolation = IsolationDetector()
         self._is_cut_off = False
-        self._upkeep: gevent.Greenlet | None = None
+        self._maintenance: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Start the parts that work in the background."""
+        """Start the components that run in the background."""
         self.directory.subscribe_groups(self._watch_group)
-        self._membership.serve_on(self._peer_server, self._peers)
+        self._membership.register_handlers(self._peer_server, self._peers)
         self._membership.subscribe_live(self._on_live_hosts)
         self._peer_server.register(
             ReachQuestion,
@@ -127,53 +128,55 @@
             EvidenceQuestion,
             lambda question, _: self._evidence.on_question(question),
         )
-        self._peer_server.register(RelayedCalls, self.lender.on_calls)
-        self._peer_server.register(EndLease, self.lender.on_end)
-        self._peer_server.register_close(self.lender.on_peer_closed)
+        self._peer_server.register(RelayedCalls, self.relay_server.on_calls)
+        self._peer_server.register(EndLease, self.relay_server.on_end)
+        self._peer_server.register_close(self.relay_server.on_peer_closed)
         self._register_gauges()
         self._peer_listener.start()
         self._membership.start()
         self._follower.start()
         self._registration.start()
-        self._upkeep = gevent.spawn(self._run_upkeep)
+        self._maintenance = gevent.spawn(self._run_maintenance)
         events.HOST_STARTED.log(host=self._cfg.host, zone=self._cfg.zone)
 
     def on_settings_changed(self) -> None:
-        """Note a change of the settings, which hold for a whole run."""
+        """Log that changed settings take effect at the next start only."""
         events.SETTINGS_KEPT.log(host=self._cfg.host)
 
     def drain(self) -> None:
-        """End the sessions, then stop."""
+        """Drain the sessions, then stop."""
         events.HOST_DRAINING.log(
             host=self._cfg.host, sessions=len(self.sessions)
         )
         leave = gevent.spawn(self._membership.leave)
-        self.sessions.drain(self._cfg.grace_s, lambda: self.lender.leases)
+        self.sessions.drain(
+            self._cfg.grace_s, lambda: self.relay_server.leases
+        )
         leave.join(timeout=0)
         self.stop()
 
     def stop(self) -> None:
-        """Stop every part."""
+        """Stop every component."""
         self._registration.stop()
         for watch in self._watches:
             watch.stop()
         self._follower.stop()
-        if self._upkeep is not None:
-            self._upkeep.kill(block=False)
+        if self._maintenance is not None:
+            self._maintenance.kill(block=False)
         self._membership.stop()
         self._peers.close()
         events.HOST_STOPPED.log(host=self._cfg.host)
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent to this host."""
+        """Whether the balancer should send callers to this host."""
         if self.sessions.is_draining or not self.directory.is_loaded:
             return False
         return self._isolation.duration_s(self._clock.now()) == 0
 
     @cached_property
     def directory(self) -> ProxyDirectory:
-        """Routes, groups and pools."""
+        """Routes, groups and member accesses."""
         return ProxyDirectory(
             self._cfg.host,
             self._cfg.zone,
@@ -189,7 +192,7 @@
 
     @cached_property
     def factory(self) -> SessionFactory:
-        """Makes sessions."""
+        """Creates the callers' sessions."""
         runner = StatementRunner(
             self._cfg.zone,
             self._exchanger,
@@ -216,7 +219,7 @@
         return PrimaryWait(self._clock)
 
     @cached_property
-    def _me(self) -> HostEntry:
+    def _host_entry(self) -> HostEntry:
         cfg = self._cfg
         return HostEntry(
             cfg.host, cfg.region, cfg.zone, cfg.listen, cfg.peer_listen
@@ -225,7 +228,7 @@
     @cached_property
     def _membership(self) -> MembershipRunner:
         membership = Membership(
-            self._me,
+            self._host_entry,
             self._incarnation,
             [s.name for s in self._cfg.seeds],
             self._rng,
@@ -253,11 +256,11 @@
 
     @cached_property
     def _registration(self) -> HostRegistration:
-        return HostRegistration(self._me, self._platform, self._clock)
+        return HostRegistration(self._host_entry, self._platform, self._clock)
 
     @cached_property
-    def _claims(self) -> ClaimBook:
-        return ClaimBook(self._cfg.host, self._platform)
+    def _claims(self) -> ClaimStore:
+        return ClaimStore(self._cfg.host, self._platform)
 
     @cached_property
     def _prober(self) -> MemberProber:
@@ -275,11 +278,9 @@
         )
 
     @cached_property
-    def lender(self) -> ConnectionLender:
-        """Lends connections to other hosts."""
-        return ConnectionLender(
-            self.directory.groups, self._exchanger, self._clock
-        )
+    def relay_server(self) -> RelayServer:
+        """Relays requests of other hosts to members."""
+        return RelayServer(self.directory.groups, self._exchanger, self._clock)
 
     @cached_property
     def _vote(self) -> HostVote:
@@ -320,13 +321,16 @@
             self._clock,
         )
 
-    def _hosts_reached(self, now: float) -> int:
-        """Return how many hosts answer; a vote tells it first."""
+    def _reachable_hosts(self, now: float) -> int:
+        """Return how many hosts answer.
+
+        A recent vote shows lost hosts earlier than the membership does.
+        """
         live = len(self._live_hosts())
-        answering = self._vote.recent_answers(now)
-        if answering is None:
+        answer_rate = self._vote.recent_answer_rate(now)
+        if answer_rate is None:
             return live
-        return min(live, round(answering * len(self._registered_hosts())))
+        return min(live, round(answer_rate * len(self._registered_hosts())))
 
     def _registered_hosts(self) -> dict[str, str]:
         hosts = {h.name: h.zone for h in self._follower.hosts}
@@ -337,28 +341,32 @@
         return tuple(sorted(hosts))
 
     def _live_zones(self) -> dict[str, tuple[str, ...]]:
-        """Return the live hosts by zone, this one included."""
+        """Return the live hosts by availability zone, this host included."""
         zones = {z.zone: z.hosts for z in self._membership.live_hosts.zones}
-        mine = {*zones.get(self._cfg.zone, ()), self._cfg.host}
+        local_hosts = {*zones.get(self._cfg.zone, ()), self._cfg.host}
         if self.sessions.is_draining:
-            # What is sent here now could be cut by the end.
-            mine.discard(self._cfg.host)
-        return {**zones, self._cfg.zone: tuple(sorted(mine))}
+            # This host is about to stop and could not finish new relayed
+            # requests.
+            local_hosts.discard(self._cfg.host)
+        return {**zones, self._cfg.zone: tuple(sorted(local_hosts))}
 
     def _on_live_hosts(self, live: LiveHosts) -> None:
         self.directory.set_hosts(self._live_zones())
 
     def _on_claim(self, name: str, claim: Claim, revision: int) -> None:
-        if not self._claims.learn(name, claim, revision):
+        if not self._claims.record_claim(name, claim, revision):
             return
         group = self.directory.groups.get(name)
         if group is None or claim.holder == self._cfg.host:
             return
-        # A claim that was there before this host started is over.
+        # A claim from before the start of this host belongs to a change that
+        # is over.
         if self._follower.is_synchronized:
-            group.state.failover_due_at = self._clock.now() + RESPITE_S
+            group.state.failover_due_at = (
+                self._clock.now() + CLAIM_HOLDER_TIMEOUT_S
+            )
             group.state.no_failover_until = float('-inf')
-            group.attention.set()
+            group.check_requested.set()
 
     def _register_gauges(self) -> None:
         register = self.metrics.register_gauge
@@ -366,12 +374,18 @@
         register('sessions', lambda: len(self.sessions))
         register(
             'connections',
-            lambda: sum(p.own.open_connections for p in self._pools()),
+            lambda: sum(
+                p.local_pool.open_connections for p in self._accesses()
+            ),
+        )
+        register('leases', lambda: self.relay_server.leases)
+        register(
+            'waiting',
+            lambda: sum(p.local_pool.waiting for p in self._accesses()),
         )
-        register('leases', lambda: self.lender.leases)
-        register('waiting', lambda: sum(p.own.waiting for p in self._pools()))
         register(
-            'in_flight', lambda: sum(p.health.in_flight for p in self._pools())
+            'in_flight',
+            lambda: sum(p.health.in_flight for p in self._accesses()),
         )
         register(
             'groups_lost',
@@ -384,9 +398,9 @@
         register('lease_age_seconds', lambda: self._registration.lease_age_s)
         register('live_hosts', lambda: len(self._live_hosts()))
 
-    def _pools(self) -> list[MemberAccess]:
+    def _accesses(self) -> list[MemberAccess]:
         groups = self.directory.groups.values()
-        return [p for g in groups for p in g.pools.values()]
+        return [p for g in groups for p in g.accesses.values()]
 
     def dump(self) -> ProxyState:
         """Return the state of the host."""
@@ -413,19 +427,19 @@
         self._watches.append(watch)
         watch.start()
 
-    def _run_upkeep(self) -> None:
+    def _run_maintenance(self) -> None:
         while True:
-            gevent.sleep(UPKEEP_S)
-            self._follower.tick()
+            gevent.sleep(MAINTENANCE_INTERVAL_S)
+            self._follower.remove_expired()
             self.directory.trim()
-            self.lender.end_idle(
+            self.relay_server.end_idle(
                 self.directory.table.transaction_idle_timeout_s
             )
-            self._look_around()
+            self._update_isolation()
             if self._follower.is_following:
                 self._claims.publish()
 
-    def _look_around(self) -> None:
+    def _update_isolation(self) -> None:
         now = self._clock.now()
         groups = self.directory.groups.values()
         self._isolation.update(
@@ -433,7 +447,7 @@
                 len(groups),
                 sum(1 for g in groups if self._primary_wait.is_lost(g)),
                 len(self._registered_hosts()),
-                self._hosts_reached(now),
+                self._reachable_hosts(now),
             ),
             now,
         )
@@ -441,5 +455,5 @@
         if self._is_cut_off != (cut_off_s > 0):
             self._is_cut_off = cut_off_s > 0
             events.ISOLATION_CHANGED.log(is_cut_off=cut_off_s > 0)
-        if cut_off_s > NOTICE_S:
+        if cut_off_s > BALANCER_NOTICE_S:
             self.sessions.close_idle()
