--- a/packages/node/src/trefoilpulley_node/coordination/__init__.py
+++ b/packages/node/src/trefoilpulley_node/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordinator role: runs the decisions on promotions and handovers."""
+"""Coordinator role: carries out promotions and handovers."""
--- a/packages/node/src/trefoilpulley_node/coordination/driver.py
+++ b/packages/node/src/trefoilpulley_node/coordination/driver.py
@@ -1,4 +1,4 @@
-"""Runs the coordination of the shards that fall to this host."""
+"""Runs the coordinators of the shards assigned to this host."""
 
 from __future__ import annotations
 
@@ -42,24 +42,27 @@
 
 
 class CoordinationDriver(Service):
-    """Greenlets around the decisions of the coordinator role.
+    """Performs the I/O that the shard coordinators request.
+
+    A loop calls each `ShardCoordinator`. Greenlets send the calls that a
+    coordinator returns, and pass the results back to the coordinator.
 
     Parameters
     ----------
     host : str
         Name of this host.
     incarnation : int
-        Number of this process's start.
+        Identifier of this run of the process; a later run has a higher one.
     platform : Platform
-        The platform's service.
+        Client of the platform's key-value service.
     poolers : PoolerCaller
-        Way to the members.
+        Sends control messages to the poolers of members.
     observe : Callable[[], Situation]
-        Returns the deployment as this host sees it now.
+        Returns the current catalogue, declarations and live hosts.
     clock : Clock
         Monotonic time.
     listener : NoticeListener
-        Takes what operators want to see.
+        Receives the notices for operators.
     """
 
     def __init__(
@@ -86,11 +89,15 @@
         self._loop: Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to coordinate."""
+        """Start the coordination loop."""
         self._loop = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End every duty, so that a successor takes over at once."""
+        """Stop the loop and revoke the lease.
+
+        Other hosts can then take over the shards without waiting for the
+        lease to expire.
+        """
         if self._loop is None:
             return
         self._loop.kill()
@@ -98,7 +105,7 @@
         self._duty_runner.end_lease()
 
     def dump(self) -> CoordinationState:
-        """Return the state for the state dump."""
+        """Return the coordinator's section of the state dump."""
         now = self._clock.now()
         return CoordinationState(
             self._holder,
@@ -118,49 +125,53 @@
 
     def _tick(self) -> None:
         now = self._clock.now()
-        seen = self._observe()
-        self._duty_runner.tick(seen.live_hosts, seen.catalog.databases, now)
-        self._take_shards()
+        situation = self._observe()
+        self._duty_runner.tick(
+            situation.live_hosts, situation.catalog.databases, now
+        )
+        self._update_shards()
         interval_s = self._poll_interval_s(now)
         for number, shard in list(self._shards.items()):
             entries = self._duty.succession.members.get(number, ())
-            around = [
-                self._surroundings(entry, seen, interval_s)
+            surroundings = [
+                self._surroundings(entry, situation, interval_s)
                 for entry in entries
             ]
             is_acting = self._duty.may_act(number, now)
-            self._carry_out(number, shard.on_tick(around, is_acting, now))
+            self._execute_commands(
+                number, shard.on_tick(surroundings, is_acting, now)
+            )
 
-    def _take_shards(self) -> None:
+    def _update_shards(self) -> None:
         for number in self._duty.views.keys() - self._shards.keys():
             self._shards[number] = ShardCoordinator(number, self._holder)
         for number in self._shards.keys() - self._duty.views.keys():
             del self._shards[number]
 
     def _poll_interval_s(self, now: float) -> float:
-        watched = sum(
+        member_count = sum(
             len(entry.members)
             for number in self._shards
             if self._duty.may_act(number, now)
             for entry in self._duty.succession.members.get(number, ())
         )
-        return poll_interval_s(watched)
+        return poll_interval_s(member_count)
 
     def _surroundings(
-        self, entry: DatabaseEntry, seen: Situation, interval_s: float
+        self, entry: DatabaseEntry, situation: Situation, interval_s: float
     ) -> Surroundings:
         return Surroundings(
             entry,
-            stopped_zones(seen.declarations, entry),
+            stopped_zones(situation.declarations, entry),
             interval_s,
             self._duty.is_service_up,
         )
 
-    def _carry_out(self, number: int, out: Commands) -> None:
-        for command in out:
-            self._carry_out_one(number, command)
+    def _execute_commands(self, number: int, commands: Commands) -> None:
+        for command in commands:
+            self._execute_command(number, command)
 
-    def _carry_out_one(self, number: int, command: Command) -> None:
+    def _execute_command(self, number: int, command: Command) -> None:
         match command:
             case CallMember():
                 gevent.spawn(self._call_member, number, command)
@@ -185,7 +196,9 @@
         done = CallDone(call, sent_at, result, is_from_pooler)
         now = self._clock.now()
         is_acting = self._duty.may_act(number, now)
-        self._carry_out(number, shard.on_call_done(done, is_acting, now))
+        self._execute_commands(
+            number, shard.on_call_done(done, is_acting, now)
+        )
 
     def _call_service(
         self, number: int, command: LoadShard | StoreShard
@@ -193,7 +206,9 @@
         sent_at = self._clock.now()
         outcome = self._store.run(command)
         now = self._clock.now()
-        self._duty_runner.note(outcome.is_answered, sent_at, now)
+        self._duty_runner.record_service_call(
+            outcome.is_answered, sent_at, now
+        )
         shard = self._shards.get(number)
         if shard is not None:
-            self._carry_out(number, outcome.tell(shard, now))
+            self._execute_commands(number, outcome.report_to(shard, now))
--- a/packages/node/src/trefoilpulley_node/coordination/dump.py
+++ b/packages/node/src/trefoilpulley_node/coordination/dump.py
@@ -1,4 +1,4 @@
-"""State of the coordinator role for the state dump."""
+"""Coordinator's section of the state dump."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
 
 @dataclass(frozen=True, slots=True)
 class DatabaseState:
-    """State of one database's coordination."""
+    """Coordination state of one database."""
 
     database: str
     """Name of the database."""
 
     verdict: str
-    """What the evidence says of its primary."""
+    """Verdict on the primary from the collected evidence."""
 
     term: int
-    """Recorded term."""
+    """Term in the database's record."""
 
     primary: str
-    """Recorded primary."""
+    """Primary in the database's record."""
 
     granted_terms: tuple[int, ...]
-    """Terms that this process may use."""
+    """Terms that the record grants to this process."""
 
     promotion: str
-    """Stage of the promotion in progress; empty for none."""
+    """Stage of the running promotion, or an empty string."""
 
     handover: str
-    """Stage of the handover in progress; empty for none."""
+    """Stage of the running handover, or an empty string."""
 
     relapses: int
-    """Handovers that failed or were undone of late."""
+    """Number of recent handovers that failed or were reversed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShardState:
-    """State of one shard at this host."""
+    """State of one shard on this host."""
 
     shard: int
-    """Number of the shard."""
+    """Shard number."""
 
     is_acting: bool
-    """Whether this host has the duty now."""
+    """Whether this host currently holds the shard's duty."""
 
     pending_edits: int
-    """Changes that the platform's service does not hold yet."""
+    """Number of changes not yet stored in the platform's service."""
 
     databases: tuple[DatabaseState, ...]
     """Databases of the shard."""
@@ -62,16 +62,16 @@
     """State of the coordinator role."""
 
     holder: str
-    """Name under which this process holds terms and duties."""
+    """Name under which this process holds terms, duties and its lease."""
 
     is_service_up: bool
-    """Whether the platform's service answered the last call."""
+    """Whether the platform's service answered the most recent call."""
 
     lease_left_s: float
-    """Time for which this host's lease holds; 0 without one."""
+    """Remaining time of this host's lease in seconds; 0 without a lease."""
 
     shards: tuple[ShardState, ...]
-    """Shards for which this host acts or keeps ready."""
+    """Shards that this host coordinates or is a standby for."""
 
 
 def describe_shard(
--- a/packages/node/src/trefoilpulley_node/coordination/duty_runner.py
+++ b/packages/node/src/trefoilpulley_node/coordination/duty_runner.py
@@ -1,4 +1,4 @@
-"""Carries out the calls for duties and leases."""
+"""Calls the platform's service for duties and leases."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 
 
 class DutyRunner:
-    """Runs the calls that `Duty` asks for.
+    """Executes the commands that `Duty` returns.
 
     Parameters
     ----------
     duty : Duty
-        Decisions on duties.
+        Decides which duties this host claims and releases.
     holder : str
-        Name of this process.
+        Name under which this process holds duties.
     platform : Platform
-        The platform's service.
+        Client of the platform's key-value service.
     clock : Clock
         Monotonic time.
     """
@@ -57,19 +57,21 @@
         databases: Sequence[DatabaseEntry],
         now: float,
     ) -> None:
-        """Begin the calls that are due."""
+        """Start the calls that are due, each in a greenlet."""
         for command in self._duty.on_tick(hosts, databases, now):
             gevent.spawn(self._run, command)
 
-    def note(self, is_answered: bool, sent_at: float, now: float) -> None:
-        """Take another call's evidence on the service."""
+    def record_service_call(
+        self, is_answered: bool, sent_at: float, now: float
+    ) -> None:
+        """Record whether the service answered a call made elsewhere."""
         if is_answered:
             self._duty.on_answer(sent_at)
         else:
             self._duty.on_failure(sent_at, now)
 
     def end_lease(self) -> None:
-        """Revoke the lease, which frees every duty."""
+        """Revoke the lease, which releases every duty."""
         if self._duty.lease_id:
             self._platform.revoke_lease(self._duty.lease_id)
             self._duty.on_lease_lost(self._clock.now())
@@ -78,15 +80,17 @@
         sent_at = self._clock.now()
         match command:
             case GrantLease() | KeepAlive():
-                self._lease(command, sent_at)
+                self._renew_lease(command, sent_at)
             case ReadDuty(shard):
-                self._read(shard, sent_at)
+                self._read_duty(shard, sent_at)
             case TakeDuty(shard, lease_id):
-                self._take(shard, lease_id, sent_at)
+                self._claim_duty(shard, lease_id, sent_at)
             case ReleaseDuty(shard, revision):
-                self._release(shard, revision, sent_at)
+                self._release_duty(shard, revision, sent_at)
 
-    def _lease(self, command: GrantLease | KeepAlive, sent_at: float) -> None:
+    def _renew_lease(
+        self, command: GrantLease | KeepAlive, sent_at: float
+    ) -> None:
         if isinstance(command, GrantLease):
             leased = self._platform.grant_lease(command.ttl_s)
         else:
@@ -99,7 +103,7 @@
         else:
             self._duty.on_lease_failed(sent_at, self._clock.now())
 
-    def _read(self, shard: int, sent_at: float) -> None:
+    def _read_duty(self, shard: int, sent_at: float) -> None:
         found = self._platform.get(duty_key(shard))
         if not isinstance(found, Success):
             self._on_failed(shard, found.failure(), sent_at)
@@ -116,7 +120,7 @@
             sent_at,
         )
 
-    def _take(self, shard: int, lease_id: int, sent_at: float) -> None:
+    def _claim_duty(self, shard: int, lease_id: int, sent_at: float) -> None:
         value = self._holder.encode()
         taken = self._platform.compare_and_swap(
             duty_key(shard), 0, value, lease_id
@@ -126,7 +130,7 @@
         else:
             self._on_failed(shard, taken.failure(), sent_at)
 
-    def _release(self, shard: int, revision: int, sent_at: float) -> None:
+    def _release_duty(self, shard: int, revision: int, sent_at: float) -> None:
         released = self._platform.delete(duty_key(shard), revision)
         if isinstance(released, Success):
             self._duty.on_read(shard, '', 0, 0, sent_at)
--- a/packages/node/src/trefoilpulley_node/coordination/observer.py
+++ b/packages/node/src/trefoilpulley_node/coordination/observer.py
@@ -1,4 +1,4 @@
-"""Keeps the newest view of the deployment for the coordinator role."""
+"""Caches the coordinator's view of the deployment."""
 
 from __future__ import annotations
 
@@ -15,55 +15,56 @@
 
 
 class SituationObserver:
-    """Joins the documents with the live hosts, anew at each change.
+    """Combines the catalogue, the declarations and the live hosts.
 
-    The coordinator looks many times a second; a deployment of many
-    hosts changes far less often.
+    The combined view is cached until one of the three changes, because
+    the coordinator reads the view many times a second, and a deployment
+    of many hosts changes far less often.
 
-    Parameters
-    ----------
-    get_catalog : Callable[[], Catalog]
-        Newest catalogue.
-    get_declarations : Callable[[], Declarations]
-        Declarations in force.
-    get_live : Callable[[], LiveHosts]
-        Newest view of the live hosts.
+        Parameters
+        ----------
+        get_catalog : Callable[[], Catalog]
+            Returns the newest catalogue.
+        get_declarations : Callable[[], Declarations]
+            Returns the declarations in force.
+        get_live_hosts : Callable[[], LiveHosts]
+            Returns the newest set of live hosts.
     """
 
     def __init__(
         self,
         get_catalog: Callable[[], Catalog],
         get_declarations: Callable[[], Declarations],
-        get_live: Callable[[], LiveHosts],
+        get_live_hosts: Callable[[], LiveHosts],
     ) -> None:
         self._get_catalog = get_catalog
         self._get_declarations = get_declarations
-        self._get_live = get_live
-        self._live: LiveHosts | None = None
-        self._seen: Situation | None = None
+        self._get_live_hosts = get_live_hosts
+        self._live_hosts: LiveHosts | None = None
+        self._situation: Situation | None = None
 
     def observe(self) -> Situation:
-        """Return the deployment; the same object until it changes."""
+        """Return the view; the same object until the deployment changes."""
         catalog = self._get_catalog()
         declarations = self._get_declarations()
-        live = self._get_live()
+        live = self._get_live_hosts()
         if not self._is_current(catalog, declarations, live):
-            self._live = live
-            self._seen = _join(catalog, declarations, live)
-        return self._seen
+            self._live_hosts = live
+            self._situation = _make_situation(catalog, declarations, live)
+        return self._situation
 
     def _is_current(
         self, catalog: Catalog, declarations: Declarations, live: LiveHosts
     ) -> bool:
         return (
-            self._seen is not None
-            and self._seen.catalog is catalog
-            and self._seen.declarations is declarations
-            and self._live is live
+            self._situation is not None
+            and self._situation.catalog is catalog
+            and self._situation.declarations is declarations
+            and self._live_hosts is live
         )
 
 
-def _join(
+def _make_situation(
     catalog: Catalog, declarations: Declarations, live: LiveHosts
 ) -> Situation:
     names = {host for zone in live.zones for host in zone.hosts}
--- a/packages/node/src/trefoilpulley_node/coordination/shard_store.py
+++ b/packages/node/src/trefoilpulley_node/coordination/shard_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's service for the records of a shard."""
+"""Loads and stores shard records in the platform's service."""
 
 from __future__ import annotations
 
@@ -22,85 +22,85 @@
 
 
 class StoreOutcome(abc.ABC):
-    """Outcome of a call for the records of a shard."""
+    """Outcome of a load or store of a shard's records."""
 
     is_answered = True
-    """Whether the service has answered."""
+    """Whether the service answered the call."""
 
     @abc.abstractmethod
-    def tell(self, shard: ShardCoordinator, now: float) -> Commands:
-        """Pass the outcome on."""
+    def report_to(self, shard: ShardCoordinator, now: float) -> Commands:
+        """Report the outcome to the shard's coordinator."""
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded(StoreOutcome):
-    """The records were read."""
+class RecordsLoaded(StoreOutcome):
+    """The records were loaded."""
 
     value: bytes
-    """JSON form, empty where there is none."""
+    """Records as JSON; empty if the key does not exist."""
 
     revision: int
-    """Revision of the key."""
+    """Revision of the key; 0 if the key does not exist."""
 
-    def tell(self, shard: ShardCoordinator, now: float) -> Commands:
-        """Pass the records on."""
+    def report_to(self, shard: ShardCoordinator, now: float) -> Commands:
+        """Report the loaded records."""
         return shard.on_loaded(self.value, self.revision, now)
 
 
 @dataclass(frozen=True, slots=True)
-class Stored(StoreOutcome):
-    """The records were written."""
+class RecordsStored(StoreOutcome):
+    """The records were stored."""
 
     revision: int
     """New revision of the key."""
 
-    def tell(self, shard: ShardCoordinator, now: float) -> Commands:
-        """Pass the success on."""
+    def report_to(self, shard: ShardCoordinator, now: float) -> Commands:
+        """Report the new revision."""
         return shard.on_stored(self.revision, now)
 
 
 @dataclass(frozen=True, slots=True)
-class Unsure(StoreOutcome):
-    """Another writer came first, or the answer was lost."""
+class StoreUncertain(StoreOutcome):
+    """The store conflicted with another writer, or its answer was lost."""
 
     is_conflict: bool
-    """Whether the service has answered with a conflict."""
+    """Whether the service reported a revision conflict."""
 
     @property
     def is_answered(self) -> bool:
-        """Whether the service has answered."""
+        """Whether the service answered the call."""
         return self.is_conflict
 
-    def tell(self, shard: ShardCoordinator, now: float) -> Commands:
-        """Have the records read again."""
+    def report_to(self, shard: ShardCoordinator, now: float) -> Commands:
+        """Make the coordinator load the records again."""
         return shard.on_store_unsure(now)
 
 
 @dataclass(frozen=True, slots=True)
-class Down(StoreOutcome):
+class ServiceDown(StoreOutcome):
     """The service could not be reached."""
 
     is_answered = False
 
-    def tell(self, shard: ShardCoordinator, now: float) -> Commands:
-        """Have the call repeated later."""
+    def report_to(self, shard: ShardCoordinator, now: float) -> Commands:
+        """Make the coordinator repeat the call later."""
         return shard.on_service_down(now)
 
 
 class ShardStore:
-    """Reads and writes the records of shards.
+    """Loads and stores the records of shards.
 
     Parameters
     ----------
     platform : Platform
-        The platform's service.
+        Client of the platform's key-value service.
     """
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
 
     def run(self, command: LoadShard | StoreShard) -> StoreOutcome:
-        """Carry out a call and return its outcome."""
+        """Execute a command and return its outcome."""
         if isinstance(command, LoadShard):
             return self._load(command)
         return self._save(command)
@@ -108,22 +108,22 @@
     def _load(self, command: LoadShard) -> StoreOutcome:
         found = self._platform.get(shard_key(command.shard))
         if not isinstance(found, Success):
-            return Down()
+            return ServiceDown()
         pair = found.unwrap()
         if pair is None:
-            return Loaded(b'', 0)
-        return Loaded(pair.value, pair.mod_revision)
+            return RecordsLoaded(b'', 0)
+        return RecordsLoaded(pair.value, pair.mod_revision)
 
     def _save(self, command: StoreShard) -> StoreOutcome:
         stored = self._platform.compare_and_swap(
             shard_key(command.shard), command.expected_revision, command.value
         )
         if isinstance(stored, Success):
-            return Stored(stored.unwrap())
-        return _explain(stored.failure())
+            return RecordsStored(stored.unwrap())
+        return _outcome_of_failure(stored.failure())
 
 
-def _explain(failure: Failure) -> StoreOutcome:
+def _outcome_of_failure(failure: Failure) -> StoreOutcome:
     if isinstance(failure, PlatformDown):
-        return Down()
-    return Unsure(isinstance(failure, RevisionConflict))
+        return ServiceDown()
+    return StoreUncertain(isinstance(failure, RevisionConflict))
--- a/packages/node/src/trefoilpulley_node/coordination/situation.py
+++ b/packages/node/src/trefoilpulley_node/coordination/situation.py
@@ -1,4 +1,4 @@
-"""What the coordinator role learns from the rest of the process."""
+"""Interfaces between the coordinator role and the rest of the process."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """Deployment as this host sees it now."""
+    """Current view of the deployment from this host."""
 
     catalog: Catalog
-    """Database groups."""
+    """Databases, their members and the hosts."""
 
     declarations: Declarations
     """Declarations in force."""
 
     live_hosts: tuple[HostEntry, ...]
-    """Hosts that are alive and not leaving, this one among them."""
+    """Hosts that are alive and not leaving, including this host."""
 
 
 class PoolerCaller(abc.ABC):
-    """Sends control messages to the host that pools a member."""
+    """Sends control messages to the poolers of members."""
 
     @abc.abstractmethod
     def call_pooler(
         self, member: str, message: Any, timeout_s: float
     ) -> Result[Any, Failure]:
-        """Send a message and wait for its reply."""
+        """Send a message to a member's pooler and wait for the reply."""
 
 
 class NoticeListener(abc.ABC):
-    """Takes what operators want to see in the log."""
+    """Receives the coordinator's notices for operators."""
 
     @abc.abstractmethod
     def on_notice(self, notice: Notice) -> None:
-        """Take one notice."""
+        """Handle one notice."""
--- a/packages/node/src/trefoilpulley_node/directory.py
+++ b/packages/node/src/trefoilpulley_node/directory.py
@@ -20,7 +20,7 @@
     ----------
     get_catalog : Callable[[], Catalog]
         Newest catalogue.
-    get_live : Callable[[], LiveHosts]
+    get_live_hosts : Callable[[], LiveHosts]
         Newest view of the live hosts.
     zone : str
         Availability zone of this host.
@@ -29,12 +29,12 @@
     def __init__(
         self,
         get_catalog: Callable[[], Catalog],
-        get_live: Callable[[], LiveHosts],
+        get_live_hosts: Callable[[], LiveHosts],
         zone: str,
     ) -> None:
         self._zone = zone
         self._get_catalog = get_catalog
-        self._get_live = get_live
+        self._get_live_hosts = get_live_hosts
         self._indexed: Catalog | None = None
         self._databases: dict[str, DatabaseEntry] = {}
         self._members: dict[str, tuple[DatabaseEntry, MemberEntry]] = {}
@@ -53,7 +53,7 @@
 
     def is_cut_off(self) -> bool:
         """Return whether no host of another zone of the region answers."""
-        live = self._get_live()
+        live = self._get_live_hosts()
         others = [
             z
             for z in live.zones
@@ -66,7 +66,7 @@
         found = self.find_member(member)
         if found is None:
             return None
-        return self._get_live().pooler_of(found[1])
+        return self._get_live_hosts().pooler_of(found[1])
 
     def _index(self) -> None:
         catalog = self._get_catalog()
