--- a/packages/node/src/trefoilpulley_node/pool_owner.py
+++ b/packages/node/src/trefoilpulley_node/pool_owner.py
@@ -51,4 +51,4 @@
             gevent.sleep(CHECK_S)
             for name in list(self._pooler.members):
                 if self._directory.find_pooler(name) != self._host:
-                    self._pooler.release(name)
+                    self._pooler.release_member(name)
--- a/packages/node/src/trefoilpulley_node/pooler/age_prober.py
+++ b/packages/node/src/trefoilpulley_node/pooler/age_prober.py
@@ -1,4 +1,4 @@
-"""Keeps the age of pooled replicas known."""
+"""Measures the age of the data of pooled replicas."""
 
 from __future__ import annotations
 
@@ -19,33 +19,39 @@
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_node.pooler.pooled_member import PooledMember
 
-AGE_SHARE = 0.25
-"""Time between probes as a share of the smallest age that reads state."""
+PROBE_INTERVAL_FACTOR = 0.25
+"""Probe interval as a fraction of the lowest age that reads requested."""
 
-LEAST_INTERVAL_S = 0.05
-"""Shortest time between probes."""
+MIN_PROBE_INTERVAL_S = 0.05
+"""Shortest interval between probes, in seconds."""
 
 IDLE_INTERVAL_S = 1.0
-"""Time between probes while no read states an age; the longest."""
+"""Longest interval between probes, in seconds.
 
-USE_MEMORY_S = 10.0
-"""Time for which a stated age sets the pace."""
+Also the interval while no read requests an age.
+"""
+
+PROBING_IDLE_TIMEOUT_S = 10.0
+"""Time for which a requested age determines the interval, in seconds."""
 
 PROBE_TIMEOUT_S = 0.5
-"""Longest wait for a probe."""
+"""Longest wait for the reply to a probe, in seconds."""
 
 
 class AgeProber:
-    """Asks the primary's pooler for its position, stamped before asking.
+    """Asks the primary's pooler for the primary's log position.
+
+    A position counts from the time at which the question was sent, so
+    that the age of the replica is never underestimated.
 
     Parameters
     ----------
     member : PooledMember
-        Replica whose age is kept.
+        Member whose age is measured while it is a replica.
     find_database : Callable[[str], DatabaseEntry | None]
-        Database by its name.
+        Returns a database by name.
     peers : Peers
-        Reaches the poolers.
+        Sends requests to poolers.
     clock : Clock
         Monotonic time.
     """
@@ -65,11 +71,11 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to probe."""
+        """Start probing in the background."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the probes."""
+        """Stop probing."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
 
@@ -78,14 +84,14 @@
             gevent.sleep(self._interval_s())
             if not self._member.is_primary:
                 self._probe()
-                self._ask_replica()
+                self._query_replica()
 
     def _interval_s(self) -> float:
-        wanted = self._member.wanted_age
-        if self._clock.now() - wanted.stated_at > USE_MEMORY_S:
+        requested = self._member.wanted_age
+        if self._clock.now() - requested.requested_at > PROBING_IDLE_TIMEOUT_S:
             return IDLE_INTERVAL_S
-        interval_s = AGE_SHARE * wanted.max_age_ms / 1000
-        return min(IDLE_INTERVAL_S, max(LEAST_INTERVAL_S, interval_s))
+        interval_s = PROBE_INTERVAL_FACTOR * requested.max_age_ms / 1000
+        return min(IDLE_INTERVAL_S, max(MIN_PROBE_INTERVAL_S, interval_s))
 
     def _probe(self) -> None:
         if self._primary and self._probe_member(self._primary):
@@ -101,9 +107,9 @@
                 return
         self._primary = ''
 
-    def _ask_replica(self) -> None:
+    def _query_replica(self) -> None:
         asked_at = self._clock.now()
-        status = self._member.monitor.control(lambda link: link.status())
+        status = self._member.monitor.send_control(lambda link: link.status())
         if isinstance(status, Success):
             found = status.unwrap()
             self._member.age.on_replica(
--- a/packages/node/src/trefoilpulley_node/pooler/copy_waiters.py
+++ b/packages/node/src/trefoilpulley_node/pooler/copy_waiters.py
@@ -1,4 +1,4 @@
-"""Writes that wait for their copies; they hold no slot."""
+"""Writes that wait for their copies without holding a slot."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class CopyWaiters:
-    """Writes of one primary that wait until members hold them."""
+    """Writes of one primary that wait until enough members hold them."""
 
     def __init__(self) -> None:
         self._waiters: set[_Waiter] = set()
@@ -45,52 +45,57 @@
         copies: int,
         timeout_s: float,
     ) -> Result[None, Failure]:
-        """Wait until members hold a record under a term.
+        """Wait until enough members hold a log record of a term.
 
         Parameters
         ----------
         status : MemberStatus or None
-            Newest status of the primary.
+            Newest status of the primary, or ``None`` if unknown.
         position : Position
-            Record to hold.
+            Position of the record.
         term : int
             Term under which the record was written.
         copies : int
-            Members that must hold it, the primary included.
+            Number of members that must hold the record, including the
+            primary.
         timeout_s : float
             Longest wait in seconds.
 
         Returns
         -------
         Result[None, Failure]
-            Success, or `OutcomeUnknown`.
+            Success, or `OutcomeUnknown` if the copies were not confirmed.
         """
         waiter = _Waiter(position, term, copies)
-        if status is not None and self._settle(waiter, status):
+        if status is not None and self._try_complete(waiter, status):
             return waiter.result.get()
         self._waiters.add(waiter)
         waiter.result.wait(timeout_s)
         self._waiters.discard(waiter)
         if not waiter.result.ready():
-            return Failed(OutcomeUnknown('copies are still missing'))
+            return Failed(
+                OutcomeUnknown('too few members confirmed the write in time')
+            )
         return waiter.result.get()
 
     def on_status(self, status: MemberStatus) -> None:
-        """Release the writes that a new status settles."""
+        """Wake the writes whose result a new status decides."""
         for waiter in list(self._waiters):
-            self._settle(waiter, status)
+            self._try_complete(waiter, status)
 
     def on_lost(self) -> None:
-        """Release every write: the primary can't be seen any more."""
-        failed = Failed(OutcomeUnknown('primary was lost'))
+        """Wake every write, because the connection to the primary is lost."""
+        failed = Failed(OutcomeUnknown('connection to the primary was lost'))
         for waiter in list(self._waiters):
             waiter.result.set(failed)
 
-    def _settle(self, waiter: _Waiter, status: MemberStatus) -> bool:
+    def _try_complete(self, waiter: _Waiter, status: MemberStatus) -> bool:
         if status.term > waiter.term or (
             status.term == waiter.term and not status.is_primary
         ):
-            waiter.result.set(Failed(OutcomeUnknown('primary has changed')))
+            waiter.result.set(
+                Failed(OutcomeUnknown('another member became primary'))
+            )
             return True
         if status.term < waiter.term:
             return False
--- a/packages/node/src/trefoilpulley_node/pooler/leadership_prover.py
+++ b/packages/node/src/trefoilpulley_node/pooler/leadership_prover.py
@@ -1,4 +1,7 @@
-"""Proves that a pooled primary still leads, for reads of the present."""
+"""Proves that a pooled primary still leads its group.
+
+Reads that must see the present state require such a proof.
+"""
 
 from __future__ import annotations
 
@@ -19,22 +22,24 @@
     from trefoilpulley_node.pooler.member_monitor import MemberMonitor
 
 ROUND_TIMEOUT_S = 0.3
-"""Longest wait for the members' answers in one round."""
+"""Longest wait for the members' answers in one round, in seconds."""
 
 
 class LeadershipProver:
-    """Asks the members of a group; rounds serve all reads that wait.
+    """Asks the members of a group for their fenced terms.
+
+    One round of questions serves all reads that wait for a proof.
 
     Parameters
     ----------
     entry : DatabaseEntry
         Database group.
     member : str
-        Name of the pooled member.
+        Name of the pooled member whose leadership is proven.
     monitor : MemberMonitor
-        Way to the pooled member.
+        Control connection to the pooled member.
     peers : Peers
-        Way to the other members.
+        Sends requests to the poolers of the other members.
     clock : Clock
         Monotonic time.
     """
@@ -56,14 +61,21 @@
         self._round: AsyncResult | None = None
 
     def age_ms(self) -> int | None:
-        """Return the time since the last proof, in milliseconds."""
+        """Return the milliseconds since the last proof, or ``None``."""
         proven_at = self._proof.proven_at()
         if proven_at is None:
             return None
         return max(0, round(1000 * (self._clock.now() - proven_at)))
 
     def prove(self, since: float) -> bool:
-        """Return whether the member surely led at a time or later."""
+        """Return whether the member is proven to have led.
+
+        Parameters
+        ----------
+        since : float
+            Monotonic time in seconds at which, or after which, the member
+            must have led.
+        """
         for _ in range(2):
             if self._proof.is_proven_since(since):
                 return True
@@ -71,8 +83,9 @@
         return self._proof.is_proven_since(since)
 
     def _run_round(self) -> None:
-        # A read that joins a running round may need one more: the
-        # round's questions left before the read arrived.
+        # A read that joins a running round may need a second round,
+        # because the questions of the first were sent before the read
+        # arrived.
         if self._round is not None:
             self._round.wait()
             return
@@ -85,20 +98,22 @@
 
     def _ask_all(self) -> None:
         asked_at = self._clock.now()
-        status = self._monitor.control(lambda link: link.status())
+        status = self._monitor.send_control(lambda link: link.status())
         if not isinstance(status, Success) or not status.unwrap().is_primary:
             self._proof.reset()
             return
         own = status.unwrap()
         self._proof.on_primary(own.term, own.fenced_term, asked_at)
-        asking = [gevent.spawn(self._ask, name) for name in self._others]
+        asking = [
+            gevent.spawn(self._ask_member, name) for name in self._others
+        ]
         needed = self._majority - 1
         for _ in gevent.iwait(asking, timeout=ROUND_TIMEOUT_S):
             needed -= 1
             if needed <= 0 and self._proof.is_proven_since(asked_at):
                 return
 
-    def _ask(self, name: str) -> None:
+    def _ask_member(self, name: str) -> None:
         asked_at = self._clock.now()
         reply = self._peers.call_pooler(
             name, GetStatus(name), ROUND_TIMEOUT_S
--- a/packages/node/src/trefoilpulley_node/pooler/member_connections.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_connections.py
@@ -1,4 +1,4 @@
-"""Connections for work at one member, within its limit and paced."""
+"""Connections for work at one member, limited in number and rate."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
     from trefoilpulley_core.upstream import MemberStatus
     from trefoilpulley_node.pooler.member_link import MemberLink
 
-LIMIT_RETRY_S = 0.05
-"""Pause before the connection limit is looked at again."""
+LIMIT_CHECK_INTERVAL_S = 0.05
+"""Interval between checks of the connection limit, in seconds."""
 
 
 class MemberConnections:
-    """Opens, keeps and closes the connections for work.
+    """Opens, reuses and closes the connections for work at a member.
 
     Parameters
     ----------
     member : MemberEntry
-        Member and its limits.
+        Catalogue entry of the member with its limits.
     budget : ConnectionBudget
-        Connections that this host may hold.
+        Limits the connections that this host may have open.
     pacer : ConnectionPacer
-        Pace of new connections.
+        Limits the rate of new connections.
     clock : Clock
         Monotonic time.
     """
@@ -53,49 +53,53 @@
         self._pacer = pacer
         self._clock = clock
         self._idle: list[MemberLink] = []
-        self._lent: set[MemberLink] = set()
+        self._in_use: set[MemberLink] = set()
 
     @property
     def open_for_work(self) -> int:
-        """Connections open or under way, without the control one."""
-        return len(self._idle) + len(self._lent) + self._pacer.opening
+        """Open or opening connections, without the control connection."""
+        return len(self._idle) + len(self._in_use) + self._pacer.opening
 
     @property
-    def _own_open(self) -> int:
+    def _open_connections(self) -> int:
         return self.open_for_work + CONTROL_CONNECTIONS
 
     def on_status(self, status: MemberStatus, now: float) -> None:
-        """Compare the member's count of connections with this host's."""
-        self._budget.on_status(status.connections_open, self._own_open, now)
-        plan = self._budget.plan(self._own_open, len(self._idle), now)
+        """Update the budget from a status and close surplus connections."""
+        self._budget.on_status(
+            status.connections_open, self._open_connections, now
+        )
+        plan = self._budget.plan(self._open_connections, len(self._idle), now)
         for _ in range(plan.surplus):
             self._idle.pop().close()
 
-    def lend(self, deadline: float) -> Result[MemberLink, Failure]:
-        """Return an idle connection or a new one.
+    def acquire(self, deadline: float) -> Result[MemberLink, Failure]:
+        """Return an idle connection, or open a new one.
 
         Parameters
         ----------
         deadline : float
-            Monotonic time until which to wait, in seconds.
+            Monotonic time at which the wait ends, in seconds.
         """
         while True:
             link = self._pop_idle()
             if link is not None:
-                self._lent.add(link)
+                self._in_use.add(link)
                 return Success(link)
             pause_s = self._try_open()
             if not pause_s:
                 return self._open()
             if self._clock.now() + pause_s >= deadline:
-                return Failed(NoUpstream('connection limit is reached'))
+                return Failed(
+                    NoUpstream('connection limit of the member is reached')
+                )
             gevent.sleep(pause_s)
 
-    def give_back(self, link: MemberLink) -> None:
-        """Keep a connection for later, or close it."""
-        self._lent.discard(link)
+    def release(self, link: MemberLink) -> None:
+        """Keep a returned connection idle, or close it."""
+        self._in_use.discard(link)
         plan = self._budget.plan(
-            self._own_open + 1, len(self._idle) + 1, self._clock.now()
+            self._open_connections + 1, len(self._idle) + 1, self._clock.now()
         )
         is_kept = len(self._idle) < plan.warm and not plan.surplus
         if link.is_open and is_kept:
@@ -104,9 +108,9 @@
             link.close()
 
     def warm(self, count: int) -> None:
-        """Open idle connections ahead of work."""
+        """Open idle connections up to a count, ahead of work."""
         now = self._clock.now()
-        plan = self._budget.plan(self._own_open, len(self._idle), now)
+        plan = self._budget.plan(self._open_connections, len(self._idle), now)
         while self.open_for_work < min(count, plan.warm):
             pause_s = self._try_open()
             if pause_s:
@@ -115,11 +119,11 @@
             opened = self._open()
             if not isinstance(opened, Success):
                 return
-            self.give_back(opened.unwrap())
+            self.release(opened.unwrap())
 
     def close_all(self) -> None:
-        """Close every connection, so that no work waits on them."""
-        for link in list(self._lent):
+        """Close all connections, so that work in progress fails at once."""
+        for link in list(self._in_use):
             link.close()
         self.close()
 
@@ -137,8 +141,8 @@
 
     def _try_open(self) -> float:
         now = self._clock.now()
-        if not self._budget.may_open(self._own_open, now):
-            return LIMIT_RETRY_S
+        if not self._budget.may_open(self._open_connections, now):
+            return LIMIT_CHECK_INTERVAL_S
         return self._pacer.try_open(now)
 
     def _open(self) -> Result[MemberLink, Failure]:
@@ -147,5 +151,5 @@
         finally:
             self._pacer.on_opened()
         if isinstance(opened, Success):
-            self._lent.add(opened.unwrap())
+            self._in_use.add(opened.unwrap())
         return opened
--- a/packages/node/src/trefoilpulley_node/pooler/member_link.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_link.py
@@ -1,4 +1,4 @@
-"""Connection to the stand-in member's protocol."""
+"""Client connection for the protocol of the stand-in member."""
 
 from __future__ import annotations
 
@@ -28,13 +28,16 @@
     from trefoilpulley_wire.channel import Channel
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest time to connect to a member."""
+"""Longest time to connect to a member, in seconds."""
 
 CONTROL_TIMEOUT_S = 0.5
-"""Longest wait for the answer to a control message."""
+"""Longest wait for the answer to a control message, in seconds."""
 
 STATEMENT_TIMEOUT_S = 30.0
-"""Longest wait for a statement before its connection is closed."""
+"""Longest wait for a statement, in seconds.
+
+The connection is closed when the wait ends without an answer.
+"""
 
 _FAILURES = catalogue()
 
@@ -53,7 +56,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the connection works."""
+        """Whether the connection is open."""
         return self._channel.is_open
 
     def status(self) -> Result[MemberStatus, Failure]:
@@ -63,13 +66,13 @@
     def read(
         self, statement: Statement, floor: Position
     ) -> Result[StatementResult, Failure]:
-        """Run a read in a snapshot that holds the floor."""
+        """Run a read in a snapshot that includes the floor."""
         return self._work(member_codec.Read(statement, floor))
 
     def write(
         self, statement: Statement, term: int, key: OutcomeKey | None
     ) -> Result[StatementResult, Failure]:
-        """Run a write and keep its outcome in one transaction."""
+        """Run a write and store its outcome in the same transaction."""
         return self._work(member_codec.Write(statement, term, key))
 
     def begin(self, term: int) -> Result[None, Failure]:
@@ -83,7 +86,7 @@
     def commit(
         self, key: OutcomeKey | None
     ) -> Result[StatementResult, Failure]:
-        """Commit the open transaction together with its outcome."""
+        """Commit the open transaction and store its outcome with it."""
         return self._work(member_codec.CommitTransaction(key))
 
     def rollback(self) -> Result[None, Failure]:
@@ -93,15 +96,15 @@
     def resolve(
         self, key: OutcomeKey, term: int
     ) -> Result[StatementResult, Failure]:
-        """Return the kept outcome of a key, or abandon the key."""
+        """Return the stored outcome of a key, or abandon the key."""
         return self._work(member_codec.Resolve(key, term))
 
     def fence(self, term: int) -> Result[MemberStatus, Failure]:
-        """Make the member refuse every lower term from now on."""
+        """Make the member refuse every lower term permanently."""
         return self._control(member_codec.Fence(term))
 
     def promote(self, term: int) -> Result[MemberStatus, Failure]:
-        """Make the member the primary of a term it is fenced at."""
+        """Make the member the primary of the term at which it is fenced."""
         return self._control(member_codec.Promote(term))
 
     def follow(self, term: int, primary: str) -> Result[MemberStatus, Failure]:
@@ -109,7 +112,7 @@
         return self._control(member_codec.Follow(term, primary))
 
     def watch_progress(self) -> Result[MemberStatus, Failure]:
-        """Ask for reports whenever the member's progress changes."""
+        """Ask the member to report every change of its progress."""
         watching = self._done(member_codec.WatchProgress())
         return watching.bind(lambda _: self.status())
 
@@ -134,7 +137,8 @@
         reply = self._channel.call(message, timeout_s)
         if not isinstance(reply, Success):
             if isinstance(reply.failure(), PeerUnreachable):
-                # A late answer must not meet the next request.
+                # A late answer must not be taken as the answer to the
+                # next request.
                 self._channel.close()
             return reply
         answer = reply.unwrap()
@@ -145,19 +149,19 @@
 
 
 class LinkListener(abc.ABC):
-    """Takes what a member sends unasked."""
+    """Receives the reports that a member sends on its own."""
 
     @abc.abstractmethod
     def on_status(self, status: MemberStatus) -> None:
-        """Take a report on progress."""
+        """Handle a report of a changed status."""
 
     @abc.abstractmethod
     def on_alive(self) -> None:
-        """Take note that the last report still holds."""
+        """Handle a message that the status has not changed."""
 
     @abc.abstractmethod
     def on_lost(self) -> None:
-        """Take note that the connection has ended."""
+        """Handle the end of the connection."""
 
 
 class _ReportHandler(Handler):
@@ -165,15 +169,15 @@
         self._listener = listener
 
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Refuse requests: a member has none to send."""
+        """Refuse a request, because members send none."""
         return member_codec.MemberFailure('malformed-message')
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
-        """Refuse what could not be decoded."""
+        """Refuse a message that could not be decoded."""
         return member_codec.MemberFailure(failure.code)
 
     def on_notice(self, channel: Channel, message: Any) -> None:
-        """Take a report on progress."""
+        """Pass a report of the member to the listener."""
         if self._listener is None:
             return
         if isinstance(message, member_codec.MemberReport):
@@ -182,7 +186,7 @@
             self._listener.on_alive()
 
     def on_close(self, channel: Channel) -> None:
-        """Tell the owner that the connection has ended."""
+        """Report the end of the connection to the listener."""
         if self._listener is not None:
             self._listener.on_lost()
 
@@ -198,12 +202,12 @@
     endpoint : Endpoint
         Address of the member.
     listener : LinkListener, optional
-        Takes what the member sends unasked.
+        Receives the reports that the member sends on its own.
 
     Returns
     -------
     Result[MemberLink, Failure]
-        The connection, or `PeerUnreachable`.
+        The connection, or `PeerUnreachable` if it could not be opened.
     """
     return dial(
         endpoint,
--- a/packages/node/src/trefoilpulley_node/pooler/member_monitor.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_monitor.py
@@ -1,4 +1,4 @@
-"""Watches one member over a control connection of its own."""
+"""Watches one member over a separate control connection."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
     from trefoilpulley_core.upstream import MemberStatus
     from trefoilpulley_node.pooler.member_link import MemberLink
 
-RECONNECT_S = 0.1
-"""Pause between attempts to connect."""
+RECONNECT_INTERVAL_S = 0.1
+"""Interval between attempts to connect, in seconds."""
 
-SILENCE_S = 0.6
-"""Time without a report after which a member counts as unreachable."""
+REPORT_TIMEOUT_S = 0.6
+"""Time without a report after which a member is unreachable, in seconds."""
 
-_MARGIN_S = 0.01
+_TIMEOUT_MARGIN_S = 0.01
 
 
 class MemberMonitor(LinkListener):
-    """Newest status of a member, and the work that waits for it.
+    """Keeps the newest status of a member and wakes work that waits for it.
 
     Parameters
     ----------
@@ -51,74 +51,87 @@
         self._clock = clock
         self._link: MemberLink | None = None
         self._lost = Event()
-        self._heard_at = float('-inf')
+        self._last_heard_at = float('-inf')
         self._changed = Event()
         self._greenlet: gevent.Greenlet | None = None
         self._listeners: list[Callable[[MemberStatus, float], None]] = []
-        self._on_lost: list[Callable[[], None]] = []
+        self._lost_listeners: list[Callable[[], None]] = []
         self.copy_waiters = CopyWaiters()
-        """Writes that wait for their copies."""
+        """Writes that wait until enough members hold them."""
 
         self.status: MemberStatus | None = None
-        """Newest status, or ``None`` before the first."""
+        """Newest status, or ``None`` before the first report."""
 
     @property
     def is_reachable(self) -> bool:
-        """Whether the member has reported of late."""
-        return self._clock.now() - self._heard_at <= SILENCE_S
+        """Whether the member has reported within the timeout."""
+        return self._clock.now() - self._last_heard_at <= REPORT_TIMEOUT_S
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start watching the member."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the watch and its connection."""
+        """Stop watching and close the control connection."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         if self._link is not None:
             self._link.close()
 
-    def listen(self, listener: Callable[[MemberStatus, float], None]) -> None:
-        """Call back with each status and the time of its arrival."""
+    def subscribe(
+        self, listener: Callable[[MemberStatus, float], None]
+    ) -> None:
+        """Register a callback for each status and its time of arrival.
+
+        Parameters
+        ----------
+        listener : Callable[[MemberStatus, float], None]
+            Receives the status and its monotonic time of arrival in
+            seconds.
+        """
         self._listeners.append(listener)
 
-    def listen_lost(self, listener: Callable[[], None]) -> None:
-        """Call back when the member stops to report."""
-        self._on_lost.append(listener)
+    def subscribe_lost(self, listener: Callable[[], None]) -> None:
+        """Register a callback for the loss of the control connection."""
+        self._lost_listeners.append(listener)
 
     def on_status(self, status: MemberStatus) -> None:
-        """Take a report on progress."""
+        """Store a new status and wake the work that waits for it."""
         self.status = status
         self.copy_waiters.on_status(status)
         self._changed.set()
         self.on_alive()
 
     def on_alive(self) -> None:
-        """Take note that the newest status still holds."""
-        self._heard_at = now = self._clock.now()
+        """Record that the newest status is still valid."""
+        self._last_heard_at = now = self._clock.now()
         if self.status is None:
             return
         for listener in self._listeners:
             listener(self.status, now)
 
     def on_lost(self) -> None:
-        """Take note that the control connection has ended."""
+        """Record that the control connection has ended."""
         self._lost.set()
 
-    def control(
+    def send_control(
         self,
         ask: Callable[[MemberLink], Result[MemberStatus, Failure]],
     ) -> Result[MemberStatus, Failure]:
-        """Run a control message and keep the status it returns."""
+        """Send a control message and store the returned status."""
         if self._link is None:
-            return Failed(PeerUnreachable('member is not connected'))
+            return Failed(
+                PeerUnreachable(
+                    'pooler has no control connection to the member'
+                )
+            )
         reply = ask(self._link)
         if isinstance(reply, Success):
             self.on_status(reply.unwrap())
         return reply
 
     def wait_for_position(self, floor: Position, timeout_s: float) -> bool:
-        """Wait until the member's log holds a position."""
+        """Return whether the member's log holds a position in time."""
         until = self._clock.now() + timeout_s
         while not self._holds(floor):
             left = until - self._clock.now()
@@ -134,7 +147,7 @@
     def _run(self) -> None:
         while True:
             self._watch_once()
-            gevent.sleep(RECONNECT_S)
+            gevent.sleep(RECONNECT_INTERVAL_S)
 
     def _watch_once(self) -> None:
         self._lost.clear()
@@ -153,12 +166,14 @@
             self._link = None
             link.close()
             self.copy_waiters.on_lost()
-            for listener in self._on_lost:
+            for listener in self._lost_listeners:
                 listener()
             events.MEMBER_LOST.log(member=self._member.name)
 
     def _wait_until_lost(self) -> None:
         while self.is_reachable:
-            silent_s = self._clock.now() - self._heard_at
-            if self._lost.wait(SILENCE_S - silent_s + _MARGIN_S):
+            silent_s = self._clock.now() - self._last_heard_at
+            if self._lost.wait(
+                REPORT_TIMEOUT_S - silent_s + _TIMEOUT_MARGIN_S
+            ):
                 return
--- a/packages/node/src/trefoilpulley_node/pooler/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_pool.py
@@ -1,4 +1,4 @@
-"""Connections and slots of one member."""
+"""Slots and connections of one member."""
 
 from __future__ import annotations
 
@@ -29,29 +29,29 @@
 
 @dataclass(eq=False, slots=True)
 class SlotLease:
-    """A slot and a connection, held by one piece of work."""
+    """Slot and connection held by one request or transaction."""
 
     link: MemberLink
-    """Connection to use."""
+    """Connection to the member."""
 
     ticket: Ticket
-    """Work that holds the slot."""
+    """Queue ticket of the work that holds the slot."""
 
     taken_at: float
     """Monotonic time at which the slot was taken, in seconds."""
 
 
 class MemberPool:
-    """Gives the slots of a member to the work that waits.
+    """Assigns the slots of a member to waiting work.
 
     Parameters
     ----------
     member : MemberEntry
-        Member and its limits.
+        Catalogue entry of the member with its limits.
     queue : SlotQueue
-        Order of the waiting work.
+        Queue that decides the order of the waiting work.
     connections : MemberConnections
-        Connections for work.
+        Connections to the member for work.
     clock : Clock
         Monotonic time.
     """
@@ -67,14 +67,14 @@
         self._queue = queue
         self._clock = clock
         self._connections = connections
-        self._granted: dict[int, AsyncResult] = {}
+        self._pending_grants: dict[int, AsyncResult] = {}
         self._ids = itertools.count(1)
         self._slots_in_use = 0
         self.hold = WriteHold(clock)
-        """Hold of writes during a handover."""
+        """Holds back writes during a handover."""
 
         self.writes_running = 0
-        """Writes and transactions that hold a slot."""
+        """Number of writes and transactions that hold a slot."""
 
     @property
     def slots_in_use(self) -> int:
@@ -83,8 +83,8 @@
 
     @property
     def waiting(self) -> int:
-        """Number of pieces of work that wait for a slot."""
-        return len(self._granted)
+        """Number of requests that wait for a slot."""
+        return len(self._pending_grants)
 
     @property
     def connections(self) -> int:
@@ -104,8 +104,8 @@
         Returns
         -------
         Result[SlotLease, Failure]
-            The lease, `Overloaded` where the work can't be in time, or
-            `NoUpstream` where no connection could be opened.
+            The lease, `Overloaded` if the work can't finish in time, or
+            `NoUpstream` if no connection could be opened.
         """
         now = self._clock.now()
         deadline = now + scope.remaining_ms / 1000
@@ -119,25 +119,25 @@
         offered = self._queue.offer(ticket, now)
         if not isinstance(offered, Success):
             return offered
-        granted = self._granted[ticket.ticket_id] = AsyncResult()
+        grant = self._pending_grants[ticket.ticket_id] = AsyncResult()
         self._dispatch()
-        granted.wait(max(0.0, deadline - now))
-        if not granted.ready():
+        grant.wait(max(0.0, deadline - now))
+        if not grant.ready():
             self._withdraw(ticket)
             return Failed(Overloaded('no slot became free in time'))
-        if not granted.get():
-            return Failed(Overloaded('work could not be in time'))
+        if not grant.get():
+            return Failed(Overloaded('work could not finish in time'))
         return self._connect(ticket)
 
     def release(self, lease: SlotLease, is_in_time: bool = True) -> None:
-        """Return a slot, and its connection where it still works."""
+        """Free a slot and give back its connection."""
         held_s = self._clock.now() - lease.taken_at
         work_class = lease.ticket.work_class
         if lease.link.is_open:
             self._queue.record_service(work_class, held_s, is_in_time)
         else:
             self._queue.record_broken()
-        self._connections.give_back(lease.link)
+        self._connections.release(lease.link)
         self._free_slot(lease.ticket)
 
     def warm(self, count: int) -> int:
@@ -146,20 +146,26 @@
         Returns
         -------
         int
-            Connections that are open for work.
+            Number of connections that are open for work.
         """
         self._connections.warm(count)
         return self.connections
 
-    def begin_hold(self, handover_id: str, hold_s: float) -> bool:
-        """Hold new writes; those running go on."""
-        if not self.hold.begin(handover_id, hold_s):
+    def try_begin_hold(self, handover_id: str, hold_s: float) -> bool:
+        """Hold back new writes; running writes continue.
+
+        Returns
+        -------
+        bool
+            False if another handover holds the writes.
+        """
+        if not self.hold.try_begin(handover_id, hold_s):
             return False
         gevent.spawn_later(hold_s, self._dispatch)
         return True
 
     def end_hold(self, handover_id: str) -> None:
-        """End a hold and let the queued writes run."""
+        """End a hold and run the queued writes."""
         self.hold.end(handover_id)
         self._dispatch()
 
@@ -181,14 +187,14 @@
                 self._free_slot(ticket)
 
     def _grant(self, ticket: Ticket, is_granted: bool) -> bool:
-        granted = self._granted.pop(ticket.ticket_id, None)
-        if granted is None:
+        grant = self._pending_grants.pop(ticket.ticket_id, None)
+        if grant is None:
             return False
-        granted.set(is_granted)
+        grant.set(is_granted)
         return True
 
     def _withdraw(self, ticket: Ticket) -> None:
-        self._granted.pop(ticket.ticket_id, None)
+        self._pending_grants.pop(ticket.ticket_id, None)
         self._queue.cancel(ticket.ticket_id)
 
     def _free_slot(self, ticket: Ticket) -> None:
@@ -197,9 +203,9 @@
         self._dispatch()
 
     def _connect(self, ticket: Ticket) -> Result[SlotLease, Failure]:
-        lent = self._connections.lend(ticket.deadline)
-        if not isinstance(lent, Success):
+        acquired = self._connections.acquire(ticket.deadline)
+        if not isinstance(acquired, Success):
             self._queue.record_broken()
             self._free_slot(ticket)
-            return Failed(NoUpstream('member can not be connected'))
-        return Success(SlotLease(lent.unwrap(), ticket, self._clock.now()))
+            return Failed(NoUpstream('member could not be connected'))
+        return Success(SlotLease(acquired.unwrap(), ticket, self._clock.now()))
--- a/packages/node/src/trefoilpulley_node/pooler/pooled_member.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooled_member.py
@@ -1,4 +1,4 @@
-"""All that a pooler keeps of one member."""
+"""State that a pooler keeps for one member."""
 
 from __future__ import annotations
 
@@ -24,41 +24,41 @@
     from trefoilpulley_core.slots import SlotQueue
     from trefoilpulley_node.peers import Peers
 
-WANTED_AGE_MEMORY_S = 10.0
-"""Time after which a larger stated age replaces a smaller one."""
+REQUESTED_AGE_TIMEOUT_S = 10.0
+"""Time after which a higher age replaces a lower one, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class WantedAge:
-    """Smallest age that reads have stated of late."""
+    """Lowest maximum age that recent reads have requested."""
 
     max_age_ms: int = 0
-    """Age in milliseconds."""
+    """Maximum age of the data in milliseconds."""
 
-    stated_at: float = float('-inf')
-    """Monotonic time of the last read that stated it, in seconds."""
+    requested_at: float = float('-inf')
+    """Monotonic time of the last read that requested this age, in seconds."""
 
-    def after(self, max_age_ms: int, now: float) -> WantedAge:
-        """Return what is wanted after one more read."""
-        is_old = now - self.stated_at > WANTED_AGE_MEMORY_S
+    def updated_with(self, max_age_ms: int, now: float) -> WantedAge:
+        """Return the requested age updated with one more read."""
+        is_old = now - self.requested_at > REQUESTED_AGE_TIMEOUT_S
         if is_old or max_age_ms <= self.max_age_ms:
             return WantedAge(max_age_ms, now)
         return self
 
 
 class PooledMember:
-    """Monitor, slots and age of one member.
+    """Monitor, slots, connections and data age of one member.
 
     Parameters
     ----------
     database : DatabaseEntry
-        Database group of the member.
+        Database to which the member belongs.
     entry : MemberEntry
-        Member and its limits.
+        Catalogue entry of the member with its limits.
     queue : SlotQueue
-        Order of the work that waits for its slots.
+        Queue of the work that waits for the member's slots.
     peers : Peers
-        Way to the other members of the group.
+        Sends requests to the poolers of the other members.
     clock : Clock
         Monotonic time.
     rng : random.Random
@@ -76,13 +76,13 @@
     ) -> None:
         self._clock = clock
         self.database = database.name
-        """Database of the member."""
+        """Name of the member's database."""
 
         self.entry = entry
-        """Member and its limits."""
+        """Catalogue entry of the member with its limits."""
 
         self.monitor = MemberMonitor(entry, clock)
-        """Newest status."""
+        """Watches the member and keeps the newest status."""
 
         connections = MemberConnections(
             entry,
@@ -97,15 +97,15 @@
         """Age of the member's data."""
 
         self.wanted_age = WantedAge()
-        """Smallest age that reads have stated of late."""
+        """Lowest maximum age that recent reads have requested."""
 
         self.prover = LeadershipProver(
             database, entry.name, self.monitor, peers, clock
         )
-        """Proof that the member still leads."""
+        """Proves that the member still leads, if the member is the primary."""
 
-        self.monitor.listen(connections.on_status)
-        self.monitor.listen_lost(connections.close_all)
+        self.monitor.subscribe(connections.on_status)
+        self.monitor.subscribe_lost(connections.close_all)
 
     @property
     def is_primary(self) -> bool:
@@ -118,25 +118,26 @@
         )
 
     def start(self) -> None:
-        """Begin to watch the member."""
+        """Start watching the member."""
         self.monitor.start()
 
     def stop(self) -> None:
-        """Close every connection to the member."""
+        """Stop watching the member and close its idle connections."""
         self.monitor.stop()
         self.pool.close()
 
     def age_ms(self) -> int | None:
-        """Return the greatest age of the data, or ``None``.
+        """Return the highest possible age of the data, or ``None``.
 
-        A primary's data are as old as the last proof that it leads.
+        The age of a primary's data is the time since the last proof that
+        the primary leads.
         """
         if self.is_primary:
             return self.prover.age_ms()
         return self.age.age_ms(self._clock.now())
 
     def make_digest(self) -> MemberDigest:
-        """Return what entry hosts learn of the member."""
+        """Return the digest of the member for entry hosts."""
         status = self.monitor.status
         if status is None:
             return MemberDigest(
--- a/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
@@ -1,4 +1,4 @@
-"""Statements and transactions that a pooler runs for entry hosts."""
+"""Single statements that a pooler runs for entry hosts."""
 
 from __future__ import annotations
 
@@ -27,15 +27,18 @@
     from trefoilpulley_node.pooler.member_link import MemberLink
     from trefoilpulley_node.pooler.pooled_member import PooledMember
 
-COPIES_WAIT_S = 1.0
-"""Longest wait for copies before the entry host is asked to look again."""
+COPIES_TIMEOUT_S = 1.0
+"""Longest wait for copies of a write, in seconds.
 
-READ_ATTEMPTS = 2
-"""Connections that a read is tried on."""
+The entry host looks up the outcome again after that time.
+"""
+
+MAX_READ_ATTEMPTS = 2
+"""Number of connections on which a read is attempted."""
 
 
 class PooledWork:
-    """Runs single statements at a member.
+    """Runs single statements and outcome look-ups at a member.
 
     Parameters
     ----------
@@ -49,26 +52,28 @@
     def read(
         self, member: PooledMember, req: PooledRead
     ) -> Result[StatementResult, Failure]:
-        """Run a read that holds the floor and the stated age."""
+        """Run a read whose data include the floor and are fresh enough."""
         arrived_at = self._clock.now()
         if not member.monitor.is_reachable:
-            return Failed(NoUpstream('member is not reachable'))
+            return Failed(NoUpstream('member is unreachable'))
         waited = member.monitor.wait_for_position(
             req.floor, req.wait_ms / 1000
         )
         if not waited:
-            return Failed(ReplicaBehind('floor is not reached'))
+            return Failed(
+                ReplicaBehind('log of the member does not hold the floor')
+            )
         if not self._is_fresh(member, req.max_age_ms):
-            return Failed(ReplicaBehind('data is older than stated'))
+            return Failed(ReplicaBehind('data is older than the read allows'))
         result = self._read_at(member, req)
         if req.needs_leader and not member.prover.prove(arrived_at):
-            return Failed(NotPrimary('leadership can not be proven'))
+            return Failed(NotPrimary('member could not prove that it leads'))
         return result
 
     def write(
         self, member: PooledMember, req: PooledWrite
     ) -> Result[StatementResult, Failure]:
-        """Run a write and wait until its copies are held."""
+        """Run a write and wait until enough members hold it."""
 
         def run(
             link: MemberLink, term: int
@@ -80,7 +85,7 @@
     def resolve(
         self, member: PooledMember, req: PooledResolve
     ) -> Result[StatementResult, Failure]:
-        """Look an outcome up, or abandon its key for good."""
+        """Look up an outcome, or abandon its key permanently."""
 
         def run(
             link: MemberLink, term: int
@@ -92,20 +97,20 @@
     def confirm(
         self, member: PooledMember, result: StatementResult, copies: int
     ) -> Result[StatementResult, Failure]:
-        """Wait until members hold what a result has written or seen."""
+        """Wait until enough members hold what a statement wrote or read."""
         waited = member.monitor.copy_waiters.wait(
             member.monitor.status,
             result.position,
             result.term,
             copies,
-            COPIES_WAIT_S,
+            COPIES_TIMEOUT_S,
         )
         return waited.map(lambda _: result)
 
     def _is_fresh(self, member: PooledMember, max_age_ms: int | None) -> bool:
         if max_age_ms is None:
             return True
-        member.wanted_age = member.wanted_age.after(
+        member.wanted_age = member.wanted_age.updated_with(
             max_age_ms, self._clock.now()
         )
         if member.is_primary:
@@ -118,7 +123,7 @@
         self, member: PooledMember, req: PooledRead
     ) -> Result[StatementResult, Failure]:
         result: Result[StatementResult, Failure] = Failed(NoUpstream())
-        for _ in range(READ_ATTEMPTS):
+        for _ in range(MAX_READ_ATTEMPTS):
             acquired = member.pool.acquire(req.scope, is_write=False)
             if not isinstance(acquired, Success):
                 return acquired
@@ -127,7 +132,9 @@
             member.pool.release(lease)
             if not _is_unreachable(result):
                 return self._confirm_read(member, result, req.copies)
-        return Failed(NoUpstream('connection broke in a read'))
+        return Failed(
+            NoUpstream('connection to the member was lost during a read')
+        )
 
     def _confirm_read(
         self,
@@ -146,7 +153,7 @@
         run: Callable[[MemberLink, int], Result[StatementResult, Failure]],
     ) -> Result[StatementResult, Failure]:
         if not member.is_primary:
-            return Failed(NotPrimary('member does not lead'))
+            return Failed(NotPrimary('member is not the primary'))
         acquired = member.pool.acquire(req.scope, is_write=True)
         if not isinstance(acquired, Success):
             return acquired
@@ -156,7 +163,11 @@
         finally:
             member.pool.release(lease)
         if _is_unreachable(result):
-            return Failed(OutcomeUnknown('connection broke in a write'))
+            return Failed(
+                OutcomeUnknown(
+                    'connection to the member was lost during a write'
+                )
+            )
         if not isinstance(result, Success):
             return self._confirm_refusal(member, result, req.copies)
         return self.confirm(member, result.unwrap(), req.copies)
@@ -167,16 +178,17 @@
         result: Result[StatementResult, Failure],
         copies: int,
     ) -> Result[StatementResult, Failure]:
-        # An abandoned key is abandoned for good only once its marker
-        # has its copies: a later primary could lack it until then.
+        # The refusal is final only once enough members hold the marker
+        # of the abandoned key. Before that, a later primary could lack
+        # the marker and run the write.
         if type(result.failure()) is not NotRun:
             return result
-        status = member.monitor.control(lambda link: link.status())
+        status = member.monitor.send_control(lambda link: link.status())
         if not isinstance(status, Success):
-            return Failed(OutcomeUnknown('primary was lost'))
+            return Failed(OutcomeUnknown('connection to the primary was lost'))
         seen = status.unwrap()
         waited = member.monitor.copy_waiters.wait(
-            seen, seen.history.last, seen.term, copies, COPIES_WAIT_S
+            seen, seen.history.last, seen.term, copies, COPIES_TIMEOUT_S
         )
         return result if isinstance(waited, Success) else waited
 
--- a/packages/node/src/trefoilpulley_node/pooler/pooler.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooler.py
@@ -1,4 +1,4 @@
-"""Pooler role: serves pooled work and control messages of members."""
+"""Pooler role: runs pooled work and control messages at members."""
 
 from __future__ import annotations
 
@@ -36,20 +36,20 @@
 
 
 class Pooler:
-    """Pools the members that this host owns.
+    """Serves the work and control messages for the members that it pools.
 
     Parameters
     ----------
     clock : Clock
         Monotonic time.
     make_queue : Callable[[MemberEntry], SlotQueue]
-        Makes the slot queue of a member.
+        Creates the slot queue of a member.
     find_database : Callable[[str], DatabaseEntry | None]
-        Database by its name.
+        Returns a database by name.
     find_member : Callable[[str], tuple[DatabaseEntry, MemberEntry] | None]
-        Member and its database by the member's name.
+        Returns a member and its database by the member's name.
     peers : Peers
-        Way to other hosts.
+        Sends requests to other hosts.
     rng : random.Random
         Source of jitter.
     """
@@ -72,13 +72,13 @@
         self._rng = rng
         self._probers: dict[str, AgeProber] = {}
         self.transactions = Transactions(self._work)
-        """Open transactions."""
+        """Transactions that entry hosts have open at this pooler."""
 
         self.members: dict[str, PooledMember] = {}
-        """Members pooled by this host."""
+        """Members pooled by this host, by name."""
 
     def serve_on(self, server: PeerServer) -> None:
-        """Register the role's messages."""
+        """Register the handlers of the role's messages."""
         server.register(messages.PooledRead, self.on_read)
         server.register(messages.PooledWrite, self.on_write)
         server.register(messages.PooledResolve, self.on_resolve)
@@ -96,8 +96,8 @@
         server.register(messages.WarmConnections, self.on_warm)
         server.register_close(self.transactions.on_peer_lost)
 
-    def adopt(self, name: str) -> PooledMember | None:
-        """Return a member, starting to pool it where needed."""
+    def ensure_member(self, name: str) -> PooledMember | None:
+        """Return a pooled member, and start pooling it first if necessary."""
         member = self.members.get(name)
         if member is not None:
             return member
@@ -122,8 +122,11 @@
         prober.start()
         return member
 
-    def release(self, name: str) -> None:
-        """Stop to pool a member that another host owns now."""
+    def release_member(self, name: str) -> None:
+        """Stop pooling a member that another host owns.
+
+        A member whose slots are in use or awaited stays pooled.
+        """
         member = self.members.get(name)
         if member is None or member.pool.slots_in_use or member.pool.waiting:
             return
@@ -132,58 +135,58 @@
         member.stop()
 
     def stop(self) -> None:
-        """Close every connection to a member."""
+        """Stop pooling all members."""
         for prober in self._probers.values():
             prober.stop()
         for member in self.members.values():
             member.stop()
 
     def on_read(self, req: messages.PooledRead, peer: PeerIdentity) -> Any:
-        """Serve a read."""
-        return self._with_member(req.scope.member, self._work.read, req)
+        """Handle a request to run a read."""
+        return self._run_at_member(req.scope.member, self._work.read, req)
 
     def on_write(self, req: messages.PooledWrite, peer: PeerIdentity) -> Any:
-        """Serve a write."""
-        return self._with_member(req.scope.member, self._work.write, req)
+        """Handle a request to run a write."""
+        return self._run_at_member(req.scope.member, self._work.write, req)
 
     def on_resolve(
         self, req: messages.PooledResolve, peer: PeerIdentity
     ) -> Any:
-        """Serve the look-up of an outcome."""
-        return self._with_member(req.scope.member, self._work.resolve, req)
+        """Handle a request to look up the outcome of a write."""
+        return self._run_at_member(req.scope.member, self._work.resolve, req)
 
     def on_begin(self, req: messages.PooledBegin, peer: PeerIdentity) -> Any:
-        """Begin a transaction."""
-        member = self.adopt(req.scope.member)
+        """Handle a request to begin a transaction."""
+        member = self.ensure_member(req.scope.member)
         if member is None:
-            return _refuse(NoUpstream('unknown member'), None)
+            return _make_failure(NoUpstream('unknown member'), None)
         begun = self.transactions.begin(member, req, peer)
         if not isinstance(begun, Success):
-            return _refuse(begun.failure(), member)
+            return _make_failure(begun.failure(), member)
         return messages.PooledBegun(begun.unwrap())
 
     def on_run(self, req: messages.PooledRun, peer: PeerIdentity) -> Any:
-        """Run a statement in a transaction."""
+        """Handle a request to run a statement in a transaction."""
         return self._reply(self.transactions.run(req, peer), None)
 
     def on_commit(self, req: messages.PooledCommit, peer: PeerIdentity) -> Any:
-        """Commit a transaction."""
+        """Handle a request to commit a transaction."""
         return self._reply(self.transactions.commit(req, peer), None)
 
     def on_rollback(
         self, req: messages.PooledRollback, peer: PeerIdentity
     ) -> Any:
-        """Roll a transaction back."""
+        """Handle a request to roll back a transaction."""
         ended = self.transactions.rollback(req.transaction, peer)
         if not isinstance(ended, Success):
-            return _refuse(ended.failure(), None)
+            return _make_failure(ended.failure(), None)
         return messages.PooledDone()
 
     def on_get_digest(
         self, req: messages.GetDigest, peer: PeerIdentity
     ) -> messages.Digests:
-        """Tell the digests of members."""
-        members = (self.adopt(name) for name in req.members)
+        """Return the digests of the requested members."""
+        members = (self.ensure_member(name) for name in req.members)
         return messages.Digests(
             tuple(m.make_digest() for m in members if m is not None)
         )
@@ -191,38 +194,44 @@
     def on_get_status(
         self, req: messages.GetStatus, peer: PeerIdentity
     ) -> Any:
-        """Ask a member for its status."""
-        return self._control(req.member, lambda link: link.status())
+        """Handle a request for the status of a member."""
+        return self._send_control(req.member, lambda link: link.status())
 
     def on_fence(self, req: messages.FenceMember, peer: PeerIdentity) -> Any:
-        """Make a member refuse lower terms."""
-        return self._control(req.member, lambda link: link.fence(req.term))
+        """Make a member refuse all terms below the requested one."""
+        return self._send_control(
+            req.member, lambda link: link.fence(req.term)
+        )
 
     def on_promote(
         self, req: messages.PromoteMember, peer: PeerIdentity
     ) -> Any:
         """Make a member the primary of a term."""
-        return self._control(req.member, lambda link: link.promote(req.term))
+        return self._send_control(
+            req.member, lambda link: link.promote(req.term)
+        )
 
     def on_follow(self, req: messages.FollowMember, peer: PeerIdentity) -> Any:
-        """Make a member a replica."""
-        return self._control(
+        """Make a member a replica of the requested primary."""
+        return self._send_control(
             req.member, lambda link: link.follow(req.term, req.primary)
         )
 
     def on_pause(self, req: messages.PauseWrites, peer: PeerIdentity) -> Any:
-        """Hold the writes of a member."""
-        member = self.adopt(req.member)
+        """Hold back the writes of a member for a handover."""
+        member = self.ensure_member(req.member)
         if member is None:
-            return _refuse(NoUpstream('unknown member'), None)
-        if not member.pool.begin_hold(req.handover_id, req.hold_ms / 1000):
-            return _refuse(WritesPaused('by another handover'), member)
+            return _make_failure(NoUpstream('unknown member'), None)
+        if not member.pool.try_begin_hold(req.handover_id, req.hold_ms / 1000):
+            return _make_failure(
+                WritesPaused('another handover holds the writes'), member
+            )
         events.WRITES_PAUSED.log(member=req.member, handover=req.handover_id)
         return messages.PauseReport(member.pool.writes_running)
 
     def on_resume(self, req: messages.ResumeWrites, peer: PeerIdentity) -> Any:
-        """End a hold of writes."""
-        member = self.adopt(req.member)
+        """End the hold on the writes of a member."""
+        member = self.ensure_member(req.member)
         if member is not None:
             member.pool.end_hold(req.handover_id)
             events.WRITES_RESUMED.log(
@@ -233,21 +242,21 @@
     def on_warm(
         self, req: messages.WarmConnections, peer: PeerIdentity
     ) -> Any:
-        """Open connections ahead of work."""
-        member = self.adopt(req.member)
+        """Open idle connections to a member ahead of work."""
+        member = self.ensure_member(req.member)
         if member is not None:
             member.pool.warm(req.count)
         return messages.PooledDone()
 
-    def _with_member(
+    def _run_at_member(
         self,
         name: str,
         run: Callable[[PooledMember, Any], Result[StatementResult, Failure]],
         req: Any,
     ) -> Any:
-        member = self.adopt(name)
+        member = self.ensure_member(name)
         if member is None:
-            return _refuse(NoUpstream('unknown member'), None)
+            return _make_failure(NoUpstream('unknown member'), None)
         return self._reply(run(member, req), member)
 
     def _reply(
@@ -256,32 +265,36 @@
         member: PooledMember | None,
     ) -> Any:
         if not isinstance(result, Success):
-            return _refuse(result.failure(), member)
+            return _make_failure(result.failure(), member)
         digest = None if member is None else member.make_digest()
         return messages.PooledResult(result.unwrap(), digest)
 
-    def _control(
+    def _send_control(
         self,
         name: str,
         ask: Callable[[MemberLink], Result[MemberStatus, Failure]],
     ) -> Any:
-        member = self.adopt(name)
+        member = self.ensure_member(name)
         if member is None:
-            return _refuse(NoUpstream('unknown member'), None)
-        reply: Result[MemberStatus, Failure] = member.monitor.control(ask)
+            return _make_failure(NoUpstream('unknown member'), None)
+        reply: Result[MemberStatus, Failure] = member.monitor.send_control(ask)
         if not isinstance(reply, Success):
-            return _refuse(_as_witnessed(reply.failure()), member)
+            return _make_failure(_as_member_failure(reply.failure()), member)
         return messages.StatusReport(reply.unwrap())
 
 
-def _as_witnessed(failure: Failure) -> Failure:
-    """Tell a member that is away from a pooler that is."""
+def _as_member_failure(failure: Failure) -> Failure:
+    """Distinguish an unreachable member from an unreachable pooler.
+
+    `PeerUnreachable` in a reply would mean that the pooler itself could
+    not be reached.
+    """
     if isinstance(failure, PeerUnreachable):
         return NoUpstream('member does not answer')
     return failure
 
 
-def _refuse(
+def _make_failure(
     failure: Failure, member: PooledMember | None
 ) -> messages.PooledFailure:
     digest = None if member is None else member.make_digest()
--- a/packages/node/src/trefoilpulley_node/pooler/pooler_state.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooler_state.py
@@ -1,4 +1,4 @@
-"""State dump of the pooler role."""
+"""Pooler's section of the state dump."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     """Name of the member."""
 
     is_reachable: bool
-    """Whether the member has reported of late."""
+    """Whether the member has reported within the timeout."""
 
     is_primary: bool
     """Whether the member leads its term."""
@@ -30,25 +30,25 @@
     """Term that the member leads or follows."""
 
     last: Position
-    """End of the member's log."""
+    """Last position of the member's log."""
 
     age_ms: int | None
-    """Greatest age of the data; ``None`` where unknown."""
+    """Highest possible age of the data in milliseconds, if known."""
 
     slots_in_use: int
-    """Slots held by work."""
+    """Number of slots held by work."""
 
     waiting: int
-    """Pieces of work that wait for a slot."""
+    """Number of requests that wait for a slot."""
 
     connections: int
-    """Connections open for work."""
+    """Number of connections open for work."""
 
     waiting_for_copies: int
-    """Writes that wait for their copies."""
+    """Number of writes that wait for their copies."""
 
     is_paused: bool
-    """Whether a handover holds writes."""
+    """Whether a handover holds back the writes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     """Pooled members."""
 
     transactions: int
-    """Open transactions."""
+    """Number of open transactions."""
 
 
 def dump_pooler(pooler: Pooler) -> PoolerState:
--- a/packages/node/src/trefoilpulley_node/pooler/transactions.py
+++ b/packages/node/src/trefoilpulley_node/pooler/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions that a pooler holds open for entry hosts."""
+"""Transactions that a pooler keeps open for entry hosts."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     from trefoilpulley_node.pooler.pooled_work import PooledWork
 
 
-IDLE_LEAST_S = 1.0
-"""Idle time that every transaction is given, in seconds."""
+MIN_IDLE_TIMEOUT_S = 1.0
+"""Shortest time for which a transaction may be idle, in seconds."""
 
 
 @dataclass(eq=False, slots=True)
@@ -42,25 +42,26 @@
     member: PooledMember
     lease: SlotLease
     connection: int
-    idle_limit_s: float
-    uses: int = 0
+    idle_timeout_s: float
+    use_count: int = 0
     is_busy: bool = False
-    is_ended: bool = False
+    is_aborted: bool = False
 
 
 class Transactions:
     """Open transactions, each pinned to a slot and a connection.
 
-    A transaction belongs to the peer's connection that began it and is
-    rolled back when that connection ends, or when it is idle for longer
-    than its class's promptness: it keeps others from the slot.
+    A transaction belongs to the peer connection that began it. It is
+    rolled back when that connection ends. It is also rolled back when it
+    is idle for longer than the promptness of its class, because other
+    work can't use the slot of an open transaction.
 
     Parameters
     ----------
     work : PooledWork
-        Confirms commits.
+        Waits for the copies of a commit.
     call_later : Callable[..., Any]
-        Calls a function with its arguments after some seconds.
+        Calls a function with arguments after a delay in seconds.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
     def begin(
         self, member: PooledMember, req: PooledBegin, peer: PeerIdentity
     ) -> Result[str, Failure]:
-        """Begin a transaction and return its identifier."""
+        """Begin a transaction for a peer and return its identifier."""
         return self._beginnings.run(
             peer.connection,
             lambda: self._begin(member, req, peer),
@@ -90,26 +91,30 @@
     def run(
         self, req: PooledRun, peer: PeerIdentity
     ) -> Result[StatementResult, Failure]:
-        """Run a statement in a transaction of the peer."""
+        """Run a statement in a transaction that the peer began."""
         found = self._find(req.transaction, peer)
         if found is None or found.is_busy:
-            return Failed(TransactionLost('no such transaction'))
+            return Failed(
+                TransactionLost('transaction is not open on this connection')
+            )
         found.is_busy = True
         result = found.lease.link.run(req.statement)
         found.is_busy = False
-        if found.is_ended or not found.lease.link.is_open:
+        if found.is_aborted or not found.lease.link.is_open:
             self._end(req.transaction)
-            return Failed(TransactionLost('connection broke'))
-        self._watch_idle(req.transaction, found)
+            return Failed(TransactionLost('connection to the member was lost'))
+        self._start_idle_timer(req.transaction, found)
         return result
 
     def commit(
         self, req: PooledCommit, peer: PeerIdentity
     ) -> Result[StatementResult, Failure]:
-        """Commit a transaction of the peer and wait for its copies."""
+        """Commit a transaction that the peer began and wait for its copies."""
         found = self._find(req.transaction, peer)
         if found is None or found.is_busy:
-            return Failed(TransactionLost('no such transaction'))
+            return Failed(
+                TransactionLost('transaction is not open on this connection')
+            )
         found.is_busy = True
         result = found.lease.link.commit(req.key)
         found.is_busy = False
@@ -121,15 +126,17 @@
     def rollback(
         self, transaction: str, peer: PeerIdentity
     ) -> Result[None, Failure]:
-        """Roll a transaction of the peer back."""
+        """Roll back a transaction that the peer began."""
         found = self._find(transaction, peer)
         if found is None:
-            return Failed(TransactionLost('no such transaction'))
+            return Failed(
+                TransactionLost('transaction is not open on this connection')
+            )
         self._abort(transaction, found)
         return Success(None)
 
     def on_peer_lost(self, peer: PeerIdentity) -> None:
-        """Roll back what the connection of a peer had open."""
+        """Roll back the open transactions of a peer connection that ended."""
         self._beginnings.on_lost(peer.connection)
         for transaction, found in list(self._open.items()):
             if found.connection == peer.connection:
@@ -140,9 +147,11 @@
     ) -> Result[str, Failure]:
         status = member.monitor.status
         if not member.is_primary or status is None:
-            return Failed(NotPrimary('member does not lead'))
+            return Failed(NotPrimary('member is not the primary'))
         if not status.history.contains(req.floor):
-            return Failed(ReplicaBehind('floor is not reached'))
+            return Failed(
+                ReplicaBehind('log of the member does not hold the floor')
+            )
         acquired = member.pool.acquire(req.scope, is_write=True)
         if not isinstance(acquired, Success):
             return acquired
@@ -150,26 +159,26 @@
         begun = lease.link.begin(status.term)
         if not isinstance(begun, Success):
             member.pool.release(lease)
-            return Failed(NotPrimary('transaction could not begin'))
+            return Failed(NotPrimary('member could not begin the transaction'))
         transaction = f't{next(self._ids)}'
         opened = self._open[transaction] = _Transaction(
             member,
             lease,
             peer.connection,
-            max(IDLE_LEAST_S, req.scope.remaining_ms / 1000),
+            max(MIN_IDLE_TIMEOUT_S, req.scope.remaining_ms / 1000),
         )
-        self._watch_idle(transaction, opened)
+        self._start_idle_timer(transaction, opened)
         return Success(transaction)
 
-    def _watch_idle(self, transaction: str, found: _Transaction) -> None:
-        found.uses += 1
+    def _start_idle_timer(self, transaction: str, found: _Transaction) -> None:
+        found.use_count += 1
         self._call_later(
-            found.idle_limit_s, self._on_idle, transaction, found.uses
+            found.idle_timeout_s, self._on_idle, transaction, found.use_count
         )
 
-    def _on_idle(self, transaction: str, uses: int) -> None:
+    def _on_idle(self, transaction: str, use_count: int) -> None:
         found = self._open.get(transaction)
-        if found is None or found.is_busy or found.uses != uses:
+        if found is None or found.is_busy or found.use_count != use_count:
             return
         self._abort(transaction, found)
 
@@ -190,14 +199,18 @@
         failure = result.failure()
         self._abort(transaction, found)
         if isinstance(failure, PeerUnreachable):
-            return Failed(OutcomeUnknown('connection broke in a commit'))
+            return Failed(
+                OutcomeUnknown(
+                    'connection to the member was lost during a commit'
+                )
+            )
         return result
 
     def _abort(self, transaction: str, found: _Transaction) -> None:
         if found.is_busy:
-            # A statement still runs: only the end of the connection
-            # rolls the transaction back for certain.
-            found.is_ended = True
+            # While a statement is running, only closing the connection
+            # reliably rolls back the transaction.
+            found.is_aborted = True
             found.lease.link.close()
             return
         if found.lease.link.is_open:
--- a/packages/node/src/trefoilpulley_node/pooler/write_hold.py
+++ b/packages/node/src/trefoilpulley_node/pooler/write_hold.py
@@ -1,4 +1,4 @@
-"""Hold of the writes of one member during a handover."""
+"""Holds back the writes of one member during a handover."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WriteHold:
-    """Hold that ends by itself.
+    """Hold of one handover that expires after a set time.
 
     Parameters
     ----------
@@ -20,22 +20,28 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._handover_id = ''
-        self._until = float('-inf')
+        self._held_until = float('-inf')
 
     @property
     def is_active(self) -> bool:
-        """Whether writes are held."""
-        return self._clock.now() < self._until
+        """Whether writes are currently held."""
+        return self._clock.now() < self._held_until
 
-    def begin(self, handover_id: str, hold_s: float) -> bool:
-        """Hold writes; false where another handover holds them."""
+    def try_begin(self, handover_id: str, hold_s: float) -> bool:
+        """Start or extend a hold.
+
+        Returns
+        -------
+        bool
+            False if another handover holds the writes.
+        """
         if self.is_active and self._handover_id != handover_id:
             return False
         self._handover_id = handover_id
-        self._until = self._clock.now() + hold_s
+        self._held_until = self._clock.now() + hold_s
         return True
 
     def end(self, handover_id: str) -> None:
-        """End the hold of a handover."""
+        """End the hold if it belongs to the handover."""
         if handover_id == self._handover_id:
-            self._until = float('-inf')
+            self._held_until = float('-inf')
