--- a/features/steps/pooled_reads_steps.py
+++ b/features/steps/pooled_reads_steps.py
@@ -17,7 +17,7 @@
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.upstream import Statement
 from trefoilpulley_core.upstream import StatementResult
-from trefoilpulley_node.pooler.pooled_member import WantedAge
+from trefoilpulley_node.pooler.pooled_member import RequestedAge
 from trefoilpulley_node.pooler.pooled_work import PooledWork
 
 
@@ -79,7 +79,7 @@
         self.monitor = FakeMonitor()
         self.pool = FakePool()
         self.prover = FakeProver(now - proven_ms / 1000)
-        self.wanted_age = WantedAge()
+        self.requested_age = RequestedAge()
         self._proven_ms = proven_ms
 
     def age_ms(self) -> int:
--- a/packages/node/src/trefoilpulley_node/pooler/age_prober.py
+++ b/packages/node/src/trefoilpulley_node/pooler/age_prober.py
@@ -25,7 +25,7 @@
 MIN_PROBE_INTERVAL_S = 0.05
 """Shortest interval between probes, in seconds."""
 
-IDLE_INTERVAL_S = 1.0
+MAX_PROBE_INTERVAL_S = 1.0
 """Longest interval between probes, in seconds.
 
 Also the interval while no read requests an age.
@@ -87,11 +87,11 @@
                 self._query_replica()
 
     def _interval_s(self) -> float:
-        requested = self._member.wanted_age
+        requested = self._member.requested_age
         if self._clock.now() - requested.requested_at > PROBING_IDLE_TIMEOUT_S:
-            return IDLE_INTERVAL_S
+            return MAX_PROBE_INTERVAL_S
         interval_s = PROBE_INTERVAL_FACTOR * requested.max_age_ms / 1000
-        return min(IDLE_INTERVAL_S, max(MIN_PROBE_INTERVAL_S, interval_s))
+        return min(MAX_PROBE_INTERVAL_S, max(MIN_PROBE_INTERVAL_S, interval_s))
 
     def _probe(self) -> None:
         if self._primary and self._probe_member(self._primary):
--- a/packages/node/src/trefoilpulley_node/pooler/pooled_member.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooled_member.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WantedAge:
+class RequestedAge:
     """Lowest maximum age that recent reads have requested."""
 
     max_age_ms: int = 0
@@ -38,11 +38,11 @@
     requested_at: float = float('-inf')
     """Monotonic time of the last read that requested this age, in seconds."""
 
-    def updated_with(self, max_age_ms: int, now: float) -> WantedAge:
+    def updated_with(self, max_age_ms: int, now: float) -> RequestedAge:
         """Return the requested age updated with one more read."""
         is_old = now - self.requested_at > REQUESTED_AGE_TIMEOUT_S
         if is_old or max_age_ms <= self.max_age_ms:
-            return WantedAge(max_age_ms, now)
+            return RequestedAge(max_age_ms, now)
         return self
 
 
@@ -96,7 +96,7 @@
         self.age = AgeTracker()
         """Age of the member's data."""
 
-        self.wanted_age = WantedAge()
+        self.requested_age = RequestedAge()
         """Lowest maximum age that recent reads have requested."""
 
         self.prover = LeadershipProver(
--- a/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
@@ -110,7 +110,7 @@
     def _is_fresh(self, member: PooledMember, max_age_ms: int | None) -> bool:
         if max_age_ms is None:
             return True
-        member.wanted_age = member.wanted_age.updated_with(
+        member.requested_age = member.requested_age.updated_with(
             max_age_ms, self._clock.now()
         )
         if member.is_primary:
--- a/packages/standins/src/trefoilpulley_standins/measure/sizing.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/sizing.py
@@ -5,7 +5,7 @@
 from trefoilpulley_core.coordination.polling import poll_interval_s
 from trefoilpulley_core.coordination.shard import SHARDS_A_ZONE
 from trefoilpulley_node.entry.views import REFRESHES_PER_S
-from trefoilpulley_node.pooler.age_prober import IDLE_INTERVAL_S
+from trefoilpulley_node.pooler.age_prober import MAX_PROBE_INTERVAL_S
 from trefoilpulley_standins.member.server import REPORT_INTERVAL_S
 
 HOSTS = 1600
@@ -74,7 +74,7 @@
 MEMBER_FRAMES_PER_S = MEMBERS_A_HOST * (
     1 / REPORT_INTERVAL_S
     + 2 / POLL_INTERVAL_S
-    + 2 * REPLICA_SHARE / IDLE_INTERVAL_S
+    + 2 * REPLICA_SHARE / MAX_PROBE_INTERVAL_S
 )
 """Control frames between a pooler and its members without work."""
 
