--- a/packages/node/src/trefoilpulley_node/pipeline/__init__.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/__init__.py
@@ -1,1 +1,1 @@
-"""Filters that a caller's request passes through, one a module."""
+"""Request pipeline: filters and steps for the requests of callers."""
--- a/packages/node/src/trefoilpulley_node/pipeline/admit.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/admit.py
@@ -1,4 +1,4 @@
-"""Filter that takes a request in, or refuses it before any work."""
+"""Filter that admits a request or refuses it before any work is done."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class Admit(Filter):
-    """Bounds the requests in work and refuses all while draining.
+    """Limits the running requests and refuses all requests while draining.
 
     Parameters
     ----------
     admission : Admission
-        Share of each tenant and class.
+        Limits the running requests of each tenant and class.
     clock : Clock
         Monotonic time.
     """
@@ -40,34 +40,34 @@
         self._admission = admission
         self._clock = clock
         self.is_draining = False
-        """Whether the host is leaving."""
+        """Whether the host is draining and refuses new requests."""
 
     @property
     def running(self) -> int:
-        """Requests in work."""
+        """Number of admitted requests that have not finished."""
         return self._admission.total
 
     def apply(self, req: PipelineRequest) -> Result[PipelineRequest, Failure]:
-        """Add the key of the outcome to an admitted request.
+        """Admit a request and add the key of its outcome.
 
-        Each admitted request ends with `finish`.
+        The caller must call `finish` for each admitted request.
         """
         if self.is_draining:
-            return Failed(Draining('host is leaving'))
+            return Failed(Draining('host is draining'))
         admitted = self._admission.admit(
             req.tenant, req.work_class.name, req.deadline, self._clock.now()
         )
         if not isinstance(admitted, Success):
             return admitted
-        key = _find_key(req)
+        key = _outcome_key(req)
         return Success(req if key is None else replace(req, key=key))
 
     def finish(self, tenant: str) -> None:
-        """Count an admitted request as ended."""
+        """Record that an admitted request of a tenant has finished."""
         self._admission.finish(tenant)
 
 
-def _find_key(req: PipelineRequest) -> OutcomeKey | None:
+def _outcome_key(req: PipelineRequest) -> OutcomeKey | None:
     if isinstance(req.message, Execute):
         return make_key(req.tenant, req.message)
     if isinstance(req.message, LookUp):
@@ -76,6 +76,6 @@
 
 
 def make_key(tenant: str, message: Execute) -> OutcomeKey:
-    """Return the key of a statement's outcome, with its content's digest."""
+    """Return the outcome key of a statement, including a content digest."""
     content = cbor2.dumps((message.database, message.sql, message.parameters))
     return OutcomeKey(tenant, message.request_id, xxh3_128_hexdigest(content))
--- a/packages/node/src/trefoilpulley_node/pipeline/answer.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/answer.py
@@ -1,4 +1,4 @@
-"""Last filter: makes the answer that carries the session token."""
+"""Last step of the pipeline: creates the answer with a session token."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class AnswerMaker:
-    """Turns a delivered request into the caller's answer.
+    """Creates the caller's answer from an executed request.
 
     Parameters
     ----------
     codec : TokenCodec
-        Signs the session token.
+        Signs session tokens.
     """
 
     def __init__(self, codec: TokenCodec) -> None:
         self._codec = codec
 
     def make(self, req: PipelineRequest) -> Answer:
-        """Return the answer; a write raises the session's floor."""
+        """Return the answer; the token of a write has a raised floor."""
         delivered = req.delivered
         return Answer(
             delivered.result.columns,
@@ -47,5 +47,6 @@
 
 
 def _raises_floor(req: PipelineRequest) -> bool:
-    # A first read without a token fixes the floor that it has seen.
+    # A read without a known floor sets the floor to the position that
+    # it read, so that later reads of the session see no older data.
     return req.work_class.work is WorkKind.WRITE or req.floor is None
--- a/packages/node/src/trefoilpulley_node/pipeline/authenticate.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/authenticate.py
@@ -1,4 +1,4 @@
-"""Filter that ties a request to a tenant in force."""
+"""Filter that checks the tenant of a request."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class Authenticate(Filter):
-    """Checks callers' secrets and that their tenants are declared.
+    """Checks the secrets of callers and whether their tenants are declared.
 
     Parameters
     ----------
     secrets : Sequence[TenantSecret]
-        Secrets of the tenants.
+        Secrets of the tenants, from the settings.
     get_declarations : Callable[[], Declarations]
-        Declarations in force.
+        Returns the declarations in force.
     """
 
     def __init__(
@@ -43,16 +43,16 @@
         self._get_declarations = get_declarations
 
     def check(self, hello: Hello) -> Result[str, Failure]:
-        """Return the tenant of a caller that knows its secret."""
+        """Return the tenant of a caller with the right secret."""
         secret = self._secrets.get(hello.tenant)
         if secret is None or not hmac.compare_digest(
             secret.encode(), hello.secret.encode()
         ):
-            return Failed(NotAuthenticated('unknown tenant or secret'))
+            return Failed(NotAuthenticated('unknown tenant or wrong secret'))
         return Success(hello.tenant)
 
     def apply(self, req: PipelineRequest) -> Result[PipelineRequest, Failure]:
-        """Refuse a request whose tenant is declared no more."""
+        """Refuse a request whose tenant is no longer declared."""
         if self._get_declarations().find_tenant(req.tenant) is None:
             return Failed(NotAuthenticated('tenant is not declared'))
         return Success(req)
--- a/packages/node/src/trefoilpulley_node/pipeline/classify.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/classify.py
@@ -1,4 +1,4 @@
-"""Filter that finds the class of work and the database."""
+"""Filter that looks up the class of work and the database."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Classify(Filter):
-    """Finds the class and the database, and checks the tenant's rights.
+    """Looks up class and database and checks the grants of the tenant.
 
     Parameters
     ----------
     get_declarations : Callable[[], Declarations]
-        Declarations in force.
+        Returns the declarations in force.
     find_database : Callable[[str], DatabaseEntry | None]
-        Database by its name.
+        Returns a database by name.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._find_database = find_database
 
     def apply(self, req: PipelineRequest) -> Result[PipelineRequest, Failure]:
-        """Add the class, the database and the deadline."""
+        """Add the class of work, the database and the deadline."""
         declarations = self._get_declarations()
         name = req.message.work_class
         work_class = declarations.find_class(name)
--- a/packages/node/src/trefoilpulley_node/pipeline/confirm.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/confirm.py
@@ -1,4 +1,4 @@
-"""Settles writes whose answers were lost."""
+"""Finds out the outcome of writes whose answers were lost."""
 
 from __future__ import annotations
 
@@ -25,27 +25,28 @@
     from trefoilpulley_node.pipeline.request import PipelineRequest
     from trefoilpulley_node.pipeline.route import Router
 
-PATIENCE_S = 8.0
-"""Time for which a lost outcome is looked up before it stays unknown."""
+OUTCOME_LOOKUP_TIMEOUT_S = 8.0
+"""Longest time for which a lost outcome is looked up, in seconds."""
 
-RETRY_S = 0.1
-"""Wait for a change of primary between look-ups."""
+LOOKUP_RETRY_INTERVAL_S = 0.1
+"""Longest wait for a change of primary between look-ups, in seconds."""
 
 
 class Confirm:
-    """Looks the outcome of a write up until it is certain.
+    """Looks up the outcome of a write until the outcome is known.
 
     Parameters
     ----------
     router : Router
-        Finds the primary.
+        Finds the primary of the database.
     executor : Executor
-        Sends the look-ups.
+        Sends the look-ups to the primary.
     views : Views
-        Tells of a change of primary.
+        Reports changes of primary.
     is_cut_off : Callable[[], bool]
-        Whether this host's zone reaches no other; another host of the
-        caller's choice can then look the outcome up sooner.
+        Returns whether this host's zone is cut off from all other zones.
+        If so, the look-up ends early, because the caller can look up the
+        outcome sooner through a host of another zone.
     clock : Clock
         Monotonic time.
     """
@@ -67,22 +68,22 @@
     def settle(
         self, req: PipelineRequest, refusal: Failure
     ) -> Result[Delivered, Failure]:
-        """Return the kept outcome, or a true refusal.
+        """Return the outcome of a write, or a refusal if it will never run.
 
         Parameters
         ----------
         req : PipelineRequest
-            Request whose outcome is uncertain.
+            Request whose outcome is unknown.
         refusal : Failure
-            What to say once the key is abandoned.
+            Failure to return once the outcome key is abandoned.
 
         Returns
         -------
         Result[Delivered, Failure]
-            The outcome; the refusal where the request will never run;
-            `OutcomeUnknown` where that could not be found out.
+            The outcome, the refusal if the request will never run, or
+            `OutcomeUnknown` if neither could be determined.
         """
-        until = self._clock.now() + PATIENCE_S
+        until = self._clock.now() + OUTCOME_LOOKUP_TIMEOUT_S
         while self._clock.now() < until:
             result = self._look_up(req, until - self._clock.now())
             if isinstance(result, Success):
@@ -94,11 +95,13 @@
                 return result
             if self._is_cut_off():
                 break
-            self._views.wait_for_change(req.database, RETRY_S)
+            self._views.wait_for_change(req.database, LOOKUP_RETRY_INTERVAL_S)
         events.OUTCOME_UNKNOWN.log(
             tenant=req.tenant, request=req.key.request_id
         )
-        return Failed(OutcomeUnknown('the primary could not be asked'))
+        return Failed(
+            OutcomeUnknown('no primary reported the outcome in time')
+        )
 
     def _look_up(
         self, req: PipelineRequest, left_s: float
@@ -112,4 +115,4 @@
 def _as_not_run(refusal: Failure) -> Failure:
     if refusal.run_state is RunState.NOT_RUN:
         return refusal
-    return NotRun('abandoned; use a new request id')
+    return NotRun('request id was abandoned; use a new one')
--- a/packages/node/src/trefoilpulley_node/pipeline/deliver.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/deliver.py
@@ -1,4 +1,4 @@
-"""Filter that routes and executes until a request is settled."""
+"""Filter that routes and executes a request, with retries."""
 
 from __future__ import annotations
 
@@ -36,36 +36,43 @@
     from trefoilpulley_node.pipeline.request import Delivered
     from trefoilpulley_node.pipeline.route import Router
 
-VIEW_WAIT_S = 0.05
-"""Longest wait for a change of primary before the next attempt."""
+PRIMARY_CHANGE_TIMEOUT_S = 0.05
+"""Longest wait for a change of primary between attempts, in seconds."""
 
-_ELSEWHERE = (NotPrimary, NoUpstream, ReplicaBehind, StaleTerm, WritesPaused)
-_UNCERTAIN = (OutcomeUnknown, PeerUnreachable)
+_RETRYABLE_FAILURES = (
+    NotPrimary,
+    NoUpstream,
+    ReplicaBehind,
+    StaleTerm,
+    WritesPaused,
+)
+_UNCERTAIN_FAILURES = (OutcomeUnknown, PeerUnreachable)
 
 
 class Deliver(Filter):
-    """Tries members until one has run the request, or its time is up.
+    """Tries members until one runs the request or the deadline passes.
 
-    An attempt whose answer is lost leaves a write uncertain. It is sent
-    again under the same key, so that it takes effect once at most, and
-    no refusal says "not run" before the key is abandoned.
+    If the answer to an attempt is lost, the outcome of a write is
+    unknown. Further attempts use the same outcome key, so that the write
+    takes effect at most once. The write is reported as not run only
+    after its key has been abandoned.
 
     Parameters
     ----------
     router : Router
-        Chooses the member of each attempt.
+        Chooses the member for each attempt.
     executor : Executor
-        Runs each attempt.
+        Runs each attempt at the chosen member.
     confirm : Confirm
-        Settles uncertain writes.
+        Finds out the outcome of writes whose answers were lost.
     views : Views
-        Tells of a change of primary.
+        Reports changes of primary.
     retries : RetryBudget
-        Bounds the attempts after the first.
+        Limits the attempts after the first.
     is_cut_off : Callable[[], bool]
-        Whether this host's zone reaches no other; a request without a
-        member is then refused at once, so that its caller goes to
-        another host.
+        Returns whether this host's zone is cut off from all other zones.
+        If so, a request without a usable member is refused at once, so
+        that the caller turns to another host.
     clock : Clock
         Monotonic time.
     """
@@ -89,12 +96,12 @@
         self._clock = clock
 
     def apply(self, req: PipelineRequest) -> Result[PipelineRequest, Failure]:
-        """Add the result."""
+        """Add the result of the request."""
         if isinstance(req.message, LookUp):
-            settled = self._confirm.settle(req, NotRun('was not run'))
+            resolved = self._confirm.settle(req, NotRun('request was not run'))
         else:
-            settled = self._deliver(req)
-        return settled.map(lambda found: replace(req, delivered=found))
+            resolved = self._deliver(req)
+        return resolved.map(lambda found: replace(req, delivered=found))
 
     def _deliver(self, req: PipelineRequest) -> Result[Delivered, Failure]:
         excluded: frozenset[str] = frozenset()
@@ -118,20 +125,21 @@
             if isinstance(result, Success):
                 return result
             failure = result.failure()
-            if isinstance(failure, _UNCERTAIN):
+            if isinstance(failure, _UNCERTAIN_FAILURES):
                 is_uncertain = True
-            elif not isinstance(failure, _ELSEWHERE):
+            elif not isinstance(failure, _RETRYABLE_FAILURES):
                 break
             if route.unwrap().is_primary and self._is_cut_off():
                 break
             excluded = self._exclude(req, excluded, route.unwrap())
-        return self._give_up(req, failure, is_uncertain)
+        return self._finish_failed(req, failure, is_uncertain)
 
     def _may_send(self, member: str, failure: Failure, attempts: int) -> bool:
         if not attempts:
             self._retries.record_fresh(member)
             return True
-        # The key of its outcome makes every write idempotent.
+        # Every write has an outcome key, which makes the write
+        # idempotent.
         return self._retries.try_retry(member, failure, is_repeatable=True)
 
     def _exclude(
@@ -145,9 +153,11 @@
     def _wait(self, req: PipelineRequest) -> None:
         left_s = req.deadline - self._clock.now()
         if left_s > 0:
-            self._views.wait_for_change(req.database, min(VIEW_WAIT_S, left_s))
+            self._views.wait_for_change(
+                req.database, min(PRIMARY_CHANGE_TIMEOUT_S, left_s)
+            )
 
-    def _give_up(
+    def _finish_failed(
         self, req: PipelineRequest, failure: Failure, is_uncertain: bool
     ) -> Result[Delivered, Failure]:
         if req.work_class.work is WorkKind.READ:
@@ -158,7 +168,8 @@
 
 
 def _as_read_failure(failure: Failure) -> Failure:
-    # A read has no effect, so one without an answer has not run.
+    # A read has no effects, so a read without an answer counts as not
+    # run.
     if failure.run_state is RunState.UNKNOWN:
         return NoUpstream(failure.detail)
     return failure
--- a/packages/node/src/trefoilpulley_node/pipeline/execute.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/execute.py
@@ -1,4 +1,4 @@
-"""Step that runs one attempt of a request at a member."""
+"""Pipeline step that runs one attempt of a request at a member."""
 
 from __future__ import annotations
 
@@ -35,24 +35,24 @@
     from trefoilpulley_node.pipeline.request import PipelineRequest
 
 ANSWER_MARGIN_S = 1.5
-"""Wait for the outcome of a write beyond the time left to it."""
+"""Wait for the answer to a write beyond its remaining time, in seconds."""
 
-READ_SHARE = 0.5
-"""Share of the time left that one attempt of a read may take."""
+READ_TIMEOUT_FACTOR = 0.5
+"""Fraction of the remaining time that one attempt of a read may take."""
 
-LEAST_READ_S = 0.02
-"""Shortest time for one attempt of a read."""
+MIN_READ_TIMEOUT_S = 0.02
+"""Shortest timeout of one attempt of a read, in seconds."""
 
 
 class Executor:
-    """Sends requests to the poolers of members.
+    """Runs requests at members by way of the members' poolers.
 
     Parameters
     ----------
     peers : Peers
-        Reaches the poolers.
+        Sends requests to poolers.
     views : Views
-        Takes the digests that come with the answers.
+        Stores the digests that answers contain.
     clock : Clock
         Monotonic time.
     """
@@ -65,21 +65,26 @@
     def execute(
         self, req: PipelineRequest, route: Route
     ) -> Result[Delivered, Failure]:
-        """Run one attempt at the chosen member."""
+        """Run one attempt of a request at the chosen member.
+
+        A change of primary ends the wait for the answer to a write.
+        """
         scope = self._scope(req, route)
         if req.work_class.work is WorkKind.WRITE:
             message = _make_write(req, scope)
             abort = self._views.changed_event(req.database.name)
-            return self._ask(
+            return self._send_request(
                 route.member, message, scope, req.database.name, abort
             )
         message = _make_read(req, route, scope)
-        return self._ask(route.member, message, scope, req.database.name)
+        return self._send_request(
+            route.member, message, scope, req.database.name
+        )
 
     def resolve(
         self, req: PipelineRequest, route: Route, remaining_s: float
     ) -> Result[Delivered, Failure]:
-        """Look the outcome of a request up, or abandon its key."""
+        """Look up the outcome of a request, or abandon its key."""
         scope = WorkScope(
             route.member,
             req.tenant,
@@ -87,12 +92,14 @@
             max(1, round(1000 * remaining_s)),
         )
         message = PooledResolve(scope, req.key, req.copies)
-        return self._ask(route.member, message, scope, req.database.name)
+        return self._send_request(
+            route.member, message, scope, req.database.name
+        )
 
     def _scope(self, req: PipelineRequest, route: Route) -> WorkScope:
-        # The pooler's answer still has its way back before it.
-        way_back_s = route.round_trip_ms / 2000
-        left_s = req.deadline - way_back_s - self._clock.now()
+        # The answer needs half a round trip to return from the pooler.
+        return_delay_s = route.round_trip_ms / 2000
+        left_s = req.deadline - return_delay_s - self._clock.now()
         return WorkScope(
             route.member,
             req.tenant,
@@ -100,7 +107,7 @@
             max(1, round(1000 * left_s)),
         )
 
-    def _ask(
+    def _send_request(
         self,
         member: str,
         message: Any,
@@ -121,13 +128,15 @@
         if not isinstance(reply, Success):
             self._views.on_unreachable(member)
             return reply
-        return self._take(member, reply.unwrap(), sent_at)
+        return self._handle_reply(member, reply.unwrap(), sent_at)
 
-    def _take(
+    def _handle_reply(
         self, member: str, reply: Any, sent_at: float
     ) -> Result[Delivered, Failure]:
         if not isinstance(reply, PooledResult | PooledFailure):
-            return Failed(PeerUnreachable('reply has an unexpected type'))
+            return Failed(
+                PeerUnreachable('pooler sent a reply of an unexpected type')
+            )
         if reply.digest is not None:
             self._views.on_digest(reply.digest, sent_at)
         if isinstance(reply, PooledFailure):
@@ -139,7 +148,7 @@
 def _timeout_s(message: Any, scope: WorkScope) -> float:
     left_s = scope.remaining_ms / 1000
     if isinstance(message, PooledRead):
-        return max(LEAST_READ_S, READ_SHARE * left_s)
+        return max(MIN_READ_TIMEOUT_S, READ_TIMEOUT_FACTOR * left_s)
     return left_s + ANSWER_MARGIN_S
 
 
--- a/packages/node/src/trefoilpulley_node/pipeline/pipeline.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/pipeline.py
@@ -1,4 +1,4 @@
-"""The request pipeline: filters in a row, the first failure ends it."""
+"""Request pipeline that applies filters in order."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class Pipeline:
-    """Filters that a request passes through in order.
+    """Applies filters to a request until one of them fails.
 
     Parameters
     ----------
     filters : Sequence[Filter]
-        Filters, the first one first.
+        Filters in the order in which they are applied.
     """
 
     def __init__(self, filters: Sequence[Filter]) -> None:
         self._filters = tuple(filters)
 
     def run(self, req: PipelineRequest) -> Result[PipelineRequest, Failure]:
-        """Pass a request through every filter, up to the first failure."""
+        """Return the request after all filters, or the first failure."""
         result: Result[PipelineRequest, Failure] = Success(req)
-        for step in self._filters:
-            result = step.apply(result.unwrap())
+        for request_filter in self._filters:
+            result = request_filter.apply(result.unwrap())
             if not isinstance(result, Success):
                 return result
         return result
--- a/packages/node/src/trefoilpulley_node/pipeline/request.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/request.py
@@ -1,4 +1,4 @@
-"""Request as it passes through the filters."""
+"""Request that the pipeline processes, and the filter interface."""
 
 from __future__ import annotations
 
@@ -24,27 +24,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivered:
-    """Result of a request and the member that gave it."""
+    """Result of a request and the member that served it."""
 
     result: StatementResult
-    """Whole result."""
+    """Result of the statement."""
 
     member: str
     """Member that served the request."""
 
     age_ms: int
-    """Greatest age of the data, in milliseconds."""
+    """Highest possible age of the data, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class PipelineRequest:
-    """Request of an authenticated caller; each filter adds to it."""
+    """Request of an authenticated caller, extended by each filter."""
 
     tenant: str
     """Tenant of the caller."""
 
     message: Execute | Begin | Commit | LookUp
-    """Message as it came."""
+    """Message of the caller."""
 
     arrived_at: float
     """Monotonic time of arrival, in seconds."""
@@ -59,30 +59,30 @@
     """Monotonic time at which the answer is due; set by ``Classify``."""
 
     token: SessionToken | None = None
-    """Session of the caller; set by ``SessionFloor``."""
+    """Session token of the caller; set by ``SessionFloor``."""
 
     floor: Position | None = None
-    """Floor, ``None`` where unknown; set by ``SessionFloor``."""
+    """Floor of the database, if known; set by ``SessionFloor``."""
 
     key: OutcomeKey | None = None
-    """Key of a write's outcome; set by ``Admit``."""
+    """Key of the write's outcome; set by ``Admit``."""
 
     delivered: Delivered | None = None
-    """Result; set by ``Execute`` or ``Confirm``."""
+    """Result of the request; set by ``Deliver`` or by a commit."""
 
     @property
     def copies(self) -> int:
-        """Members that must hold a write before its answer.
+        """Number of members that must hold a write before it is answered.
 
-        Never less than a majority, whatever the size of the group, so
-        that a primary cut off with a minority acknowledges nothing.
+        At least a majority of the group, so that a primary that is cut
+        off with a minority of the members acknowledges no write.
         """
         return max(self.work_class.safety.copies, self.database.majority)
 
 
 class Filter(abc.ABC):
-    """One step of the request pipeline."""
+    """One filter of the request pipeline."""
 
     @abc.abstractmethod
     def apply(self, req: PipelineRequest) -> Result[PipelineRequest, Failure]:
-        """Return the request with what this step adds, or a failure."""
+        """Return the request with the fields that the filter adds."""
--- a/packages/node/src/trefoilpulley_node/pipeline/route.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/route.py
@@ -1,4 +1,4 @@
-"""Step that chooses the member for one attempt of a request."""
+"""Pipeline step that chooses the member for one attempt."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class Router:
-    """Asks the routing policy with what the host knows.
+    """Chooses members by the routing policy and the known digests.
 
     Parameters
     ----------
     policy : RoutingPolicy
-        Way to choose.
+        Policy that chooses a member.
     views : Views
-        Digests of the members.
+        Newest digests of the members.
     zone : str
-        Availability zone of the host.
+        Availability zone of this host.
     clock : Clock
         Monotonic time.
     """
@@ -52,15 +52,15 @@
         self, req: PipelineRequest, excluded: frozenset[str]
     ) -> Result[Route, Failure]:
         """Return the member for the next attempt."""
-        wanted = RouteRequest(
+        route_request = RouteRequest(
             req.work_class, req.floor, self._zone, req.deadline, excluded
         )
         view = self._views.view(req.database)
-        return self._policy.choose(view, wanted, self._clock.now())
+        return self._policy.choose(view, route_request, self._clock.now())
 
     def choose_primary(self, req: PipelineRequest) -> Result[Route, Failure]:
-        """Return the primary, which alone keeps outcomes."""
+        """Return the route to the primary, which alone looks up outcomes."""
         primary = find_primary(self._views.view(req.database))
         if primary is None:
-            return Failed(NoUpstream('database has no known primary'))
+            return Failed(NoUpstream('primary of the database is unknown'))
         return Success(Route(primary.member, is_primary=True))
--- a/packages/node/src/trefoilpulley_node/pipeline/session_floor.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/session_floor.py
@@ -1,4 +1,4 @@
-"""Filter that reads the session token."""
+"""Filter that reads the floor from the session token."""
 
 from __future__ import annotations
 
@@ -17,27 +17,33 @@
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.token import TokenCodec
 
-TOKENS_CACHED = 4096
-"""Verified tokens that are kept, as reads send the same one again."""
+MAX_CACHED_TOKENS = 4096
+"""Number of verified tokens in the cache.
+
+The reads of a session send the same token repeatedly.
+"""
 
 
 class SessionFloor(Filter):
-    """Takes the floor of the database from the session token.
+    """Verifies the session token and reads the floor of the database.
 
     Parameters
     ----------
     codec : TokenCodec
-        Verifies tokens.
+        Verifies and decodes tokens.
     """
 
     def __init__(self, codec: TokenCodec) -> None:
-        self._decode = lru_cache(TOKENS_CACHED)(codec.decode)
+        self._decode = lru_cache(MAX_CACHED_TOKENS)(codec.decode)
 
     def apply(self, req: PipelineRequest) -> Result[PipelineRequest, Failure]:
-        """Add the session and its floor; a missing token has none."""
+        """Add the session token and its floor.
+
+        A request without a token has no floor.
+        """
         if not req.message.token:
-            unknown = SessionToken(req.tenant, is_partial=True)
-            return Success(replace(req, token=unknown))
+            empty_token = SessionToken(req.tenant, is_partial=True)
+            return Success(replace(req, token=empty_token))
         decoded = self._decode(req.message.token, req.tenant)
         return decoded.map(lambda token: _with_token(req, token))
 
