--- a/packages/node/src/trefoilpulley_node/entry/__init__.py
+++ b/packages/node/src/trefoilpulley_node/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Role that accepts callers and runs the request pipeline."""
+"""Entry role: accepts callers and runs the request pipeline."""
--- a/packages/node/src/trefoilpulley_node/entry/caller_server.py
+++ b/packages/node/src/trefoilpulley_node/entry/caller_server.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerIdentity:
-    """Caller on the other side of a connection."""
+    """Authenticated caller of a connection."""
 
     tenant: str
     """Tenant of the caller."""
@@ -50,31 +50,31 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryParts:
-    """What the entry role is made of."""
+    """Components of the entry role."""
 
     host: str
     """Name of this host."""
 
     authenticate: Authenticate
-    """Checks callers."""
+    """Authenticates callers."""
 
     admit: Admit
-    """Counts the running requests."""
+    """Limits and counts the running requests."""
 
     prepare: Pipeline
-    """Filters up to admission."""
+    """Filters up to and including admission."""
 
     deliver: Pipeline
-    """Filters from routing on."""
+    """Filters after admission, which route and execute a request."""
 
     transactions: EntryTransactions
-    """Open transactions."""
+    """Open transactions of callers."""
 
     answers: AnswerMaker
-    """Makes the answers."""
+    """Creates the answers to callers."""
 
     targets: ClassTargets
-    """How the classes do against their targets."""
+    """Measures the classes of work against their targets."""
 
     tokens: TokenCodec
     """Signs session tokens."""
@@ -90,18 +90,18 @@
 
 
 class CallerServer(Handler):
-    """Serves callers' messages.
+    """Handles the messages of callers.
 
     Parameters
     ----------
     parts : EntryParts
-        What the role is made of.
+        Components of the entry role.
     """
 
-    def __init__(self, parts: EntryParts) -> None:
-        self._parts = parts
+    def __init__(self, components: EntryParts) -> None:
+        self._components = components
         self._connections = itertools.count(1)
-        self._serving = {
+        self._handlers = {
             messages.Execute: self._on_execute,
             messages.Begin: self._on_begin,
             messages.Commit: self._on_commit,
@@ -110,54 +110,67 @@
         }
 
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Serve one message of a caller."""
+        """Handle one message of a caller and return the reply."""
         if isinstance(message, messages.Hello):
             return self._on_hello(channel, message)
         if isinstance(message, messages.GetState):
             return self._on_get_state(message)
         if channel.context is None:
-            return refuse(NotAuthenticated('say hello first'))
-        serve = self._serving.get(type(message))
-        if serve is None:
-            return refuse(MalformedMessage('not a request'))
-        return self._serve(serve, message, channel.context)
+            return refuse(
+                NotAuthenticated(
+                    'first message of a connection must be a hello'
+                )
+            )
+        handler = self._handlers.get(type(message))
+        if handler is None:
+            return refuse(MalformedMessage('message is not a request'))
+        return self._serve(handler, message, channel.context)
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
-        """Refuse what could not be decoded; the connection goes on."""
+        """Refuse a message that could not be decoded.
+
+        The connection stays open.
+        """
         return refuse(failure)
 
     def on_close(self, channel: Channel) -> None:
-        """Roll back what the caller had open."""
+        """Roll back the open transactions of the caller."""
         if channel.context is not None:
-            self._parts.transactions.on_caller_lost(channel.context.connection)
+            self._components.transactions.on_caller_lost(
+                channel.context.connection
+            )
 
-    def _serve(self, serve: Any, message: Any, caller: CallerIdentity) -> Any:
-        parts = self._parts
-        started = parts.clock.now()
+    def _serve(
+        self, handler: Any, message: Any, caller: CallerIdentity
+    ) -> Any:
+        components = self._components
+        started = components.clock.now()
         try:
-            reply = serve(message, caller)
-        except Exception as exc:  # a fault must not end the connection
+            reply = handler(message, caller)
+        except Exception as exc:  # an error must not close the connection
             events.HANDLER_CRASHED.log(
                 message=type(message).__name__, error=repr(exc)
             )
             reply = refuse(OutcomeUnknown('internal error'))
-        parts.metrics.time('request', 1000 * (parts.clock.now() - started))
+        components.metrics.time(
+            'request', 1000 * (components.clock.now() - started)
+        )
         if isinstance(reply, messages.Refusal):
-            parts.metrics.count(f'refused.{reply.code}')
+            components.metrics.count(f'refused.{reply.code}')
         return reply
 
     def _on_hello(self, channel: Channel, hello: messages.Hello) -> Any:
-        checked = self._parts.authenticate.check(hello)
+        checked = self._components.authenticate.check(hello)
         if not isinstance(checked, Success):
             events.CALLER_REFUSED.log(tenant=hello.tenant)
             return refuse(checked.failure())
         tenant = checked.unwrap()
         channel.context = CallerIdentity(tenant, next(self._connections))
-        token = self._parts.tokens.encode(SessionToken(tenant))
-        return messages.Welcome(self._parts.host, token)
+        token = self._components.tokens.encode(SessionToken(tenant))
+        return messages.Welcome(self._components.host, token)
 
     def _on_get_state(self, message: messages.GetState) -> Any:
-        state = self._parts.state.collect(message.operator_secret)
+        state = self._components.state.collect(message.operator_secret)
         if not isinstance(state, Success):
             return refuse(state.failure())
         return messages.StateDump(state.unwrap())
@@ -168,18 +181,18 @@
         if message.transaction:
             return self._on_run(message, caller)
         return self._answer(
-            self._admitted(message, caller, self._parts.deliver.run)
+            self._run_admitted(message, caller, self._components.deliver.run)
         )
 
     def _on_run(
         self, message: messages.Execute, caller: CallerIdentity
     ) -> Any:
-        ran = self._parts.transactions.run(
+        executed = self._components.transactions.run(
             message, caller.tenant, caller.connection
         )
-        if not isinstance(ran, Success):
-            return refuse(ran.failure())
-        found = ran.unwrap()
+        if not isinstance(executed, Success):
+            return refuse(executed.failure())
+        found = executed.unwrap()
         return messages.Answer(
             found.result.columns,
             found.result.rows,
@@ -192,16 +205,18 @@
         self, message: messages.LookUp, caller: CallerIdentity
     ) -> Any:
         return self._answer(
-            self._admitted(message, caller, self._parts.deliver.run)
+            self._run_admitted(message, caller, self._components.deliver.run)
         )
 
     def _on_begin(
         self, message: messages.Begin, caller: CallerIdentity
     ) -> Any:
-        begun = self._admitted(
+        begun = self._run_admitted(
             message,
             caller,
-            lambda req: self._parts.transactions.begin(req, caller.connection),
+            lambda req: self._components.transactions.begin(
+                req, caller.connection
+            ),
         )
         if not isinstance(begun, Success):
             return refuse(begun.failure())
@@ -211,7 +226,7 @@
         self, message: messages.Commit, caller: CallerIdentity
     ) -> Any:
         return self._answer(
-            self._parts.transactions.commit(
+            self._components.transactions.commit(
                 message, caller.tenant, caller.connection
             )
         )
@@ -219,50 +234,50 @@
     def _on_rollback(
         self, message: messages.Rollback, caller: CallerIdentity
     ) -> Any:
-        ended = self._parts.transactions.rollback(
+        ended = self._components.transactions.rollback(
             message.transaction, caller.tenant, caller.connection
         )
         if not isinstance(ended, Success):
             return refuse(ended.failure())
         return messages.Done()
 
-    def _admitted(
+    def _run_admitted(
         self,
         message: Any,
         caller: CallerIdentity,
         work: Callable[[PipelineRequest], Result[Any, Failure]],
     ) -> Result[Any, Failure]:
-        parts = self._parts
-        req = PipelineRequest(caller.tenant, message, parts.clock.now())
-        prepared = parts.prepare.run(req)
+        components = self._components
+        req = PipelineRequest(caller.tenant, message, components.clock.now())
+        prepared = components.prepare.run(req)
         if not isinstance(prepared, Success):
             return prepared
         try:
             result = work(prepared.unwrap())
         finally:
-            parts.admit.finish(caller.tenant)
+            components.admit.finish(caller.tenant)
         self._record(prepared.unwrap(), result)
         return result
 
     def _record(
         self, req: PipelineRequest, result: Result[Any, Failure]
     ) -> None:
-        now = self._parts.clock.now()
+        now = self._components.clock.now()
         name = req.work_class.name
         if isinstance(result, Success):
             elapsed_s = now - req.arrived_at
-            self._parts.targets.record(name, elapsed_s, now)
+            self._components.targets.record(name, elapsed_s, now)
         elif isinstance(result.failure(), NotRun):
-            self._parts.targets.record_refusal(name, now)
+            self._components.targets.record_refusal(name, now)
 
     def _answer(self, result: Result[PipelineRequest, Failure]) -> Any:
         if not isinstance(result, Success):
             return refuse(result.failure())
-        return self._parts.answers.make(result.unwrap())
+        return self._components.answers.make(result.unwrap())
 
 
 def refuse(failure: Failure) -> messages.Refusal:
-    """Return the wire form of a failure to a caller."""
+    """Return the refusal message for a failure."""
     return messages.Refusal(
         failure.code,
         str(failure.run_state),
--- a/packages/node/src/trefoilpulley_node/entry/digest_asker.py
+++ b/packages/node/src/trefoilpulley_node/entry/digest_asker.py
@@ -1,4 +1,4 @@
-"""Asks poolers for the digests of their members."""
+"""Requests the digests of members from their poolers."""
 
 from __future__ import annotations
 
@@ -18,22 +18,24 @@
     from trefoilpulley_node.peers import Peers
 
 DIGEST_TIMEOUT_S = 0.5
-"""Longest wait for digests."""
+"""Longest wait for digests, in seconds."""
 
 
-class DigestAsker:
-    """Sends one question a pooler, and one at a time.
+class DigestFetcher:
+    """Sends digest requests, at most one at a time to each pooler.
 
     Parameters
     ----------
     peers : Peers
-        Reaches the poolers.
+        Sends requests to poolers.
     clock : Clock
         Monotonic time.
     on_digest : Callable[[MemberDigest, float], None]
-        Takes each digest with the time at which its question left.
+        Receives each digest and the monotonic time in seconds at which
+        its request was sent.
     on_round_trip : Callable[[str, float], None]
-        Takes the round trip to a member's pooler, in milliseconds.
+        Receives the name of a member and the round trip to its pooler in
+        milliseconds.
     """
 
     def __init__(
@@ -47,27 +49,30 @@
         self._clock = clock
         self._on_digest = on_digest
         self._on_round_trip = on_round_trip
-        self._asking: set[str] = set()
+        self._pending_hosts: set[str] = set()
 
-    def ask(self, members: Iterable[str]) -> None:
-        """Ask for the digests of members, without waiting."""
+    def fetch(self, members: Iterable[str]) -> None:
+        """Request the digests of members without waiting for them.
+
+        Members whose pooler has an unanswered digest request are skipped.
+        """
         by_host: dict[str, list[str]] = {}
         for member in members:
             host = self._peers.find_pooler(member)
-            if host is not None and host not in self._asking:
+            if host is not None and host not in self._pending_hosts:
                 by_host.setdefault(host, []).append(member)
         for host, names in by_host.items():
-            self._asking.add(host)
-            gevent.spawn(self._ask_host, host, tuple(names))
+            self._pending_hosts.add(host)
+            gevent.spawn(self._fetch_from_host, host, tuple(names))
 
-    def _ask_host(self, host: str, members: tuple[str, ...]) -> None:
+    def _fetch_from_host(self, host: str, members: tuple[str, ...]) -> None:
         sent_at = self._clock.now()
         try:
             reply = self._peers.call_host(
                 host, GetDigest(members), DIGEST_TIMEOUT_S
             )
         finally:
-            self._asking.discard(host)
+            self._pending_hosts.discard(host)
         digests = reply.value_or(None)
         if not isinstance(digests, Digests):
             return
--- a/packages/node/src/trefoilpulley_node/entry/entry_state.py
+++ b/packages/node/src/trefoilpulley_node/entry/entry_state.py
@@ -1,4 +1,4 @@
-"""State dump of the entry role."""
+"""Entry role's section of the state dump."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
     """Availability zone of the host."""
 
     callers: int
-    """Open connections of callers."""
+    """Number of open connections of callers."""
 
     running: int
-    """Requests being worked on."""
+    """Number of running requests."""
 
     transactions: int
-    """Open transactions."""
+    """Number of open transactions."""
 
     databases_in_use: int
-    """Databases that callers have used of late."""
+    """Number of databases that callers have used recently."""
 
     peer_channels: int
-    """Open connections to other hosts."""
+    """Number of open connections to other hosts."""
 
     is_draining: bool
-    """Whether the host is leaving."""
+    """Whether the host is draining."""
 
     classes: tuple[ClassReport, ...]
-    """Each class of work against its target."""
+    """Measurements of each class of work against its target."""
--- a/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
+++ b/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions of callers, each bound to one pooler."""
+"""Open transactions of callers, each bound to one pooler."""
 
 from __future__ import annotations
 
@@ -46,23 +46,26 @@
     from trefoilpulley_node.pipeline.session_floor import SessionFloor
 
 STATEMENT_TIMEOUT_S = 30.0
-"""Longest wait for a statement inside a transaction."""
+"""Longest wait for a statement inside a transaction, in seconds."""
 
-RETRY_S = 0.05
-"""Longest wait for a change of primary between two attempts to begin."""
+BEGIN_RETRY_INTERVAL_S = 0.05
+"""Longest wait for a new primary between attempts to begin, in seconds."""
 
-LEAST_WAIT_S = 0.001
-"""Shortest time for one attempt to begin."""
+MIN_BEGIN_TIMEOUT_S = 0.001
+"""Shortest time for one attempt to begin, in seconds."""
 
 ANSWER_MARGIN_S = 0.5
-"""Wait for the answer to an attempt beyond its time."""
+"""Wait for the answer beyond the time of an attempt, in seconds."""
 
-LATE_ANSWER_S = 60.0
-"""Time for which a transaction that begins too late is rolled back."""
+LATE_ANSWER_TIMEOUT_S = 60.0
+"""Longest wait for the late answer of an attempt, in seconds.
+
+A transaction that began after its caller was refused is rolled back.
+"""
 
 
 @dataclass(frozen=True, slots=True)
-class _Bound:
+class _TransactionBinding:
     request: PipelineRequest
     host: str
     member: str
@@ -72,20 +75,20 @@
 
 
 class EntryTransactions:
-    """Transactions that callers of this host have open.
+    """Begins, runs and ends the transactions of this host's callers.
 
     Parameters
     ----------
     router : Router
-        Finds the primary.
+        Finds the primary of the database.
     peers : Peers
-        Reaches the poolers.
+        Sends requests to poolers.
     session_floor : SessionFloor
-        Reads the token that a commit carries.
+        Reads the session token of a commit.
     confirm : Confirm
-        Settles commits whose answers were lost.
+        Finds out the outcome of commits whose answers were lost.
     views : Views
-        Tells of a change of primary.
+        Reports changes of primary.
     clock : Clock
         Monotonic time.
     """
@@ -105,7 +108,7 @@
         self._confirm = confirm
         self._views = views
         self._clock = clock
-        self._open: dict[str, _Bound] = {}
+        self._open: dict[str, _TransactionBinding] = {}
         self._beginnings = Beginnings()
         self._ids = itertools.count(1)
 
@@ -125,85 +128,95 @@
     def run(
         self, message: Execute, tenant: str, connection: int
     ) -> Result[Delivered, Failure]:
-        """Run a statement in a transaction of the caller."""
-        bound = self._find(message.transaction, tenant, connection)
-        if bound is None:
-            return Failed(TransactionLost('no such transaction'))
+        """Run a statement in a transaction that the caller began."""
+        binding = self._find(message.transaction, tenant, connection)
+        if binding is None:
+            return Failed(
+                TransactionLost('transaction is not open on this connection')
+            )
         statement = Statement(message.sql, message.parameters)
         reply = self._peers.call_host(
-            bound.host,
-            PooledRun(bound.pooled, statement),
+            binding.host,
+            PooledRun(binding.pooled, statement),
             STATEMENT_TIMEOUT_S,
         )
         if isinstance(reply, Success):
             self._add_statement(message.transaction, statement)
-            return Success(_delivered(bound, reply.unwrap()))
+            return Success(_delivered(binding, reply.unwrap()))
         failure = reply.failure()
         if isinstance(failure, PeerUnreachable | TransactionLost):
             self._open.pop(message.transaction, None)
-            return Failed(TransactionLost('pooler was lost'))
+            return Failed(
+                TransactionLost('transaction was lost at the pooler')
+            )
         return reply
 
     def commit(
         self, message: Commit, tenant: str, connection: int
     ) -> Result[PipelineRequest, Failure]:
-        """Commit a transaction of the caller."""
-        bound = self._find(message.transaction, tenant, connection)
-        if bound is None:
-            return Failed(TransactionLost('no such transaction'))
-        digest = xxh3_128_hexdigest('\n'.join(bound.statements).encode())
+        """Commit a transaction that the caller began."""
+        binding = self._find(message.transaction, tenant, connection)
+        if binding is None:
+            return Failed(
+                TransactionLost('transaction is not open on this connection')
+            )
+        digest = xxh3_128_hexdigest('\n'.join(binding.statements).encode())
         key = OutcomeKey(tenant, message.request_id, digest)
-        # The session may have written elsewhere since the transaction
-        # began; the commit's own token says so.
+        # The session may have written outside the transaction after the
+        # transaction began. The token of the commit includes these writes.
         prepared = self._session_floor.apply(
-            replace(bound.request, message=message, key=key)
+            replace(binding.request, message=message, key=key)
         )
         if not isinstance(prepared, Success):
             return prepared
         del self._open[message.transaction]
         req = prepared.unwrap()
-        pooled = PooledCommit(bound.pooled, key, req.copies)
-        reply = self._peers.call_host(bound.host, pooled, STATEMENT_TIMEOUT_S)
-        settled = self._settle(req, bound, reply)
-        return settled.map(lambda found: replace(req, delivered=found))
+        pooled = PooledCommit(binding.pooled, key, req.copies)
+        reply = self._peers.call_host(
+            binding.host, pooled, STATEMENT_TIMEOUT_S
+        )
+        resolved = self._resolve_commit(req, binding, reply)
+        return resolved.map(lambda found: replace(req, delivered=found))
 
     def rollback(
         self, transaction: str, tenant: str, connection: int
     ) -> Result[None, Failure]:
-        """Roll a transaction of the caller back."""
-        bound = self._find(transaction, tenant, connection)
-        if bound is None:
-            return Failed(TransactionLost('no such transaction'))
-        self._abort(transaction, bound)
+        """Roll back a transaction that the caller began."""
+        binding = self._find(transaction, tenant, connection)
+        if binding is None:
+            return Failed(
+                TransactionLost('transaction is not open on this connection')
+            )
+        self._abort(transaction, binding)
         return Success(None)
 
     def on_caller_lost(self, connection: int) -> None:
-        """Roll back what a caller's connection had open."""
+        """Roll back the open transactions of a connection that ended."""
         self._beginnings.on_lost(connection)
-        for transaction, bound in list(self._open.items()):
-            if bound.connection == connection:
-                self._abort(transaction, bound)
+        for transaction, binding in list(self._open.items()):
+            if binding.connection == connection:
+                self._abort(transaction, binding)
 
     def _add_statement(self, transaction: str, statement: Statement) -> None:
-        # The caller may have gone while the statement ran.
-        bound = self._open.get(transaction)
-        if bound is None:
+        # The caller may have disconnected while the statement ran.
+        binding = self._open.get(transaction)
+        if binding is None:
             return
         digest = xxh3_128_hexdigest(repr(statement).encode())
         self._open[transaction] = replace(
-            bound, statements=(*bound.statements, digest)
+            binding, statements=(*binding.statements, digest)
         )
 
     def _begin(
         self, req: PipelineRequest, connection: int
     ) -> Result[str, Failure]:
-        failure: Failure = NoUpstream('no primary could be reached in time')
+        failure: Failure = NoUpstream('no primary was reached in time')
         while self._clock.now() < req.deadline:
             begun = self._begin_once(req, connection)
             if isinstance(begun, Success):
                 return begun
             failure = begun.failure()
-            self._views.wait_for_change(req.database, RETRY_S)
+            self._views.wait_for_change(req.database, BEGIN_RETRY_INTERVAL_S)
         return Failed(_as_not_begun(failure))
 
     def _begin_once(
@@ -216,14 +229,14 @@
         host = self._peers.find_pooler(member)
         if host is None:
             return Failed(NoUpstream('no host pools the member'))
-        left_s = max(LEAST_WAIT_S, req.deadline - self._clock.now())
+        left_s = max(MIN_BEGIN_TIMEOUT_S, req.deadline - self._clock.now())
         scope = WorkScope(
             member, req.tenant, req.work_class.name, round(1000 * left_s)
         )
         message = PooledBegin(scope, req.floor or BEGINNING)
         sent_at = self._clock.now()
         timeout_s = left_s + ANSWER_MARGIN_S
-        reply = self._ask_to_begin(host, message, timeout_s)
+        reply = self._send_begin(host, message, timeout_s)
         if not isinstance(reply, Success):
             return reply
         begun = reply.unwrap()
@@ -232,30 +245,33 @@
                 self._views.on_digest(begun.digest, sent_at)
             return Failed(read_failure(begun))
         if not isinstance(begun, PooledBegun):
-            return Failed(NoUpstream('reply has an unexpected type'))
+            return Failed(
+                NoUpstream('pooler sent a reply of an unexpected type')
+            )
         transaction = f'e{next(self._ids)}'
-        self._open[transaction] = _Bound(
+        self._open[transaction] = _TransactionBinding(
             req, host, member, begun.transaction, connection
         )
         return Success(transaction)
 
-    def _ask_to_begin(
+    def _send_begin(
         self, host: str, message: PooledBegin, timeout_s: float
     ) -> Result[Any, Failure]:
-        # Where the link to the pooler is cut, the request may arrive long
-        # after the caller was refused; it would hold the member's writes.
-        asked = gevent.spawn(
-            self._peers.ask_host, host, message, LATE_ANSWER_S
+        # While the network to the pooler is cut, the request may arrive
+        # long after the caller was refused. The transaction that then
+        # begins would block writes at the member, so it is rolled back.
+        pending = gevent.spawn(
+            self._peers.ask_host, host, message, LATE_ANSWER_TIMEOUT_S
         )
-        asked.join(timeout_s)
-        if asked.ready():
-            return asked.get()
-        asked.link_value(
-            lambda done: gevent.spawn(self._drop_late, host, done.value)
+        pending.join(timeout_s)
+        if pending.ready():
+            return pending.get()
+        pending.link_value(
+            lambda done: gevent.spawn(self._roll_back_late, host, done.value)
         )
-        return Failed(PeerUnreachable('no answer in time'))
+        return Failed(PeerUnreachable('pooler did not answer in time'))
 
-    def _drop_late(self, host: str, reply: Result[Any, Failure]) -> None:
+    def _roll_back_late(self, host: str, reply: Result[Any, Failure]) -> None:
         begun = reply.value_or(None)
         if isinstance(begun, PooledBegun):
             rollback = PooledRollback(begun.transaction)
@@ -263,36 +279,41 @@
 
     def _find(
         self, transaction: str, tenant: str, connection: int
-    ) -> _Bound | None:
-        bound = self._open.get(transaction)
-        if bound is None or bound.connection != connection:
+    ) -> _TransactionBinding | None:
+        binding = self._open.get(transaction)
+        if binding is None or binding.connection != connection:
             return None
-        return bound if bound.request.tenant == tenant else None
+        return binding if binding.request.tenant == tenant else None
 
-    def _settle(
-        self, req: PipelineRequest, bound: _Bound, reply: Result[Any, Failure]
+    def _resolve_commit(
+        self,
+        req: PipelineRequest,
+        binding: _TransactionBinding,
+        reply: Result[Any, Failure],
     ) -> Result[Delivered, Failure]:
         if isinstance(reply, Success):
-            return Success(_delivered(bound, reply.unwrap()))
+            return Success(_delivered(binding, reply.unwrap()))
         failure = reply.failure()
         if isinstance(failure, PeerUnreachable | OutcomeUnknown):
-            refusal = TransactionLost('commit did not take effect')
+            refusal = TransactionLost('transaction was not committed')
             return self._confirm.settle(req, refusal)
         return reply
 
-    def _abort(self, transaction: str, bound: _Bound) -> None:
+    def _abort(self, transaction: str, binding: _TransactionBinding) -> None:
         self._open.pop(transaction, None)
         self._peers.call_host(
-            bound.host, PooledRollback(bound.pooled), STATEMENT_TIMEOUT_S
+            binding.host,
+            PooledRollback(binding.pooled),
+            STATEMENT_TIMEOUT_S,
         )
 
 
-def _delivered(bound: _Bound, reply: PooledResult) -> Delivered:
-    return Delivered(reply.result, bound.member, 0)
+def _delivered(binding: _TransactionBinding, reply: PooledResult) -> Delivered:
+    return Delivered(reply.result, binding.member, 0)
 
 
 def _as_not_begun(failure: Failure) -> Failure:
-    # A transaction without a commit has no effect.
+    # A transaction that was not committed has no effects.
     if isinstance(failure, PeerUnreachable):
         return NoUpstream(failure.detail)
     return failure
--- a/packages/node/src/trefoilpulley_node/entry/state.py
+++ b/packages/node/src/trefoilpulley_node/entry/state.py
@@ -1,4 +1,4 @@
-"""State dump of the process."""
+"""Collects the state dump of the process."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class StateSource:
-    """Collects the state of each role on request.
+    """Collects the sections of the state dump.
 
     Parameters
     ----------
     operator_secret : str
-        Secret of the operators.
+        Secret that an operator must send to read the state.
     """
 
     def __init__(self, operator_secret: str) -> None:
@@ -34,15 +34,23 @@
         self._sections: dict[str, Callable[[], Any]] = {}
 
     def register(self, section: str, dump: Callable[[], Any]) -> None:
-        """Add a section; the dump returns a frozen data class."""
+        """Register a section.
+
+        Parameters
+        ----------
+        section : str
+            Name of the section.
+        dump : Callable[[], Any]
+            Returns the section as a frozen data class.
+        """
         self._sections[section] = dump
 
     def collect(self, operator_secret: str) -> Result[dict[str, Any], Failure]:
-        """Return the state of every section to an operator."""
+        """Return every section if the operator's secret is right."""
         if not hmac.compare_digest(
             operator_secret.encode(), self._operator_secret.encode()
         ):
-            return Failed(NotAuthenticated('wrong operator secret'))
+            return Failed(NotAuthenticated('operator secret is wrong'))
         return Success(
             {
                 section: _CONVERTER.unstructure(dump())
--- a/packages/node/src/trefoilpulley_node/peer_server.py
+++ b/packages/node/src/trefoilpulley_node/peer_server.py
@@ -56,7 +56,7 @@
     def __init__(self, host: str, incarnation: int, secret: str) -> None:
         self._secret = secret
         self._welcome = PeerWelcome(host, incarnation)
-        self._serving: dict[type, Callable[[Any, PeerIdentity], Any]] = {}
+        self._handlers: dict[type, Callable[[Any, PeerIdentity], Any]] = {}
         self._on_close: list[Callable[[PeerIdentity], None]] = []
         self._connections = 0
 
@@ -64,7 +64,7 @@
         self, kind: type, serve: Callable[[Any, PeerIdentity], Any]
     ) -> None:
         """Let a role serve one type of message."""
-        self._serving[kind] = serve
+        self._handlers[kind] = serve
 
     def register_close(self, on_close: Callable[[PeerIdentity], None]) -> None:
         """Let a role learn that a peer's connection has ended."""
@@ -72,7 +72,7 @@
 
     def serve(self, message: Any, peer: PeerIdentity) -> Any:
         """Return the reply to a message of an authenticated peer."""
-        serve = self._serving.get(type(message))
+        serve = self._handlers.get(type(message))
         if serve is None:
             return make_reply(MalformedMessage('no role serves the message'))
         try:
