--- a/features/fakes/fake_entry_parts.py
+++ b/features/fakes/fake_entry_parts.py
@@ -59,7 +59,7 @@
         """Return one host for each member."""
         return f'pooler-of-{member}'
 
-    def ask_host(
+    def call_host_raw(
         self, host: str, message: Any, timeout_s: float, abort: Any = None
     ) -> Result[Any, Failure]:
         """Take the next answer of the script."""
@@ -84,7 +84,7 @@
         self, host: str, message: Any, timeout_s: float
     ) -> Result[Any, Failure]:
         """Take the next answer, a refusal as the typed failure."""
-        reply = self.ask_host(host, message, timeout_s)
+        reply = self.call_host_raw(host, message, timeout_s)
         if isinstance(reply.value_or(None), PooledFailure):
             return Failed(read_failure(reply.unwrap()))
         return reply
@@ -96,14 +96,14 @@
     def __init__(self, clock: FakeClock) -> None:
         self._clock = clock
 
-    def begin_work(self, database: str) -> int:
+    def begin_request(self, database: str) -> int:
         """Ignore the request."""
         return 0
 
-    def end_work(self, number: int) -> None:
+    def end_request(self, number: int) -> None:
         """Ignore the request."""
 
-    def changed_event(self, database: str) -> None:
+    def primary_change_event(self, database: str) -> None:
         """Return no event."""
 
     def on_digest(self, digest: Any, sent_at: float) -> None:
@@ -112,7 +112,7 @@
     def on_unreachable(self, member: str) -> None:
         """Ignore the member."""
 
-    def wait_for_change(self, entry: Any, timeout_s: float) -> None:
+    def wait_for_primary_change(self, entry: Any, timeout_s: float) -> None:
         """Let the time pass."""
         self._clock.at += timeout_s
 
--- a/features/fakes/small_host.py
+++ b/features/fakes/small_host.py
@@ -91,8 +91,8 @@
             self.membership.find_peer_endpoint,
             lambda member: None,
         )
-        self.membership.serve_on(server, self._peers)
-        self.documents.serve_on(server, self._peers)
+        self.membership.register_handlers(server, self._peers)
+        self.documents.register_handlers(server, self._peers)
         self.membership.subscribe_live(self.documents.on_live_hosts)
         self.membership.subscribe_versions(self.documents.on_versions)
         self.documents.subscribe(self._on_document)
--- a/features/fakes/tenants_host.py
+++ b/features/fakes/tenants_host.py
@@ -26,15 +26,15 @@
 from trefoilpulley_core.targets import ClassTargets
 from trefoilpulley_core.token import TokenCodec
 from trefoilpulley_node.entry.caller_server import CallerServer
-from trefoilpulley_node.entry.caller_server import EntryParts
+from trefoilpulley_node.entry.caller_server import EntryComponents
 from trefoilpulley_node.entry.entry_transactions import EntryTransactions
-from trefoilpulley_node.entry.state import StateSource
+from trefoilpulley_node.entry.state import StateCollector
 from trefoilpulley_node.metrics import Metrics
 from trefoilpulley_node.pipeline.admit import Admit
 from trefoilpulley_node.pipeline.answer import AnswerMaker
 from trefoilpulley_node.pipeline.authenticate import Authenticate
 from trefoilpulley_node.pipeline.classify import Classify
-from trefoilpulley_node.pipeline.confirm import Confirm
+from trefoilpulley_node.pipeline.confirm import OutcomeResolver
 from trefoilpulley_node.pipeline.deliver import Deliver
 from trefoilpulley_node.pipeline.execute import Executor
 from trefoilpulley_node.pipeline.pipeline import Pipeline
@@ -49,16 +49,16 @@
 class _Peers(FakePeers):
     """Begins transactions too; all other work is answered."""
 
-    def ask_host(
+    def call_host_raw(
         self, host: str, message: Any, timeout_s: float, abort: Any = None
     ) -> Result[Any, Failure]:
         """Answer a message of any kind."""
-        reply = super().ask_host(host, message, timeout_s, abort)
+        reply = super().call_host_raw(host, message, timeout_s, abort)
         if isinstance(message, PooledBegin):
             return Success(PooledBegun('p1'))
         return reply
 
-    call_host = ask_host
+    call_host = call_host_raw
 
 
 class _Router(FakeRouter):
@@ -188,7 +188,9 @@
         views = FakeViews(self._clock)
         router = _Router()
         executor = Executor(self._peers, views, self._clock)
-        confirm = Confirm(router, executor, views, lambda: False, self._clock)
+        confirm = OutcomeResolver(
+            router, executor, views, lambda: False, self._clock
+        )
         deliver = Deliver(
             router,
             executor,
@@ -199,7 +201,7 @@
             self._clock,
         )
         return CallerServer(
-            EntryParts(
+            EntryComponents(
                 'host',
                 authenticate,
                 admit,
@@ -211,7 +213,7 @@
                 AnswerMaker(tokens),
                 targets,
                 tokens,
-                StateSource('operators'),
+                StateCollector('operators'),
                 Metrics(None),
                 self._clock,
             )
--- a/features/steps/channel_steps.py
+++ b/features/steps/channel_steps.py
@@ -18,7 +18,7 @@
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.failure import Failure
 from trefoilpulley_node.entry.caller_server import CallerServer
-from trefoilpulley_node.entry.caller_server import refuse
+from trefoilpulley_node.entry.caller_server import make_refusal
 from trefoilpulley_wire.caller_codec import CALLER_CODEC
 from trefoilpulley_wire.channel import Channel
 from trefoilpulley_wire.channel import Handler
@@ -39,7 +39,7 @@
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
         """Refuse by type."""
-        return refuse(failure)
+        return make_refusal(failure)
 
 
 class ReversingHandler(EchoHandler):
--- a/features/steps/entry_transactions_steps.py
+++ b/features/steps/entry_transactions_steps.py
@@ -31,7 +31,7 @@
 from trefoilpulley_core.token import TokenCodec
 from trefoilpulley_node.entry.entry_transactions import EntryTransactions
 from trefoilpulley_node.pipeline.answer import AnswerMaker
-from trefoilpulley_node.pipeline.confirm import Confirm
+from trefoilpulley_node.pipeline.confirm import OutcomeResolver
 from trefoilpulley_node.pipeline.execute import Executor
 from trefoilpulley_node.pipeline.request import PipelineRequest
 from trefoilpulley_node.pipeline.session_floor import SessionFloor
@@ -66,11 +66,11 @@
         self.has_refused = Event()
         self.is_rolled_back = Event()
 
-    def ask_host(
+    def call_host_raw(
         self, host: str, message: Any, timeout_s: float, abort: Any = None
     ) -> Any:
         """Hold the answer to a begin back."""
-        reply = super().ask_host(host, message, timeout_s)
+        reply = super().call_host_raw(host, message, timeout_s)
         if isinstance(message, PooledBegin):
             self._clock.at += 1
             self.has_refused.wait(5)
@@ -130,7 +130,7 @@
         views = FakeViews(clock)
         router = FakeRouter()
         context.codec = TokenCodec('deployment', ('key',))
-        confirm = Confirm(
+        confirm = OutcomeResolver(
             router,
             Executor(peers, views, clock),
             views,
--- a/features/steps/pipeline_steps.py
+++ b/features/steps/pipeline_steps.py
@@ -38,7 +38,7 @@
 from trefoilpulley_node.pipeline.admit import make_key
 from trefoilpulley_node.pipeline.authenticate import Authenticate
 from trefoilpulley_node.pipeline.classify import Classify
-from trefoilpulley_node.pipeline.confirm import Confirm
+from trefoilpulley_node.pipeline.confirm import OutcomeResolver
 from trefoilpulley_node.pipeline.deliver import Deliver
 from trefoilpulley_node.pipeline.execute import Executor
 from trefoilpulley_node.pipeline.pipeline import Pipeline
@@ -64,8 +64,8 @@
 }
 
 
-class _LastRefusal(Confirm):
-    def settle(self, req: PipelineRequest, refusal: Any) -> Any:
+class _LastRefusal(OutcomeResolver):
+    def resolve_outcome(self, req: PipelineRequest, refusal: Any) -> Any:
         """Say the refusal without a look-up."""
         return Failed(refusal)
 
@@ -152,7 +152,7 @@
         """Script the answers; the last one repeats."""
         context.clock = FakeClock()
         context.peers = FakePeers(context.clock, answers.split(', '))
-        context.confirm_type = Confirm
+        context.confirm_type = OutcomeResolver
         context.is_cut_off = False
         context.database = DATABASES['ledger/0']
 
@@ -247,5 +247,5 @@
     @then('that is false, since the write has run')
     def check_false(context: Any) -> None:
         """Expect the pooler to hold the outcome of the write."""
-        answer = context.peers.ask_host('a', None, 1.0)
+        answer = context.peers.call_host_raw('a', None, 1.0)
         assert answer.unwrap().result.is_recalled
--- a/packages/node/src/trefoilpulley_node/beginnings.py
+++ b/packages/node/src/trefoilpulley_node/beginnings.py
@@ -18,16 +18,16 @@
 
 
 @dataclass(eq=False, slots=True)
-class _Beginning:
+class _PendingBegin:
     connection: int
-    is_orphaned: bool = False
+    is_connection_lost: bool = False
 
 
-class Beginnings:
+class PendingBegins:
     """Rolls back a transaction whose connection ended while it began."""
 
     def __init__(self) -> None:
-        self._running: set[_Beginning] = set()
+        self._running: set[_PendingBegin] = set()
 
     def run(
         self,
@@ -46,19 +46,19 @@
         roll_back : Callable[[str], Any]
             Rolls it back where the connection has ended meanwhile.
         """
-        beginning = _Beginning(connection)
-        self._running.add(beginning)
+        pending = _PendingBegin(connection)
+        self._running.add(pending)
         try:
             begun = begin()
         finally:
-            self._running.discard(beginning)
-        if not beginning.is_orphaned or not isinstance(begun, Success):
+            self._running.discard(pending)
+        if not pending.is_connection_lost or not isinstance(begun, Success):
             return begun
         roll_back(begun.unwrap())
         return Failed(TransactionLost('connection ended'))
 
-    def on_lost(self, connection: int) -> None:
+    def on_connection_lost(self, connection: int) -> None:
         """Take note that a connection has ended."""
-        for beginning in self._running:
-            if beginning.connection == connection:
-                beginning.is_orphaned = True
+        for pending in self._running:
+            if pending.connection == connection:
+                pending.is_connection_lost = True
--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -22,11 +22,11 @@
 from trefoilpulley_node.coordination.observer import SituationObserver
 from trefoilpulley_node.directory import Directory
 from trefoilpulley_node.entry.caller_server import CallerServer
-from trefoilpulley_node.entry.caller_server import EntryParts
+from trefoilpulley_node.entry.caller_server import EntryComponents
 from trefoilpulley_node.entry.entry_state import EntryState
 from trefoilpulley_node.entry.entry_transactions import EntryTransactions
-from trefoilpulley_node.entry.state import StateSource
-from trefoilpulley_node.entry.views import Views
+from trefoilpulley_node.entry.state import StateCollector
+from trefoilpulley_node.entry.views import DatabaseViews
 from trefoilpulley_node.etcd_gateway import EtcdGateway
 from trefoilpulley_node.etcd_platform import EtcdPlatform
 from trefoilpulley_node.membership_runner import MembershipRunner
@@ -39,7 +39,7 @@
 from trefoilpulley_node.pipeline.answer import AnswerMaker
 from trefoilpulley_node.pipeline.authenticate import Authenticate
 from trefoilpulley_node.pipeline.classify import Classify
-from trefoilpulley_node.pipeline.confirm import Confirm
+from trefoilpulley_node.pipeline.confirm import OutcomeResolver
 from trefoilpulley_node.pipeline.deliver import Deliver
 from trefoilpulley_node.pipeline.execute import Executor
 from trefoilpulley_node.pipeline.pipeline import Pipeline
@@ -47,7 +47,7 @@
 from trefoilpulley_node.pipeline.session_floor import SessionFloor
 from trefoilpulley_node.policies import make_routing
 from trefoilpulley_node.policies import make_slot_queue
-from trefoilpulley_node.pool_owner import PoolOwner
+from trefoilpulley_node.pool_owner import PoolOwnershipMonitor
 from trefoilpulley_node.pooler.pooler import Pooler
 from trefoilpulley_node.pooler.pooler_state import dump_pooler
 from trefoilpulley_node.tls import make_caller_context
@@ -81,7 +81,7 @@
         self._rng = random.Random(self._incarnation)
         self._targets = ClassTargets()
         self._tokens = TokenCodec(cfg.deployment, cfg.token_keys)
-        self._state = StateSource(cfg.operator_secret)
+        self._state = StateCollector(cfg.operator_secret)
 
     def compose(self) -> Node:
         """Return the wired process."""
@@ -93,7 +93,7 @@
                 self._documents,
                 self._membership,
                 self._views,
-                self._pool_owner,
+                self._pool_ownership,
                 self._coordination,
             ),
             self._membership,
@@ -166,8 +166,10 @@
         )
 
     @cached_property
-    def _pool_owner(self) -> PoolOwner:
-        return PoolOwner(self._cfg.host, self._directory, self._pooler)
+    def _pool_ownership(self) -> PoolOwnershipMonitor:
+        return PoolOwnershipMonitor(
+            self._cfg.host, self._directory, self._pooler
+        )
 
     @cached_property
     def _observer(self) -> SituationObserver:
@@ -190,8 +192,8 @@
         )
 
     @cached_property
-    def _views(self) -> Views:
-        return Views(self._clock, self._peers, self._get_declarations)
+    def _views(self) -> DatabaseViews:
+        return DatabaseViews(self._clock, self._peers, self._get_declarations)
 
     @cached_property
     def _router(self) -> Router:
@@ -203,8 +205,8 @@
         return Executor(self._peers, self._views, self._clock)
 
     @cached_property
-    def _confirm(self) -> Confirm:
-        return Confirm(
+    def _outcome_resolver(self) -> OutcomeResolver:
+        return OutcomeResolver(
             self._router,
             self._executor,
             self._views,
@@ -230,7 +232,7 @@
             self._router,
             self._peers,
             self._session_floor,
-            self._confirm,
+            self._outcome_resolver,
             self._views,
             self._clock,
         )
@@ -253,7 +255,7 @@
         deliver = Deliver(
             self._router,
             self._executor,
-            self._confirm,
+            self._outcome_resolver,
             self._views,
             RetryBudget(),
             self._directory.is_cut_off,
@@ -263,7 +265,7 @@
 
     @cached_property
     def _callers(self) -> Listener:
-        parts = EntryParts(
+        parts = EntryComponents(
             self._cfg.host,
             self._authenticate,
             self._admit,
@@ -297,9 +299,9 @@
         return self._documents.configuration.declarations
 
     def _connect_services(self) -> None:
-        self._documents.serve_on(self._peer_server, self._peers)
-        self._membership.serve_on(self._peer_server, self._peers)
-        self._pooler.serve_on(self._peer_server)
+        self._documents.register_handlers(self._peer_server, self._peers)
+        self._membership.register_handlers(self._peer_server, self._peers)
+        self._pooler.register_handlers(self._peer_server)
         self._documents.subscribe(self._on_document)
         self._membership.subscribe_live(self._documents.on_live_hosts)
         self._membership.subscribe_versions(self._documents.on_versions)
--- a/packages/node/src/trefoilpulley_node/configuration_runner.py
+++ b/packages/node/src/trefoilpulley_node/configuration_runner.py
@@ -20,7 +20,7 @@
 from trefoilpulley_node.document_reader import DocumentReader
 from trefoilpulley_node.document_reader import SOURCES
 from trefoilpulley_node import events
-from trefoilpulley_node.peer_server import make_reply
+from trefoilpulley_node.peer_server import make_failure_reply
 from trefoilpulley_node.service import Service
 
 if TYPE_CHECKING:
@@ -127,7 +127,7 @@
         """Call back whenever a document comes into force."""
         self._on_change.append(on_change)
 
-    def serve_on(self, server: PeerServer, peers: Peers) -> None:
+    def register_handlers(self, server: PeerServer, peers: Peers) -> None:
         """Serve the messages of other hosts."""
         self._peers = peers
         server.register(Document, self._on_push)
@@ -255,7 +255,7 @@
     def _on_fetch(self, req: FetchDocument, peer: PeerIdentity) -> Any:
         document = self._holder.find(req.kind)
         if document is None:
-            return make_reply(NotRun('no such document yet'))
+            return make_failure_reply(NotRun('no such document yet'))
         return document
 
     def _note(self, document: Document, taken: Result[bool, Failure]) -> None:
--- a/packages/node/src/trefoilpulley_node/entry/caller_server.py
+++ b/packages/node/src/trefoilpulley_node/entry/caller_server.py
@@ -28,7 +28,7 @@
     from trefoilpulley_core.targets import ClassTargets
     from trefoilpulley_core.token import TokenCodec
     from trefoilpulley_node.entry.entry_transactions import EntryTransactions
-    from trefoilpulley_node.entry.state import StateSource
+    from trefoilpulley_node.entry.state import StateCollector
     from trefoilpulley_node.metrics import Metrics
     from trefoilpulley_node.pipeline.admit import Admit
     from trefoilpulley_node.pipeline.answer import AnswerMaker
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EntryParts:
+class EntryComponents:
     """Components of the entry role."""
 
     host: str
@@ -79,7 +79,7 @@
     tokens: TokenCodec
     """Signs session tokens."""
 
-    state: StateSource
+    state: StateCollector
     """Collects the state dump."""
 
     metrics: Metrics
@@ -94,11 +94,11 @@
 
     Parameters
     ----------
-    parts : EntryParts
+    parts : EntryComponents
         Components of the entry role.
     """
 
-    def __init__(self, components: EntryParts) -> None:
+    def __init__(self, components: EntryComponents) -> None:
         self._components = components
         self._connections = itertools.count(1)
         self._handlers = {
@@ -116,14 +116,14 @@
         if isinstance(message, messages.GetState):
             return self._on_get_state(message)
         if channel.context is None:
-            return refuse(
+            return make_refusal(
                 NotAuthenticated(
                     'first message of a connection must be a hello'
                 )
             )
         handler = self._handlers.get(type(message))
         if handler is None:
-            return refuse(MalformedMessage('message is not a request'))
+            return make_refusal(MalformedMessage('message is not a request'))
         return self._serve(handler, message, channel.context)
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
@@ -131,7 +131,7 @@
 
         The connection stays open.
         """
-        return refuse(failure)
+        return make_refusal(failure)
 
     def on_close(self, channel: Channel) -> None:
         """Roll back the open transactions of the caller."""
@@ -151,7 +151,7 @@
             events.HANDLER_CRASHED.log(
                 message=type(message).__name__, error=repr(exc)
             )
-            reply = refuse(OutcomeUnknown('internal error'))
+            reply = make_refusal(OutcomeUnknown('internal error'))
         components.metrics.time(
             'request', 1000 * (components.clock.now() - started)
         )
@@ -163,7 +163,7 @@
         checked = self._components.authenticate.check(hello)
         if not isinstance(checked, Success):
             events.CALLER_REFUSED.log(tenant=hello.tenant)
-            return refuse(checked.failure())
+            return make_refusal(checked.failure())
         tenant = checked.unwrap()
         channel.context = CallerIdentity(tenant, next(self._connections))
         token = self._components.tokens.encode(SessionToken(tenant))
@@ -172,7 +172,7 @@
     def _on_get_state(self, message: messages.GetState) -> Any:
         state = self._components.state.collect(message.operator_secret)
         if not isinstance(state, Success):
-            return refuse(state.failure())
+            return make_refusal(state.failure())
         return messages.StateDump(state.unwrap())
 
     def _on_execute(
@@ -191,7 +191,7 @@
             message, caller.tenant, caller.connection
         )
         if not isinstance(executed, Success):
-            return refuse(executed.failure())
+            return make_refusal(executed.failure())
         found = executed.unwrap()
         return messages.Answer(
             found.result.columns,
@@ -219,7 +219,7 @@
             ),
         )
         if not isinstance(begun, Success):
-            return refuse(begun.failure())
+            return make_refusal(begun.failure())
         return messages.Begun(begun.unwrap())
 
     def _on_commit(
@@ -238,7 +238,7 @@
             message.transaction, caller.tenant, caller.connection
         )
         if not isinstance(ended, Success):
-            return refuse(ended.failure())
+            return make_refusal(ended.failure())
         return messages.Done()
 
     def _run_admitted(
@@ -272,11 +272,11 @@
 
     def _answer(self, result: Result[PipelineRequest, Failure]) -> Any:
         if not isinstance(result, Success):
-            return refuse(result.failure())
+            return make_refusal(result.failure())
         return self._components.answers.make(result.unwrap())
 
 
-def refuse(failure: Failure) -> messages.Refusal:
+def make_refusal(failure: Failure) -> messages.Refusal:
     """Return the refusal message for a failure."""
     return messages.Refusal(
         failure.code,
--- a/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
+++ b/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
@@ -30,17 +30,17 @@
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.upstream import OutcomeKey
 from trefoilpulley_core.upstream import Statement
-from trefoilpulley_node.beginnings import Beginnings
+from trefoilpulley_node.beginnings import PendingBegins
 from trefoilpulley_node.peers import read_failure
-from trefoilpulley_node.pipeline.request import Delivered
+from trefoilpulley_node.pipeline.request import DeliveredResult
 
 if TYPE_CHECKING:
     from trefoilpulley_core.caller import Commit
     from trefoilpulley_core.caller import Execute
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_node.entry.views import Views
+    from trefoilpulley_node.entry.views import DatabaseViews
     from trefoilpulley_node.peers import Peers
-    from trefoilpulley_node.pipeline.confirm import Confirm
+    from trefoilpulley_node.pipeline.confirm import OutcomeResolver
     from trefoilpulley_node.pipeline.request import PipelineRequest
     from trefoilpulley_node.pipeline.route import Router
     from trefoilpulley_node.pipeline.session_floor import SessionFloor
@@ -98,18 +98,18 @@
         router: Router,
         peers: Peers,
         session_floor: SessionFloor,
-        confirm: Confirm,
-        views: Views,
+        outcome_resolver: OutcomeResolver,
+        views: DatabaseViews,
         clock: Clock,
     ) -> None:
         self._router = router
         self._peers = peers
         self._session_floor = session_floor
-        self._confirm = confirm
+        self._outcome_resolver = outcome_resolver
         self._views = views
         self._clock = clock
         self._open: dict[str, _TransactionBinding] = {}
-        self._beginnings = Beginnings()
+        self._pending_begins = PendingBegins()
         self._ids = itertools.count(1)
 
     def __len__(self) -> int:
@@ -119,7 +119,7 @@
         self, req: PipelineRequest, connection: int
     ) -> Result[str, Failure]:
         """Begin a transaction at the primary and return its identifier."""
-        return self._beginnings.run(
+        return self._pending_begins.run(
             connection,
             lambda: self._begin(req, connection),
             lambda begun: self.rollback(begun, req.tenant, connection),
@@ -127,7 +127,7 @@
 
     def run(
         self, message: Execute, tenant: str, connection: int
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         """Run a statement in a transaction that the caller began."""
         binding = self._find(message.transaction, tenant, connection)
         if binding is None:
@@ -192,7 +192,7 @@
 
     def on_caller_lost(self, connection: int) -> None:
         """Roll back the open transactions of a connection that ended."""
-        self._beginnings.on_lost(connection)
+        self._pending_begins.on_connection_lost(connection)
         for transaction, binding in list(self._open.items()):
             if binding.connection == connection:
                 self._abort(transaction, binding)
@@ -216,7 +216,9 @@
             if isinstance(begun, Success):
                 return begun
             failure = begun.failure()
-            self._views.wait_for_change(req.database, BEGIN_RETRY_INTERVAL_S)
+            self._views.wait_for_primary_change(
+                req.database, BEGIN_RETRY_INTERVAL_S
+            )
         return Failed(_as_not_begun(failure))
 
     def _begin_once(
@@ -261,7 +263,7 @@
         # long after the caller was refused. The transaction that then
         # begins would block writes at the member, so it is rolled back.
         pending = gevent.spawn(
-            self._peers.ask_host, host, message, LATE_ANSWER_TIMEOUT_S
+            self._peers.call_host_raw, host, message, LATE_ANSWER_TIMEOUT_S
         )
         pending.join(timeout_s)
         if pending.ready():
@@ -290,13 +292,13 @@
         req: PipelineRequest,
         binding: _TransactionBinding,
         reply: Result[Any, Failure],
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         if isinstance(reply, Success):
             return Success(_delivered(binding, reply.unwrap()))
         failure = reply.failure()
         if isinstance(failure, PeerUnreachable | OutcomeUnknown):
             refusal = TransactionLost('transaction was not committed')
-            return self._confirm.settle(req, refusal)
+            return self._outcome_resolver.resolve_outcome(req, refusal)
         return reply
 
     def _abort(self, transaction: str, binding: _TransactionBinding) -> None:
@@ -308,8 +310,10 @@
         )
 
 
-def _delivered(binding: _TransactionBinding, reply: PooledResult) -> Delivered:
-    return Delivered(reply.result, binding.member, 0)
+def _delivered(
+    binding: _TransactionBinding, reply: PooledResult
+) -> DeliveredResult:
+    return DeliveredResult(reply.result, binding.member, 0)
 
 
 def _as_not_begun(failure: Failure) -> Failure:
--- a/packages/node/src/trefoilpulley_node/entry/state.py
+++ b/packages/node/src/trefoilpulley_node/entry/state.py
@@ -20,7 +20,7 @@
 _CONVERTER = make_converter()
 
 
-class StateSource:
+class StateCollector:
     """Collects the sections of the state dump.
 
     Parameters
--- a/packages/node/src/trefoilpulley_node/entry/views.py
+++ b/packages/node/src/trefoilpulley_node/entry/views.py
@@ -63,7 +63,7 @@
     started_at: float
 
 
-class Views(Service):
+class DatabaseViews(Service):
     """Keeps the digests of the members in use up to date.
 
     An answer to a request contains the digest of the member that served
@@ -129,7 +129,7 @@
             tuple(self._store.view(m, stopping) for m in entry.members),
         )
 
-    def begin_work(self, database: str) -> int:
+    def begin_request(self, database: str) -> int:
         """Record the start of a request and return its number."""
         self._has_requests.set()
         number = next(self._ids)
@@ -138,20 +138,22 @@
         )
         return number
 
-    def end_work(self, number: int) -> None:
+    def end_request(self, number: int) -> None:
         """Record that a request has ended."""
         del self._running_requests[number]
 
-    def changed_event(self, database: str) -> Event:
+    def primary_change_event(self, database: str) -> Event:
         """Return the event that is set at the next change of primary."""
         changed = self._change_events.get(database)
         if changed is None:
             changed = self._change_events[database] = Event()
         return changed
 
-    def wait_for_change(self, entry: DatabaseEntry, timeout_s: float) -> None:
+    def wait_for_primary_change(
+        self, entry: DatabaseEntry, timeout_s: float
+    ) -> None:
         """Request the digests of a database and wait for a new primary."""
-        changed = self.changed_event(entry.name)
+        changed = self.primary_change_event(entry.name)
         self._fetcher.fetch(m.name for m in entry.members)
         changed.wait(timeout_s)
 
--- a/packages/node/src/trefoilpulley_node/membership_runner.py
+++ b/packages/node/src/trefoilpulley_node/membership_runner.py
@@ -119,7 +119,7 @@
         """Call back with the documents that a peer holds."""
         self._on_versions.append(on_versions)
 
-    def serve_on(self, server: PeerServer, peers: Peers) -> None:
+    def register_handlers(self, server: PeerServer, peers: Peers) -> None:
         """Serve the membership messages of other hosts."""
         self._peers = peers
         server.register(Probe, self._on_probe)
--- a/packages/node/src/trefoilpulley_node/peer_server.py
+++ b/packages/node/src/trefoilpulley_node/peer_server.py
@@ -74,21 +74,23 @@
         """Return the reply to a message of an authenticated peer."""
         serve = self._handlers.get(type(message))
         if serve is None:
-            return make_reply(MalformedMessage('no role serves the message'))
+            return make_failure_reply(
+                MalformedMessage('no role serves the message')
+            )
         try:
             return serve(message, peer)
         except Exception as exc:  # a fault here must not end the connection
             events.HANDLER_CRASHED.log(
                 message=type(message).__name__, error=repr(exc)
             )
-            return make_reply(OutcomeUnknown('internal error'))
+            return make_failure_reply(OutcomeUnknown('internal error'))
 
     def on_request(self, channel: Channel, message: Any) -> Any:
         """Serve a request once the peer is known."""
         if isinstance(message, PeerHello):
             return self._greet(channel, message)
         if channel.context is None:
-            return make_reply(NotAuthenticated())
+            return make_failure_reply(NotAuthenticated())
         return self.serve(message, channel.context)
 
     def on_notice(self, channel: Channel, message: Any) -> None:
@@ -98,7 +100,7 @@
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
         """Reply to what could not be decoded."""
-        return make_reply(failure)
+        return make_failure_reply(failure)
 
     def on_close(self, channel: Channel) -> None:
         """Tell the roles that a peer's connection has ended."""
@@ -112,7 +114,7 @@
             hello.secret.encode(), self._secret.encode()
         ):
             events.PEER_REFUSED.log(host=hello.host)
-            return make_reply(NotAuthenticated())
+            return make_failure_reply(NotAuthenticated())
         self._connections += 1
         channel.context = PeerIdentity(
             hello.host, hello.zone, hello.incarnation, self._connections
@@ -120,6 +122,6 @@
         return self._welcome
 
 
-def make_reply(failure: Failure) -> PooledFailure:
+def make_failure_reply(failure: Failure) -> PooledFailure:
     """Return the wire form of a failure between hosts."""
     return PooledFailure(failure.code, failure.detail)
--- a/packages/node/src/trefoilpulley_node/peers.py
+++ b/packages/node/src/trefoilpulley_node/peers.py
@@ -100,9 +100,9 @@
         Result[Any, Failure]
             The reply; a `PooledFailure` comes as the typed failure.
         """
-        return _unwrap(self.ask_host(host, message, timeout_s))
+        return _unwrap(self.call_host_raw(host, message, timeout_s))
 
-    def ask_host(
+    def call_host_raw(
         self,
         host: str,
         message: Any,
--- a/packages/node/src/trefoilpulley_node/pipeline/confirm.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/confirm.py
@@ -19,9 +19,9 @@
     from collections.abc import Callable
 
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_node.entry.views import Views
+    from trefoilpulley_node.entry.views import DatabaseViews
     from trefoilpulley_node.pipeline.execute import Executor
-    from trefoilpulley_node.pipeline.request import Delivered
+    from trefoilpulley_node.pipeline.request import DeliveredResult
     from trefoilpulley_node.pipeline.request import PipelineRequest
     from trefoilpulley_node.pipeline.route import Router
 
@@ -32,7 +32,7 @@
 """Longest wait for a change of primary between look-ups, in seconds."""
 
 
-class Confirm:
+class OutcomeResolver:
     """Looks up the outcome of a write until the outcome is known.
 
     Parameters
@@ -55,7 +55,7 @@
         self,
         router: Router,
         executor: Executor,
-        views: Views,
+        views: DatabaseViews,
         is_cut_off: Callable[[], bool],
         clock: Clock,
     ) -> None:
@@ -65,9 +65,9 @@
         self._is_cut_off = is_cut_off
         self._clock = clock
 
-    def settle(
+    def resolve_outcome(
         self, req: PipelineRequest, refusal: Failure
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         """Return the outcome of a write, or a refusal if it will never run.
 
         Parameters
@@ -95,7 +95,9 @@
                 return result
             if self._is_cut_off():
                 break
-            self._views.wait_for_change(req.database, LOOKUP_RETRY_INTERVAL_S)
+            self._views.wait_for_primary_change(
+                req.database, LOOKUP_RETRY_INTERVAL_S
+            )
         events.OUTCOME_UNKNOWN.log(
             tenant=req.tenant, request=req.key.request_id
         )
@@ -105,7 +107,7 @@
 
     def _look_up(
         self, req: PipelineRequest, left_s: float
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         route = self._router.choose_primary(req)
         if not isinstance(route, Success):
             return route
--- a/packages/node/src/trefoilpulley_node/pipeline/deliver.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/deliver.py
@@ -30,10 +30,10 @@
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.retry_budget import RetryBudget
     from trefoilpulley_core.routing import Route
-    from trefoilpulley_node.entry.views import Views
-    from trefoilpulley_node.pipeline.confirm import Confirm
+    from trefoilpulley_node.entry.views import DatabaseViews
+    from trefoilpulley_node.pipeline.confirm import OutcomeResolver
     from trefoilpulley_node.pipeline.execute import Executor
-    from trefoilpulley_node.pipeline.request import Delivered
+    from trefoilpulley_node.pipeline.request import DeliveredResult
     from trefoilpulley_node.pipeline.route import Router
 
 PRIMARY_CHANGE_TIMEOUT_S = 0.05
@@ -81,15 +81,15 @@
         self,
         router: Router,
         executor: Executor,
-        confirm: Confirm,
-        views: Views,
+        outcome_resolver: OutcomeResolver,
+        views: DatabaseViews,
         retries: RetryBudget,
         is_cut_off: Callable[[], bool],
         clock: Clock,
     ) -> None:
         self._router = router
         self._executor = executor
-        self._confirm = confirm
+        self._outcome_resolver = outcome_resolver
         self._views = views
         self._retries = retries
         self._is_cut_off = is_cut_off
@@ -98,12 +98,16 @@
     def apply(self, req: PipelineRequest) -> Result[PipelineRequest, Failure]:
         """Add the result of the request."""
         if isinstance(req.message, LookUp):
-            resolved = self._confirm.settle(req, NotRun('request was not run'))
+            resolved = self._outcome_resolver.resolve_outcome(
+                req, NotRun('request was not run')
+            )
         else:
             resolved = self._deliver(req)
         return resolved.map(lambda found: replace(req, delivered=found))
 
-    def _deliver(self, req: PipelineRequest) -> Result[Delivered, Failure]:
+    def _deliver(
+        self, req: PipelineRequest
+    ) -> Result[DeliveredResult, Failure]:
         excluded: frozenset[str] = frozenset()
         is_uncertain = False
         attempts = 0
@@ -153,17 +157,17 @@
     def _wait(self, req: PipelineRequest) -> None:
         left_s = req.deadline - self._clock.now()
         if left_s > 0:
-            self._views.wait_for_change(
+            self._views.wait_for_primary_change(
                 req.database, min(PRIMARY_CHANGE_TIMEOUT_S, left_s)
             )
 
     def _finish_failed(
         self, req: PipelineRequest, failure: Failure, is_uncertain: bool
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         if req.work_class.work is WorkKind.READ:
             return Failed(_as_read_failure(failure))
         if is_uncertain:
-            return self._confirm.settle(req, failure)
+            return self._outcome_resolver.resolve_outcome(req, failure)
         return Failed(failure)
 
 
--- a/packages/node/src/trefoilpulley_node/pipeline/execute.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/execute.py
@@ -23,14 +23,14 @@
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.upstream import Statement
 from trefoilpulley_node.peers import read_failure
-from trefoilpulley_node.pipeline.request import Delivered
+from trefoilpulley_node.pipeline.request import DeliveredResult
 
 if TYPE_CHECKING:
     from gevent.event import Event
 
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.routing import Route
-    from trefoilpulley_node.entry.views import Views
+    from trefoilpulley_node.entry.views import DatabaseViews
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_node.pipeline.request import PipelineRequest
 
@@ -57,14 +57,16 @@
         Monotonic time.
     """
 
-    def __init__(self, peers: Peers, views: Views, clock: Clock) -> None:
+    def __init__(
+        self, peers: Peers, views: DatabaseViews, clock: Clock
+    ) -> None:
         self._peers = peers
         self._views = views
         self._clock = clock
 
     def execute(
         self, req: PipelineRequest, route: Route
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         """Run one attempt of a request at the chosen member.
 
         A change of primary ends the wait for the answer to a write.
@@ -72,7 +74,7 @@
         scope = self._scope(req, route)
         if req.work_class.work is WorkKind.WRITE:
             message = _make_write(req, scope)
-            abort = self._views.changed_event(req.database.name)
+            abort = self._views.primary_change_event(req.database.name)
             return self._send_request(
                 route.member, message, scope, req.database.name, abort
             )
@@ -83,7 +85,7 @@
 
     def resolve(
         self, req: PipelineRequest, route: Route, remaining_s: float
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         """Look up the outcome of a request, or abandon its key."""
         scope = WorkScope(
             route.member,
@@ -114,17 +116,17 @@
         scope: WorkScope,
         database: str,
         abort: Event | None = None,
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         host = self._peers.find_pooler(member)
         if host is None:
             return Failed(NoUpstream('no host pools the member'))
         sent_at = self._clock.now()
         timeout_s = _timeout_s(message, scope)
-        work = self._views.begin_work(database)
+        work = self._views.begin_request(database)
         try:
-            reply = self._peers.ask_host(host, message, timeout_s, abort)
+            reply = self._peers.call_host_raw(host, message, timeout_s, abort)
         finally:
-            self._views.end_work(work)
+            self._views.end_request(work)
         if not isinstance(reply, Success):
             self._views.on_unreachable(member)
             return reply
@@ -132,7 +134,7 @@
 
     def _handle_reply(
         self, member: str, reply: Any, sent_at: float
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         if not isinstance(reply, PooledResult | PooledFailure):
             return Failed(
                 PeerUnreachable('pooler sent a reply of an unexpected type')
@@ -142,7 +144,7 @@
         if isinstance(reply, PooledFailure):
             return Failed(read_failure(reply))
         age_ms = reply.digest.age_ms if reply.digest else None
-        return Success(Delivered(reply.result, member, age_ms or 0))
+        return Success(DeliveredResult(reply.result, member, age_ms or 0))
 
 
 def _timeout_s(message: Any, scope: WorkScope) -> float:
--- a/packages/node/src/trefoilpulley_node/pipeline/request.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/request.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Delivered:
+class DeliveredResult:
     """Result of a request and the member that served it."""
 
     result: StatementResult
@@ -67,7 +67,7 @@
     key: OutcomeKey | None = None
     """Key of the write's outcome; set by ``Admit``."""
 
-    delivered: Delivered | None = None
+    delivered: DeliveredResult | None = None
     """Result of the request; set by ``Deliver`` or by a commit."""
 
     @property
--- a/packages/node/src/trefoilpulley_node/pipeline/route.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/route.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.routing import RoutingPolicy
-    from trefoilpulley_node.entry.views import Views
+    from trefoilpulley_node.entry.views import DatabaseViews
     from trefoilpulley_node.pipeline.request import PipelineRequest
 
 
@@ -39,7 +39,7 @@
     def __init__(
         self,
         policy: RoutingPolicy,
-        views: Views,
+        views: DatabaseViews,
         zone: str,
         clock: Clock,
     ) -> None:
--- a/packages/node/src/trefoilpulley_node/pool_owner.py
+++ b/packages/node/src/trefoilpulley_node/pool_owner.py
@@ -16,7 +16,7 @@
 """Time between two looks at the owners of the pooled members."""
 
 
-class PoolOwner(Service):
+class PoolOwnershipMonitor(Service):
     """Releases members whose owner by rendezvous hashing has changed.
 
     Parameters
--- a/packages/node/src/trefoilpulley_node/pooler/pooler.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooler.py
@@ -77,7 +77,7 @@
         self.members: dict[str, PooledMember] = {}
         """Members pooled by this host, by name."""
 
-    def serve_on(self, server: PeerServer) -> None:
+    def register_handlers(self, server: PeerServer) -> None:
         """Register the handlers of the role's messages."""
         server.register(messages.PooledRead, self.on_read)
         server.register(messages.PooledWrite, self.on_write)
--- a/packages/node/src/trefoilpulley_node/pooler/transactions.py
+++ b/packages/node/src/trefoilpulley_node/pooler/transactions.py
@@ -18,7 +18,7 @@
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_core.failure import ReplicaBehind
 from trefoilpulley_core.failure import TransactionLost
-from trefoilpulley_node.beginnings import Beginnings
+from trefoilpulley_node.beginnings import PendingBegins
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -72,7 +72,7 @@
         self._work = work
         self._call_later = call_later
         self._open: dict[str, _Transaction] = {}
-        self._beginnings = Beginnings()
+        self._pending_begins = PendingBegins()
         self._ids = itertools.count(1)
 
     def __len__(self) -> int:
@@ -82,7 +82,7 @@
         self, member: PooledMember, req: PooledBegin, peer: PeerIdentity
     ) -> Result[str, Failure]:
         """Begin a transaction for a peer and return its identifier."""
-        return self._beginnings.run(
+        return self._pending_begins.run(
             peer.connection,
             lambda: self._begin(member, req, peer),
             lambda transaction: self.rollback(transaction, peer),
@@ -137,7 +137,7 @@
 
     def on_peer_lost(self, peer: PeerIdentity) -> None:
         """Roll back the open transactions of a peer connection that ended."""
-        self._beginnings.on_lost(peer.connection)
+        self._pending_begins.on_connection_lost(peer.connection)
         for transaction, found in list(self._open.items()):
             if found.connection == peer.connection:
                 self._abort(transaction, found)
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -17,7 +17,7 @@
 from trefoilpulley_core.proxy.session_state import SessionState
 from trefoilpulley_core.proxy.upstream_session import OpenTransaction
 from trefoilpulley_core.proxy.upstream_session import TransactionState
-from trefoilpulley_node.peer_server import make_reply
+from trefoilpulley_node.peer_server import make_failure_reply
 from trefoilpulley_node.proxy.exchange import prove
 from trefoilpulley_node.proxy.lent_session import SessionSetting
 
@@ -114,7 +114,7 @@
         lease = self._leases.get(key)
         if lease is None:
             if message.is_pinned:
-                return make_reply(TransactionLost('lease has ended'))
+                return make_failure_reply(TransactionLost('lease has ended'))
             refusal = self._take(key, message, deadline)
             if refusal is not None:
                 return refusal
@@ -132,7 +132,7 @@
         lease.is_running = False
         if not isinstance(done, Success):
             self._end(key, lease)
-            return make_reply(done.failure())
+            return make_failure_reply(done.failure())
         replies = done.unwrap()
         lease.is_open = replies[-1].state is not TransactionState.IDLE
         if lease.is_ended or not lease.is_open:
@@ -212,7 +212,7 @@
 
 
 def _refuse(failure: Failure, is_member_missed: bool = False) -> RelayRefused:
-    return RelayRefused(make_reply(failure), is_member_missed)
+    return RelayRefused(make_failure_reply(failure), is_member_missed)
 
 
 def _setting_of(message: RelayedCalls) -> SessionSetting | None:
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -113,7 +113,7 @@
     def start(self) -> None:
         """Start the parts that work in the background."""
         self.directory.subscribe_groups(self._watch_group)
-        self._membership.serve_on(self._peer_server, self._peers)
+        self._membership.register_handlers(self._peer_server, self._peers)
         self._membership.subscribe_live(self._on_live_hosts)
         self._peer_server.register(
             ReachQuestion,
