--- a/packages/node/src/trefoilpulley_node/coordination/observer.py
+++ b/packages/node/src/trefoilpulley_node/coordination/observer.py
@@ -21,14 +21,14 @@
     the coordinator reads the view many times a second, and a deployment
     of many hosts changes far less often.
 
-        Parameters
-        ----------
-        get_catalog : Callable[[], Catalog]
-            Returns the newest catalogue.
-        get_declarations : Callable[[], Declarations]
-            Returns the declarations in force.
-        get_live_hosts : Callable[[], LiveHosts]
-            Returns the newest set of live hosts.
+    Parameters
+    ----------
+    get_catalog : Callable[[], Catalog]
+        Returns the newest catalogue.
+    get_declarations : Callable[[], Declarations]
+        Returns the declarations in force.
+    get_live_hosts : Callable[[], LiveHosts]
+        Returns the newest set of live hosts.
     """
 
     def __init__(
--- a/packages/node/src/trefoilpulley_node/entry/caller_server.py
+++ b/packages/node/src/trefoilpulley_node/entry/caller_server.py
@@ -94,7 +94,7 @@
 
     Parameters
     ----------
-    parts : EntryComponents
+    components : EntryComponents
         Components of the entry role.
     """
 
--- a/packages/node/src/trefoilpulley_node/entry/digest_store.py
+++ b/packages/node/src/trefoilpulley_node/entry/digest_store.py
@@ -54,10 +54,10 @@
             Monotonic time at which the request for the digest was sent, in
             seconds.
 
-            Returns
-            -------
-            bool
-                Whether the digest was stored.
+        Returns
+        -------
+        bool
+            Whether the digest was stored.
         """
         member_data = self._members.setdefault(digest.member, _MemberData())
         if sent_at < member_data.observed_at:
--- a/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
+++ b/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
@@ -85,9 +85,9 @@
         Sends requests to poolers.
     session_floor : SessionFloor
         Reads the session token of a commit.
-    confirm : Confirm
+    outcome_resolver : OutcomeResolver
         Finds out the outcome of commits whose answers were lost.
-    views : Views
+    views : DatabaseViews
         Reports changes of primary.
     clock : Clock
         Monotonic time.
--- a/packages/node/src/trefoilpulley_node/pipeline/confirm.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/confirm.py
@@ -41,7 +41,7 @@
         Finds the primary of the database.
     executor : Executor
         Sends the look-ups to the primary.
-    views : Views
+    views : DatabaseViews
         Reports changes of primary.
     is_cut_off : Callable[[], bool]
         Returns whether this host's zone is cut off from all other zones.
--- a/packages/node/src/trefoilpulley_node/pipeline/deliver.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/deliver.py
@@ -63,9 +63,9 @@
         Chooses the member for each attempt.
     executor : Executor
         Runs each attempt at the chosen member.
-    confirm : Confirm
+    outcome_resolver : OutcomeResolver
         Finds out the outcome of writes whose answers were lost.
-    views : Views
+    views : DatabaseViews
         Reports changes of primary.
     retries : RetryBudget
         Limits the attempts after the first.
--- a/packages/node/src/trefoilpulley_node/pipeline/execute.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/execute.py
@@ -51,7 +51,7 @@
     ----------
     peers : Peers
         Sends requests to poolers.
-    views : Views
+    views : DatabaseViews
         Stores the digests that answers contain.
     clock : Clock
         Monotonic time.
--- a/packages/node/src/trefoilpulley_node/pipeline/route.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/route.py
@@ -28,7 +28,7 @@
     ----------
     policy : RoutingPolicy
         Policy that chooses a member.
-    views : Views
+    views : DatabaseViews
         Newest digests of the members.
     zone : str
         Availability zone of this host.
