--- a/packages/node/src/trefoilpulley_node/__init__.py
+++ b/packages/node/src/trefoilpulley_node/__init__.py
@@ -1,1 +1,1 @@
-"""Entry host process: roles, transports and wiring."""
+"""Entry host process: its roles, transports and composition."""
--- a/packages/node/src/trefoilpulley_node/beginnings.py
+++ b/packages/node/src/trefoilpulley_node/beginnings.py
@@ -1,4 +1,4 @@
-"""Transactions that are being begun, and those who ask for them."""
+"""Tracks begin requests whose connection may end while they run."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PendingBegins:
-    """Rolls back a transaction whose connection ended while it began."""
+    """Rolls back transactions whose connection ended while they began."""
 
     def __init__(self) -> None:
         self._running: set[_PendingBegin] = set()
@@ -40,11 +40,12 @@
         Parameters
         ----------
         connection : int
-            Number of the connection that asks for the transaction.
+            Number of the connection that requested the transaction.
         begin : Callable[[], Result[str, Failure]]
             Begins the transaction and returns its identifier.
         roll_back : Callable[[str], Any]
-            Rolls it back where the connection has ended meanwhile.
+            Rolls back the transaction with an identifier. Called if the
+            connection ended while the transaction began.
         """
         pending = _PendingBegin(connection)
         self._running.add(pending)
@@ -55,10 +56,12 @@
         if not pending.is_connection_lost or not isinstance(begun, Success):
             return begun
         roll_back(begun.unwrap())
-        return Failed(TransactionLost('connection ended'))
+        return Failed(
+            TransactionLost('connection ended while the transaction began')
+        )
 
     def on_connection_lost(self, connection: int) -> None:
-        """Take note that a connection has ended."""
+        """Record that a connection has ended."""
         for pending in self._running:
             if pending.connection == connection:
                 pending.is_connection_lost = True
--- a/packages/node/src/trefoilpulley_node/clock.py
+++ b/packages/node/src/trefoilpulley_node/clock.py
@@ -1,4 +1,4 @@
-"""Clocks of the process."""
+"""Clocks that read the time of the operating system."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class MonotonicClock(Clock):
-    """Clock of the operating system that never goes back."""
+    """Clock that never goes backwards."""
 
     def now(self) -> float:
-        """Return monotonic time in seconds."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
 
 class BoottimeClock(Clock):
-    """Monotonic clock that goes on while the machine is suspended."""
+    """Monotonic clock that also counts time while the machine is suspended."""
 
     def now(self) -> float:
-        """Return time since the start of the machine in seconds."""
+        """Return the time since the machine booted, in seconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -1,4 +1,4 @@
-"""Composition root: wires the parts of an entry host process."""
+"""Composition root that creates the components of an entry host."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 class Composition:
-    """Builds each part once, on first use.
+    """Creates each component of the process once, on first use.
 
     Parameters
     ----------
@@ -84,7 +84,7 @@
         self._state = StateCollector(cfg.operator_secret)
 
     def compose(self) -> Node:
-        """Return the wired process."""
+        """Connect the components and return the process."""
         self._connect_services()
         self._register_state()
         return Node(
@@ -97,7 +97,7 @@
                 self._coordination,
             ),
             self._membership,
-            self._callers,
+            self._caller_listener,
             self._peer_listener,
             self._admit,
             self._pooler,
@@ -121,11 +121,14 @@
     @cached_property
     def _membership(self) -> MembershipRunner:
         cfg = self._cfg
-        me = HostEntry(
+        own_entry = HostEntry(
             cfg.host, cfg.region, cfg.zone, cfg.listen, cfg.peer_listen
         )
         membership = Membership(
-            me, self._incarnation, [s.name for s in cfg.seeds], self._rng
+            own_entry,
+            self._incarnation,
+            [s.name for s in cfg.seeds],
+            self._rng,
         )
         return MembershipRunner(membership, self._clock, cfg.seeds)
 
@@ -238,7 +241,7 @@
         )
 
     @cached_property
-    def _prepare(self) -> Pipeline:
+    def _prepare_pipeline(self) -> Pipeline:
         return Pipeline(
             (
                 self._authenticate,
@@ -251,7 +254,7 @@
         )
 
     @cached_property
-    def _deliver(self) -> Pipeline:
+    def _deliver_pipeline(self) -> Pipeline:
         deliver = Deliver(
             self._router,
             self._executor,
@@ -264,13 +267,13 @@
         return Pipeline((deliver,))
 
     @cached_property
-    def _callers(self) -> Listener:
+    def _caller_listener(self) -> Listener:
         parts = EntryComponents(
             self._cfg.host,
             self._authenticate,
             self._admit,
-            self._prepare,
-            self._deliver,
+            self._prepare_pipeline,
+            self._deliver_pipeline,
             self._transactions,
             AnswerMaker(self._tokens),
             self._targets,
@@ -331,7 +334,7 @@
         return EntryState(
             self._cfg.host,
             self._cfg.zone,
-            len(self._callers.channels),
+            len(self._caller_listener.channels),
             self._admit.running,
             len(self._transactions),
             self._views.databases_in_use,
@@ -342,5 +345,5 @@
 
 
 def compose(cfg: NodeSettings) -> Node:
-    """Return the wired process of one entry host."""
+    """Create the process of an entry host."""
     return Composition(cfg).compose()
--- a/packages/node/src/trefoilpulley_node/configuration_runner.py
+++ b/packages/node/src/trefoilpulley_node/configuration_runner.py
@@ -1,4 +1,4 @@
-"""Runs the spread of the documents on this host."""
+"""Executes the distribution of documents on this host."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from trefoilpulley_core.configuration.messages import FetchDocument
 from trefoilpulley_core.failure import NotRun
 from trefoilpulley_node.document_reader import DocumentReader
-from trefoilpulley_node.document_reader import SOURCES
+from trefoilpulley_node.document_reader import WATCHED_PREFIXES
 from trefoilpulley_node import events
 from trefoilpulley_node.peer_server import make_failure_reply
 from trefoilpulley_node.service import Service
@@ -45,24 +45,24 @@
     from trefoilpulley_node.peers import Peers
 
 TICK_INTERVAL_S = 0.5
-"""Time between two ticks, in seconds."""
+"""Interval between ticks, in seconds."""
 
 FETCH_TIMEOUT_S = 1.0
-"""Longest wait for a peer's document, in seconds."""
+"""Longest wait for a document from a peer, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationState:
-    """Documents in the state dump."""
+    """Configuration section of the state dump."""
 
     configuration_revision: int
     """Revision of the declarations in force."""
 
     change_id: str
-    """Change that brought them."""
+    """Identifier of the change that produced these declarations."""
 
     databases_revision: int
-    """Revision of the list of database groups."""
+    """Revision of the list of databases."""
 
     hosts_revision: int
     """Revision of the list of hosts."""
@@ -71,20 +71,20 @@
     """Whether this host watches the service for its zone."""
 
     is_service_answering: bool
-    """Whether the last read of the service was answered."""
+    """Whether the service answered the last read."""
 
 
 class ConfigurationRunner(Service):
-    """Carries the spread over the service and the peer connections.
+    """Distributes documents over the service and the peer connections.
 
     Parameters
     ----------
     holder : ConfigurationHolder
-        Newest documents.
+        Holds the newest documents.
     spread : DocumentSpread
-        Decisions.
+        Decides when to read, fetch and push documents.
     platform : Platform
-        The platform's service.
+        Client of the platform's key-value service.
     clock : Clock
         Monotonic time.
     """
@@ -106,7 +106,7 @@
         self._watches: list[Watch] = []
         self._watch_epoch = 0
         self._is_service_answering = True
-        self._on_change: list[Callable[[DocumentKind], None]] = []
+        self._change_listeners: list[Callable[[DocumentKind], None]] = []
 
     @property
     def configuration(self) -> Configuration:
@@ -115,46 +115,46 @@
 
     @property
     def catalog(self) -> Catalog:
-        """Database groups and hosts."""
+        """Databases, their members and the hosts."""
         return self._holder.catalog
 
     @property
     def versions(self) -> Versions:
-        """Revisions held."""
+        """Revisions of the documents that this host holds."""
         return self._holder.versions
 
     def subscribe(self, on_change: Callable[[DocumentKind], None]) -> None:
-        """Call back whenever a document comes into force."""
-        self._on_change.append(on_change)
+        """Register a callback for each document that comes into force."""
+        self._change_listeners.append(on_change)
 
     def register_handlers(self, server: PeerServer, peers: Peers) -> None:
-        """Serve the messages of other hosts."""
+        """Register the handlers of document messages from other hosts."""
         self._peers = peers
         server.register(Document, self._on_push)
         server.register(FetchDocument, self._on_fetch)
 
     def start(self) -> None:
-        """Ask the service once, then go on in the background."""
-        self._read()
+        """Read the documents once, then start the background work."""
+        self._read_documents()
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the background work."""
+        """Stop the background work and cancel the watches."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
         self._end_watches()
 
     def on_live_hosts(self, live: LiveHosts) -> None:
-        """Learn which hosts are live."""
+        """Handle a change of the live hosts."""
         self._spread.on_live_hosts(live)
 
     def on_versions(self, host: str, versions: Versions) -> None:
-        """Learn which documents a peer holds."""
+        """Handle the document revisions that a peer holds."""
         self._spread.on_versions(host, versions, self._clock.now())
-        self._pump()
+        self._execute_commands()
 
     def dump(self) -> ConfigurationState:
-        """Return the part of the state dump."""
+        """Return the configuration section of the state dump."""
         held = self._holder.versions
         return ConfigurationState(
             held.configuration,
@@ -168,32 +168,32 @@
     def _run(self) -> None:
         while True:
             self._spread.on_tick(self._clock.now())
-            self._pump()
+            self._execute_commands()
             gevent.sleep(TICK_INTERVAL_S)
 
-    def _pump(self) -> None:
+    def _execute_commands(self) -> None:
         for command in self._spread.take_commands():
-            gevent.spawn(self._carry_out, command)
+            gevent.spawn(self._execute_command, command)
 
-    def _carry_out(self, command: Command) -> None:
+    def _execute_command(self, command: Command) -> None:
         if isinstance(command, ReadService):
-            self._read()
+            self._read_documents()
         elif isinstance(command, SetWatch):
             self._set_watch(command.is_wanted)
         elif isinstance(command, Fetch):
             self._fetch(command)
         elif isinstance(command, Push):
             self._push(command)
-        self._pump()
+        self._execute_commands()
 
-    def _read(self) -> None:
+    def _read_documents(self) -> None:
         for found in self._reader.read_changed():
-            self._note_service(found)
+            self._record_service_answer(found)
             document = found.value_or(None)
             if document is not None:
-                self._note(document, self._spread.on_read(document))
+                self._report_document(document, self._spread.on_read(document))
 
-    def _note_service(self, found: Result[Any, Failure]) -> None:
+    def _record_service_answer(self, found: Result[Any, Failure]) -> None:
         is_answering = isinstance(found, Success)
         if is_answering:
             self._spread.on_service_answered()
@@ -211,7 +211,7 @@
         if not is_wanted:
             return
         epoch = self._watch_epoch
-        for prefix in SOURCES:
+        for prefix in WATCHED_PREFIXES:
             watch = self._begin_watch(prefix, epoch)
             if epoch != self._watch_epoch:
                 watch.cancel()
@@ -221,7 +221,7 @@
     def _begin_watch(self, prefix: str, epoch: int) -> Watch:
         def on_change(entry: KeyValue) -> None:
             self._spread.on_changed()
-            self._pump()
+            self._execute_commands()
 
         def on_failure(failure: Failure) -> None:
             if epoch == self._watch_epoch:
@@ -241,7 +241,7 @@
             command.host, FetchDocument(command.kind), FETCH_TIMEOUT_S
         ).value_or(None)
         if isinstance(reply, Document):
-            self._note(reply, self._spread.on_read(reply))
+            self._report_document(reply, self._spread.on_read(reply))
 
     def _push(self, command: Push) -> None:
         opened = self._peers.open_channel(command.host)
@@ -249,27 +249,29 @@
             opened.unwrap().notify(command.document)
 
     def _on_push(self, document: Document, peer: PeerIdentity) -> None:
-        self._note(document, self._spread.on_push(document))
-        self._pump()
+        self._report_document(document, self._spread.on_push(document))
+        self._execute_commands()
 
     def _on_fetch(self, req: FetchDocument, peer: PeerIdentity) -> Any:
         document = self._holder.find(req.kind)
         if document is None:
-            return make_failure_reply(NotRun('no such document yet'))
+            return make_failure_reply(NotRun('document is not available yet'))
         return document
 
-    def _note(self, document: Document, taken: Result[bool, Failure]) -> None:
-        if not isinstance(taken, Success):
+    def _report_document(
+        self, document: Document, accepted: Result[bool, Failure]
+    ) -> None:
+        if not isinstance(accepted, Success):
             events.DOCUMENT_REFUSED.log(
                 kind=str(document.kind),
                 revision=document.revision,
-                detail=taken.failure().detail,
+                detail=accepted.failure().detail,
             )
             return
-        if not taken.unwrap():
+        if not accepted.unwrap():
             return
         events.DOCUMENT_IN_FORCE.log(
             kind=str(document.kind), revision=document.revision
         )
-        for on_change in self._on_change:
+        for on_change in self._change_listeners:
             on_change(document.kind)
--- a/packages/node/src/trefoilpulley_node/directory.py
+++ b/packages/node/src/trefoilpulley_node/directory.py
@@ -1,4 +1,4 @@
-"""Databases and hosts as this process knows them."""
+"""Look-up of databases, members and their poolers."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Directory:
-    """Finds databases, members, hosts and the poolers of members.
+    """Finds databases, members and the poolers of members.
 
     Parameters
     ----------
     get_catalog : Callable[[], Catalog]
-        Newest catalogue.
+        Returns the newest catalogue.
     get_live_hosts : Callable[[], LiveHosts]
-        Newest view of the live hosts.
+        Returns the newest view of the live hosts.
     zone : str
         Availability zone of this host.
     """
@@ -35,24 +35,24 @@
         self._zone = zone
         self._get_catalog = get_catalog
         self._get_live_hosts = get_live_hosts
-        self._indexed: Catalog | None = None
+        self._indexed_catalog: Catalog | None = None
         self._databases: dict[str, DatabaseEntry] = {}
         self._members: dict[str, tuple[DatabaseEntry, MemberEntry]] = {}
 
     def find_database(self, name: str) -> DatabaseEntry | None:
-        """Return the database with a name, or ``None``."""
-        self._index()
+        """Return the database with a name, or ``None`` if unknown."""
+        self._update_index()
         return self._databases.get(name)
 
     def find_member(
         self, name: str
     ) -> tuple[DatabaseEntry, MemberEntry] | None:
-        """Return a member with its database, or ``None``."""
-        self._index()
+        """Return a member and its database, or ``None`` if unknown."""
+        self._update_index()
         return self._members.get(name)
 
     def is_cut_off(self) -> bool:
-        """Return whether no host of another zone of the region answers."""
+        """Return whether this zone reaches no other zone of the region."""
         live = self._get_live_hosts()
         others = [
             z
@@ -62,17 +62,17 @@
         return bool(others) and all(z.is_lost for z in others)
 
     def find_pooler(self, member: str) -> str | None:
-        """Return the live host that pools a member, or ``None``."""
+        """Return the live host that pools a member, or ``None`` if unknown."""
         found = self.find_member(member)
         if found is None:
             return None
         return self._get_live_hosts().pooler_of(found[1])
 
-    def _index(self) -> None:
+    def _update_index(self) -> None:
         catalog = self._get_catalog()
-        if catalog is self._indexed:
+        if catalog is self._indexed_catalog:
             return
-        self._indexed = catalog
+        self._indexed_catalog = catalog
         self._databases = {d.name: d for d in catalog.databases}
         self._members = {
             m.name: (d, m) for d in catalog.databases for m in d.members
--- a/packages/node/src/trefoilpulley_node/document_reader.py
+++ b/packages/node/src/trefoilpulley_node/document_reader.py
@@ -1,4 +1,4 @@
-"""Reads the documents that the platform's service holds."""
+"""Reads the documents in the platform's service."""
 
 from __future__ import annotations
 
@@ -25,64 +25,71 @@
     from trefoilpulley_core.platform import KeyValue
     from trefoilpulley_core.platform import Platform
 
-PREFIXES = {
+DOCUMENT_PREFIXES = {
     DocumentKind.CONFIGURATION: CONFIGURATION_KEY,
     DocumentKind.DATABASES: CATALOG_DATABASES_KEY,
     DocumentKind.HOSTS: CATALOG_HOSTS_KEY,
 }
-"""Keys of each document.
+"""Key prefix of each document.
 
-A list that outgrows one value stands in several keys under the prefix.
+A list that is too large for one value is split over several keys with
+the prefix.
 """
 
-SOURCES = (CONFIGURATION_KEY, CATALOG_PREFIX)
-"""Prefixes that are watched and checked, each by one call."""
+WATCHED_PREFIXES = (CONFIGURATION_KEY, CATALOG_PREFIX)
+"""Key prefixes that are watched; each is checked by one call."""
 
 
 class DocumentReader:
-    """Reads the documents whose keys have changed.
+    """Reads the documents whose key revisions have changed.
 
     Parameters
     ----------
     platform : Platform
-        The platform's service.
+        Client of the platform's key-value service.
     """
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
-        self._seen: dict[DocumentKind, tuple[tuple[str, int], ...]] = {}
+        self._known_revisions: dict[
+            DocumentKind, tuple[tuple[str, int], ...]
+        ] = {}
 
     def read_changed(self) -> Iterator[Result[Document | None, Failure]]:
-        """Yield each document that has changed.
+        """Yield each changed document, or the failure to read it.
 
-        A source without any change yields ``None``.
+        Each watched prefix whose revisions were read also yields
+        ``None``, to report that the service answered. The iteration ends
+        with the failure if the revisions can't be read.
         """
-        for source in SOURCES:
-            found = self._platform.get_revisions(source)
+        for watched_prefix in WATCHED_PREFIXES:
+            found = self._platform.get_revisions(watched_prefix)
             if not isinstance(found, Success):
                 yield found
                 return
             yield Success(None)
-            yield from self._read_newer(source, found.unwrap())
+            yield from self._read_changed_documents(
+                watched_prefix, found.unwrap()
+            )
 
-    def _read_newer(
-        self, source: str, entries: Sequence[KeyValue]
+    def _read_changed_documents(
+        self, watched_prefix: str, entries: Sequence[KeyValue]
     ) -> Iterator[Result[Document | None, Failure]]:
-        for kind, prefix in PREFIXES.items():
-            if not prefix.startswith(source):
+        for kind, prefix in DOCUMENT_PREFIXES.items():
+            if not prefix.startswith(watched_prefix):
                 continue
             present = [e for e in entries if e.key.startswith(prefix)]
-            if _revisions(present) != self._seen.get(kind, ()):
+            if _revisions(present) != self._known_revisions.get(kind, ()):
                 yield self._read(kind)
 
     def _read(self, kind: DocumentKind) -> Result[Document | None, Failure]:
-        read = self._platform.get_prefix(PREFIXES[kind])
-        return read.map(lambda entries: self._take(kind, entries))
+        read = self._platform.get_prefix(DOCUMENT_PREFIXES[kind])
+        return read.map(lambda entries: self._make_document(kind, entries))
 
-    def _take(
+    def _make_document(
         self, kind: DocumentKind, entries: Sequence[KeyValue]
     ) -> Document | None:
-        self._seen[kind] = _revisions(entries)
+        self._known_revisions[kind] = _revisions(entries)
         if not entries:
             return None
         if kind is DocumentKind.CONFIGURATION:
--- a/packages/node/src/trefoilpulley_node/etcd_gateway.py
+++ b/packages/node/src/trefoilpulley_node/etcd_gateway.py
@@ -1,4 +1,4 @@
-"""HTTP calls to etcd's published v3 JSON gateway."""
+"""HTTP client of etcd's v3 JSON gateway."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
     from collections.abc import Mapping
 
 CONNECT_TIMEOUT_S = 0.5
-"""Longest wait for a connection, in seconds."""
+"""Longest wait for a connection to the service, in seconds."""
 
 ANSWER_TIMEOUT_S = 1.0
 """Longest wait for an answer, in seconds."""
 
-POOLED_CONNECTIONS = 8
-"""Idle connections that are kept open."""
+MAX_IDLE_CONNECTIONS = 8
+"""Number of idle connections that are kept open."""
 
 LEASE_NOT_FOUND_CODE = 5
-"""gRPC status of a call on a lease that has lapsed."""
+"""gRPC status code of a call on an expired lease (``NOT_FOUND``)."""
 
 
 class CallKind(Enum):
-    """Kinds of calls that the service counts."""
+    """Kinds of calls to the service, which are counted separately."""
 
     READ = auto()
     WRITE = auto()
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallCounts:
-    """Calls to the service since the process started."""
+    """Numbers of calls to the service since the process started."""
 
     reads: int = 0
     """Range calls."""
@@ -60,7 +60,7 @@
     """Grants, renewals and revocations."""
 
     watches: int = 0
-    """Watches begun."""
+    """Watches started."""
 
     failures: int = 0
     """Calls of any kind without an answer."""
@@ -75,7 +75,7 @@
 
 
 class EtcdGateway:
-    """Client of one address of the gateway.
+    """Client of the gateway at one address.
 
     Parameters
     ----------
@@ -99,12 +99,12 @@
         self._session = _open_session()
         self._streams = _open_session()
         self.counts = CallCounts()
-        """Calls since the process started."""
+        """Numbers of calls since the process started."""
 
     def call(
         self, kind: CallKind, path: str, body: Mapping[str, Any]
     ) -> Result[dict[str, Any], Failure]:
-        """Send one call and return the JSON document of its answer.
+        """Send a call and return the JSON document of its answer.
 
         Parameters
         ----------
@@ -118,8 +118,8 @@
         Returns
         -------
         Result[dict[str, Any], Failure]
-            The document, `PlatformDown` where the call had no effect,
-            or `PlatformAnswerLost` where it may have had one.
+            The document, `PlatformDown` if the call had no effect, or
+            `PlatformAnswerLost` if the call may have had an effect.
         """
         self._count(kind)
         timeout = (self._connect_timeout_s, self._answer_timeout_s)
@@ -129,7 +129,7 @@
             )
             document = resp.json()
         except (requests.RequestException, OSError) as exc:
-            return self._fail(classify_break(kind, exc))
+            return self._fail(classify_exception(kind, exc))
         if resp.ok:
             return Success(document)
         return self._fail(classify_refusal(kind, document))
@@ -137,7 +137,10 @@
     def open_stream(
         self, kind: CallKind, path: str, body: Mapping[str, Any]
     ) -> Result[requests.Response, Failure]:
-        """Send one call whose answer is a stream of JSON lines."""
+        """Send a call whose answer is a stream of JSON lines.
+
+        The response has no read timeout and must be closed by the caller.
+        """
         self._count(kind)
         try:
             resp = self._streams.post(
@@ -147,7 +150,7 @@
                 timeout=(self._connect_timeout_s, None),
             )
         except (requests.RequestException, OSError) as exc:
-            return self._fail(classify_break(kind, exc))
+            return self._fail(classify_exception(kind, exc))
         if resp.ok:
             return Success(resp)
         resp.close()
@@ -170,11 +173,12 @@
         return Failed(failure)
 
 
-def classify_break(kind: CallKind, exc: Exception) -> Failure:
-    """Return the failure of a call whose connection or answer failed.
+def classify_exception(kind: CallKind, exc: Exception) -> Failure:
+    """Return the failure of a call that raised an exception.
 
-    Only a connection that was never made proves that the call had no
-    effect; a call without effects of its own is always repeatable.
+    A read or a watch has no effects and can always be repeated. Any
+    other call certainly had no effect only if the connection was never
+    established.
     """
     detail = type(exc).__name__
     if kind in (CallKind.READ, CallKind.WATCH) or _is_unsent(exc):
@@ -183,7 +187,7 @@
 
 
 def classify_refusal(kind: CallKind, document: Any) -> Failure:
-    """Return the failure of a call that was answered with an error."""
+    """Return the failure of a call that the service answered with an error."""
     fields = document if isinstance(document, dict) else {}
     detail = str(fields.get('message', fields.get('error', '')))
     if fields.get('code') == LEASE_NOT_FOUND_CODE:
@@ -203,7 +207,7 @@
 def _open_session() -> requests.Session:
     session = requests.Session()
     session.trust_env = False
-    adapter = HTTPAdapter(pool_maxsize=POOLED_CONNECTIONS)
+    adapter = HTTPAdapter(pool_maxsize=MAX_IDLE_CONNECTIONS)
     session.mount('http://', adapter)
     session.mount('https://', adapter)
     return session
--- a/packages/node/src/trefoilpulley_node/etcd_platform.py
+++ b/packages/node/src/trefoilpulley_node/etcd_platform.py
@@ -1,4 +1,4 @@
-"""The platform's service over etcd's published v3 JSON gateway."""
+"""Client of the platform's service over etcd's v3 JSON gateway."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from trefoilpulley_core.platform import RevisionConflict
 from trefoilpulley_node.etcd_gateway import CallKind
 from trefoilpulley_node.etcd_gateway import EtcdGateway
+from trefoilpulley_node.etcd_values import conditional_txn
 from trefoilpulley_node.etcd_values import decode_key_value
 from trefoilpulley_node.etcd_values import delete_operation
-from trefoilpulley_node.etcd_values import guarded_txn
 from trefoilpulley_node.etcd_values import key_range
 from trefoilpulley_node.etcd_values import prefix_range
 from trefoilpulley_node.etcd_values import put_operation
@@ -34,12 +34,12 @@
 
 
 class EtcdPlatform(Platform):
-    """Client of the platform's service.
+    """Key-value service of the platform in an etcd cluster.
 
     Parameters
     ----------
     gateway : EtcdGateway
-        HTTP calls to the service.
+        HTTP client of the service.
     """
 
     def __init__(self, gateway: EtcdGateway) -> None:
@@ -47,22 +47,22 @@
 
     @property
     def counts(self) -> CallCounts:
-        """Calls since the process started."""
+        """Numbers of calls since the process started."""
         return self._gateway.counts
 
     def get(self, key: str) -> Result[KeyValue | None, Failure]:
-        """Return the value of a key, or ``None`` where it is absent."""
+        """Return the key-value pair of a key, or ``None`` if absent."""
         found = self._range(key_range(key))
         return found.map(lambda values: values[0] if values else None)
 
     def get_prefix(self, prefix: str) -> Result[tuple[KeyValue, ...], Failure]:
-        """Return the values of every key with a prefix."""
+        """Return the key-value pairs of all keys with a prefix."""
         return self._range(prefix_range(prefix))
 
     def get_revisions(
         self, prefix: str
     ) -> Result[tuple[KeyValue, ...], Failure]:
-        """Return the keys under a prefix without their values."""
+        """Return all keys with a prefix and their revisions, but no values."""
         return self._range({**prefix_range(prefix), 'keys_only': True})
 
     def compare_and_swap(
@@ -72,35 +72,50 @@
         value: bytes,
         lease_id: int = 0,
     ) -> Result[int, Failure]:
-        """Write a key where its revision is as expected."""
+        """Write a key if its revision is the expected one.
+
+        Returns
+        -------
+        Result[int, Failure]
+            The new revision, or `RevisionConflict` if another writer
+            changed the key.
+        """
         put = put_operation(key, value, lease_id)
-        answer = self._guarded(key, expected_revision, put)
+        answer = self._run_conditional(key, expected_revision, put)
         return answer.map(lambda doc: int(doc['header']['revision']))
 
     def delete(
         self, key: str, expected_revision: int
     ) -> Result[None, Failure]:
-        """Delete a key where its revision is as expected."""
+        """Delete a key if its revision is the expected one."""
         operation = delete_operation(key)
-        answer = self._guarded(key, expected_revision, operation)
+        answer = self._run_conditional(key, expected_revision, operation)
         return answer.map(lambda doc: None)
 
     def grant_lease(self, ttl_s: int) -> Result[Lease, Failure]:
-        """Grant a lease; the time that the call took is off its life."""
-        started = time.monotonic()
+        """Create a lease.
+
+        The duration of the call is subtracted from the lease's remaining
+        time.
+        """
+        started_at = time.monotonic()
         body = {'TTL': str(ttl_s)}
         answer = self._gateway.call(CallKind.LEASE, 'lease/grant', body)
-        return answer.bind(lambda doc: _to_lease(doc, started))
+        return answer.bind(lambda doc: _to_lease(doc, started_at))
 
     def keep_alive(self, lease_id: int) -> Result[Lease, Failure]:
-        """Renew a lease once; the time that the call took is off its life."""
-        started = time.monotonic()
+        """Renew a lease once.
+
+        The duration of the call is subtracted from the lease's remaining
+        time.
+        """
+        started_at = time.monotonic()
         body = {'ID': str(lease_id)}
         answer = self._gateway.call(CallKind.LEASE, 'lease/keepalive', body)
-        return answer.bind(lambda doc: _to_lease(doc['result'], started))
+        return answer.bind(lambda doc: _to_lease(doc['result'], started_at))
 
     def revoke_lease(self, lease_id: int) -> Result[None, Failure]:
-        """End a lease and delete the keys bound to it."""
+        """End a lease, which deletes the keys that use the lease."""
         body = {'ID': str(lease_id)}
         answer = self._gateway.call(CallKind.LEASE, 'lease/revoke', body)
         return answer.map(lambda doc: None)
@@ -111,10 +126,10 @@
         on_change: Callable[[KeyValue], None],
         on_failure: Callable[[Failure], None],
     ) -> Watch:
-        """Call back for each change under a prefix, until cancelled.
+        """Watch all keys with a prefix until the watch is cancelled.
 
-        Returns once the service has confirmed the watch, so that a read
-        that follows misses no change.
+        The method returns when the service has confirmed the watch, so
+        that the watch reports every change after a later read.
         """
         watch = EtcdWatch(self._gateway, prefix, on_change, on_failure)
         watch.wait_created()
@@ -134,10 +149,10 @@
             )
         )
 
-    def _guarded(
+    def _run_conditional(
         self, key: str, expected_revision: int, operation: dict[str, Any]
     ) -> Result[dict[str, Any], Failure]:
-        body = guarded_txn(key, expected_revision, operation)
+        body = conditional_txn(key, expected_revision, operation)
         answer = self._gateway.call(CallKind.WRITE, 'kv/txn', body)
         return answer.bind(_require_success)
 
@@ -151,9 +166,9 @@
 
 
 def _to_lease(
-    document: dict[str, Any], started: float
+    document: dict[str, Any], started_at: float
 ) -> Result[Lease, Failure]:
-    ttl_s = int(document.get('TTL', 0)) - (time.monotonic() - started)
+    ttl_s = int(document.get('TTL', 0)) - (time.monotonic() - started_at)
     if ttl_s <= 0:
-        return Failed(LeaseExpired('lease has lapsed'))
+        return Failed(LeaseExpired('lease has expired'))
     return Success(Lease(int(document['ID']), ttl_s))
--- a/packages/node/src/trefoilpulley_node/etcd_values.py
+++ b/packages/node/src/trefoilpulley_node/etcd_values.py
@@ -1,4 +1,4 @@
-"""JSON form of keys, values and conditions in etcd's gateway."""
+"""JSON encoding of keys, values and transactions for etcd's gateway."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 def encode_bytes(data: bytes) -> str:
-    """Return the JSON form of bytes."""
+    """Return bytes as base64 text, as the gateway expects them."""
     return b64encode(data).decode()
 
 
 def key_range(key: str) -> dict[str, Any]:
-    """Return the range of one key."""
+    """Return the range that contains a single key."""
     return {'key': encode_bytes(key.encode())}
 
 
 def prefix_range(prefix: str) -> dict[str, Any]:
-    """Return the range of every key with a prefix."""
+    """Return the range of all keys with a prefix."""
     data = prefix.encode()
     end = data[:-1] + bytes((data[-1] + 1,))
     return {'key': encode_bytes(data), 'range_end': encode_bytes(end)}
 
 
-def guarded_txn(
+def conditional_txn(
     key: str, expected_revision: int, operation: dict[str, Any]
 ) -> dict[str, Any]:
-    """Return a transaction that runs where a key's revision matches."""
+    """Return a transaction that runs only if a key has a revision."""
     compare = {
         **key_range(key),
         'target': 'MOD',
@@ -40,7 +40,7 @@
 
 
 def put_operation(key: str, value: bytes, lease_id: int) -> dict[str, Any]:
-    """Return the operation that writes a key."""
+    """Return the operation that writes a key, with a lease unless it is 0."""
     put = {**key_range(key), 'value': encode_bytes(value)}
     if lease_id:
         put['lease'] = str(lease_id)
@@ -53,7 +53,7 @@
 
 
 def decode_key_value(fields: dict[str, Any]) -> KeyValue:
-    """Return a key's value from its JSON form."""
+    """Return the key-value pair from its JSON form."""
     return KeyValue(
         b64decode(fields['key']).decode(),
         b64decode(fields.get('value', '')),
@@ -63,5 +63,8 @@
 
 
 def decode_event(event: dict[str, Any]) -> KeyValue:
-    """Return the change of a watch's event; a deletion has no value."""
+    """Return the key-value pair of a watch event.
+
+    The value is empty if the event is a deletion.
+    """
     return decode_key_value(event['kv'])
--- a/packages/node/src/trefoilpulley_node/etcd_watch.py
+++ b/packages/node/src/trefoilpulley_node/etcd_watch.py
@@ -1,4 +1,4 @@
-"""Watches over etcd's published v3 JSON gateway."""
+"""Watches on keys over etcd's v3 JSON gateway."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 
 class EtcdWatch(Watch):
-    """One watch on a prefix, read by a greenlet of its own.
+    """Watch on a key prefix that a separate greenlet reads.
 
     Parameters
     ----------
     gateway : EtcdGateway
-        Client of the service.
+        HTTP client of the service.
     prefix : str
         Prefix of the keys.
     on_change : Callable[[KeyValue], None]
         Called for each change.
     on_failure : Callable[[Failure], None]
-        Called once when the watch breaks.
+        Called once when the watch fails.
     """
 
     def __init__(
@@ -58,11 +58,11 @@
         self._reader = gevent.spawn(self._run)
 
     def wait_created(self) -> None:
-        """Wait until the service confirms the watch, or it fails."""
+        """Wait until the service confirms the watch or the watch fails."""
         if self._created.wait(timeout=ANSWER_TIMEOUT_S):
             return
         self.cancel()
-        self._on_failure(PlatformDown('watch was not confirmed'))
+        self._on_failure(PlatformDown('watch was not confirmed in time'))
 
     def cancel(self) -> None:
         """Stop the watch."""
@@ -92,7 +92,7 @@
             if result.get('canceled'):
                 return PlatformDown('watch was cancelled by the service')
             self._on_result(result)
-        return PlatformDown('watch ended')
+        return PlatformDown('watch stream ended')
 
     def _on_result(self, result: dict[str, Any]) -> None:
         if result.get('created'):
--- a/packages/node/src/trefoilpulley_node/events.py
+++ b/packages/node/src/trefoilpulley_node/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events."""
+"""Log events of the process."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One kind of log event; docs/EVENTS.md lists them all."""
+    """Kind of log event; docs/EVENTS.md lists all kinds."""
 
     number: int
-    """Stable number."""
+    """Number of the event, which never changes."""
 
     name: str
-    """Short name."""
+    """Short name of the event."""
 
     def log(self, **fields: Any) -> None:
         """Write the event to the log."""
--- a/packages/node/src/trefoilpulley_node/log_sink.py
+++ b/packages/node/src/trefoilpulley_node/log_sink.py
@@ -1,4 +1,4 @@
-"""Bounded log on standard output that never holds a request up."""
+"""Log destination with a bounded queue that never blocks a request."""
 
 from __future__ import annotations
 
@@ -21,29 +21,30 @@
     from trefoilpulley_core.clock import Clock
 
 QUEUE_BYTES = 256 * 1024
-"""Lines that may wait for the reader, in bytes."""
+"""Largest total size of the lines that wait to be written, in bytes."""
 
-LINES_PER_S = 40.0
-"""Lines of one event that are kept in a second, on the mean."""
+MAX_LINES_PER_S = 40.0
+"""Average rate at which lines of one event are accepted, per second."""
 
-BURST_LINES = 200.0
-"""Lines of one event that may come at once."""
+MAX_BURST_LINES = 200.0
+"""Number of lines of one event that may be logged in a burst."""
 
-FLUSH_BYTES = 32 * 1024
-"""Bytes handed to the operating system at once."""
+WRITE_BATCH_BYTES = 32 * 1024
+"""Size at which a batch of lines is written to the descriptor, in bytes."""
 
 
 class LogSink:
-    """Destination of `eliot` that drops rather than waits.
+    """Destination for `eliot` that drops lines instead of blocking.
 
-    Each event has a rate of its own, so that a flood of one hides none
-    of the others. What is dropped is counted by event, in the metrics
-    and in the next line that gets through.
+    Each event has a separate rate limit, so that a flood of one event
+    does not displace the lines of other events. Dropped lines are
+    counted by event. The metrics and the next line written report the
+    counts.
 
     Parameters
     ----------
     descriptor : int
-        File descriptor to write to; it is made non-blocking.
+        File descriptor to write to, which is made non-blocking.
     clock : Clock
         Monotonic time.
     """
@@ -53,39 +54,39 @@
         self._clock = clock
         self._queue: deque[bytes] = deque()
         self._queued_bytes = 0
-        self._allowances: dict[str, _Allowance] = {}
-        self._unreported: Counter[str] = Counter()
-        self._filled = Signal()
+        self._buckets: dict[str, _TokenBucket] = {}
+        self._unreported_drops: Counter[str] = Counter()
+        self._has_lines = Signal()
         self._greenlet: gevent.Greenlet | None = None
         self.dropped: Counter[str] = Counter()
-        """Dropped lines by event, since the start."""
+        """Number of dropped lines by event since the start."""
 
         self.written_bytes = 0
-        """Bytes that reached the reader."""
+        """Number of bytes written to the descriptor."""
 
     @property
     def queued_bytes(self) -> int:
-        """Bytes that wait for the reader."""
+        """Number of bytes that wait to be written."""
         return self._queued_bytes
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start writing in the background."""
         os.set_blocking(self._descriptor, False)
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self, timeout_s: float) -> None:
-        """Write what waits, but no longer than a while."""
+        """Write the queued lines, for a limited time."""
         with gevent.Timeout(timeout_s, False):
             while self._queue and self._greenlet and not self._greenlet.dead:
                 gevent.sleep(0.01)
 
     def __call__(self, message: Mapping[str, Any]) -> None:
-        """Take one message of `eliot`."""
+        """Accept or drop one message of `eliot`."""
         event = str(message.get('event', message.get('message_type', '')))
         if not self._is_allowed(event):
             self._drop(event)
             return
-        if self._unreported:
+        if self._unreported_drops:
             self._report_dropped(message)
         if not self._enqueue(message):
             self._drop(event)
@@ -96,7 +97,7 @@
             return False
         self._queue.append(line)
         self._queued_bytes += len(line)
-        self._filled.set()
+        self._has_lines.set()
         return True
 
     def _report_dropped(self, message: Mapping[str, Any]) -> None:
@@ -105,62 +106,63 @@
             'message_type': f'tp{events.LOG_DROPPED.number}',
             'timestamp': message.get('timestamp'),
             'host': message.get('host'),
-            'dropped': dict(self._unreported),
+            'dropped': dict(self._unreported_drops),
         }
         if self._enqueue(report):
-            self._unreported.clear()
+            self._unreported_drops.clear()
 
     def _drop(self, event: str) -> None:
         self.dropped[event] += 1
-        self._unreported[event] += 1
+        self._unreported_drops[event] += 1
 
     def _is_allowed(self, event: str) -> bool:
-        allowance = self._allowances.get(event)
-        if allowance is None:
-            allowance = self._allowances[event] = _Allowance()
-        return allowance.take(self._clock.now())
+        bucket = self._buckets.get(event)
+        if bucket is None:
+            bucket = self._buckets[event] = _TokenBucket()
+        return bucket.try_take(self._clock.now())
 
     def _run(self) -> None:
         try:
             while True:
-                self._filled.wait()
-                self._filled.clear()
+                self._has_lines.wait()
+                self._has_lines.clear()
                 while self._queue:
-                    self._write(self._take())
+                    self._write(self._next_batch())
         except OSError:
-            # The reader has gone; nobody is left to be told.
+            # The reading end has closed the pipe, so the queued lines can't
+            # be written and the error can't be logged.
             self._queue.clear()
 
-    def _take(self) -> bytes:
+    def _next_batch(self) -> bytes:
         parts = []
         size = 0
-        while self._queue and size < FLUSH_BYTES:
+        while self._queue and size < WRITE_BATCH_BYTES:
             line = self._queue.popleft()
             parts.append(line)
             size += len(line)
         return b''.join(parts)
 
     def _write(self, data: bytes) -> None:
-        left = memoryview(data)
-        while left:
-            written = nb_write(self._descriptor, left)
-            left = left[written:]
+        remaining = memoryview(data)
+        while remaining:
+            written = nb_write(self._descriptor, remaining)
+            remaining = remaining[written:]
             self._queued_bytes -= written
             self.written_bytes += written
 
 
-class _Allowance:
-    """Token bucket of one event."""
+class _TokenBucket:
+    """Token bucket that limits the rate of one event."""
 
     def __init__(self) -> None:
-        self._tokens = BURST_LINES
-        self._at: float | None = None
-
-    def take(self, now: float) -> bool:
-        if self._at is not None:
-            gained = (now - self._at) * LINES_PER_S
-            self._tokens = min(BURST_LINES, self._tokens + gained)
-        self._at = now
+        self._tokens = MAX_BURST_LINES
+        self._refilled_at: float | None = None
+
+    def try_take(self, now: float) -> bool:
+        if self._refilled_at is not None:
+            refill = (now - self._refilled_at) * MAX_LINES_PER_S
+            self._tokens = min(MAX_BURST_LINES, self._tokens + refill)
+        self._refilled_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/packages/node/src/trefoilpulley_node/main.py
+++ b/packages/node/src/trefoilpulley_node/main.py
@@ -1,4 +1,4 @@
-"""Command ``trefoilpulleyd``: the process of an entry host."""
+"""Command ``trefoilpulleyd``: runs the process of an entry host."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 monkey.patch_all()
 
-# The patch must come before every other import.
+# gevent must patch the standard library before any other import.
 import gc  # noqa: E402
 from pathlib import Path  # noqa: E402
 import signal  # noqa: E402
@@ -21,8 +21,8 @@
 from trefoilpulley_node.composition import compose  # noqa: E402
 from trefoilpulley_node.settings import load_settings  # noqa: E402
 
-EXIT_REFUSED = 1
-"""Exit code for settings that have faults."""
+EXIT_INVALID_SETTINGS = 1
+"""Exit code if the settings are invalid."""
 
 
 @click.command()
@@ -41,7 +41,7 @@
         click.echo(failure.detail, err=True)
         for fault in getattr(failure, 'faults', ()):
             click.echo(f'  {fault}', err=True)
-        sys.exit(EXIT_REFUSED)
+        sys.exit(EXIT_INVALID_SETTINGS)
     cfg = loaded.unwrap()
     _open_log(cfg.log_path)
     stopping = Event()
--- a/packages/node/src/trefoilpulley_node/membership_runner.py
+++ b/packages/node/src/trefoilpulley_node/membership_runner.py
@@ -1,4 +1,4 @@
-"""Runs the membership decisions of this host."""
+"""Executes the membership commands of this host."""
 
 from __future__ import annotations
 
@@ -44,43 +44,43 @@
     from trefoilpulley_node.settings import SeedPeer
 
 LEAVE_TIMEOUT_S = 0.5
-"""Longest time to tell the peers that this host leaves, in seconds."""
+"""Longest wait for the leave messages to be sent, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipState:
-    """Membership in the state dump."""
+    """Membership section of the state dump."""
 
     state: str
-    """State of this host."""
+    """Membership state of this host."""
 
     incarnation: int
     """Incarnation of this host."""
 
     is_relay: bool
-    """Whether this host carries its zone's news."""
+    """Whether this host relays news between its zone and other zones."""
 
     suspected: tuple[str, ...]
-    """Hosts and zones that are being inquired after."""
+    """Hosts and zones that are suspected of having failed."""
 
     zones: tuple[ZoneHosts, ...]
     """Live hosts by zone."""
 
     version: int
-    """Number of changes of the records."""
+    """Number of changes to the membership records."""
 
 
 class MembershipRunner(Service):
-    """Carries the membership decisions over the peer connections.
+    """Runs the membership protocol over the peer connections.
 
     Parameters
     ----------
     membership : Membership
-        Decisions.
+        Decides which messages to send.
     clock : Clock
         Monotonic time.
     seeds : Sequence[SeedPeer]
-        Hosts to ask where no list is to be had.
+        Hosts to contact while the host list is not available.
     """
 
     def __init__(
@@ -94,14 +94,14 @@
         self._seeds = {s.name: s.endpoint for s in seeds}
         self._peers: Peers | None = None
         self._greenlet: gevent.Greenlet | None = None
-        self._tells: set[gevent.Greenlet] = set()
+        self._pending_sends: set[gevent.Greenlet] = set()
         self._live_version = -1
-        self._on_live: list[Callable[[LiveHosts], None]] = []
-        self._on_versions: list[Callable[[str, Versions], None]] = []
+        self._live_hosts_listeners: list[Callable[[LiveHosts], None]] = []
+        self._versions_listeners: list[Callable[[str, Versions], None]] = []
 
     @property
     def live_hosts(self) -> LiveHosts:
-        """View of the live hosts."""
+        """Current view of the live hosts."""
         return self._membership.live_hosts
 
     def find_peer_endpoint(self, host: str) -> Endpoint | None:
@@ -110,17 +110,17 @@
         return entry.peer_endpoint if entry else self._seeds.get(host)
 
     def subscribe_live(self, on_live: Callable[[LiveHosts], None]) -> None:
-        """Call back at each change of the live hosts."""
-        self._on_live.append(on_live)
+        """Register a callback for each change of the live hosts."""
+        self._live_hosts_listeners.append(on_live)
 
     def subscribe_versions(
         self, on_versions: Callable[[str, Versions], None]
     ) -> None:
-        """Call back with the documents that a peer holds."""
-        self._on_versions.append(on_versions)
+        """Register a callback for the document revisions that a peer holds."""
+        self._versions_listeners.append(on_versions)
 
     def register_handlers(self, server: PeerServer, peers: Peers) -> None:
-        """Serve the membership messages of other hosts."""
+        """Register the handlers of the membership messages."""
         self._peers = peers
         server.register(Probe, self._on_probe)
         server.register(ProbeForMe, self._on_probe_for_me)
@@ -129,31 +129,34 @@
         server.register_close(self._on_contact_lost)
 
     def set_versions(self, versions: Versions) -> None:
-        """Say which documents this host holds."""
+        """Set the document revisions that this host announces to peers."""
         self._membership.set_versions(versions)
 
     def set_host_list(self, entries: Iterable[HostEntry]) -> None:
-        """Take the platform's list of hosts."""
+        """Update the membership with the platform's list of hosts."""
         self._membership.on_host_list(entries)
-        self._pump()
+        self._execute_commands()
 
     def start(self) -> None:
-        """Begin to probe."""
+        """Start probing peers in the background."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the probes; peers find out by themselves."""
+        """Stop probing without telling the peers.
+
+        The peers detect the stop by their own probes.
+        """
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
 
     def leave(self) -> None:
-        """Tell the peers that this host takes no new work."""
+        """Tell the peers that this host accepts no new work."""
         self._membership.on_leave()
-        self._pump()
-        gevent.joinall(list(self._tells), timeout=LEAVE_TIMEOUT_S)
+        self._execute_commands()
+        gevent.joinall(list(self._pending_sends), timeout=LEAVE_TIMEOUT_S)
 
     def dump(self) -> MembershipState:
-        """Return the part of the state dump."""
+        """Return the membership section of the state dump."""
         own = self._membership.own
         live = self._membership.live_hosts
         return MembershipState(
@@ -168,20 +171,20 @@
     def _run(self) -> None:
         while True:
             self._membership.on_tick(self._clock.now())
-            self._pump()
+            self._execute_commands()
             gevent.sleep(TICK_INTERVAL_S)
 
-    def _pump(self) -> None:
+    def _execute_commands(self) -> None:
         for command in self._membership.take_commands():
             if isinstance(command, Call):
                 gevent.spawn(self._call, command)
             elif isinstance(command, Tell):
-                self._spawn_tell(command)
+                self._spawn_send(command)
             elif isinstance(command, SeeVersions):
-                self._see_versions(command)
-        self._publish()
+                self._report_versions(command)
+        self._publish_live_hosts()
 
-    def _publish(self) -> None:
+    def _publish_live_hosts(self) -> None:
         live = self._membership.live_hosts
         if live.version == self._live_version:
             return
@@ -190,48 +193,48 @@
             live=sum(len(z.hosts) for z in live.zones),
             lost_zones=[z.zone for z in live.zones if z.is_lost],
         )
-        for on_live in self._on_live:
+        for on_live in self._live_hosts_listeners:
             on_live(live)
 
-    def _see_versions(self, command: SeeVersions) -> None:
-        for on_versions in self._on_versions:
+    def _report_versions(self, command: SeeVersions) -> None:
+        for on_versions in self._versions_listeners:
             on_versions(command.host, command.versions)
 
     def _call(self, call: Call) -> None:
-        answer = self._ask(call)
+        answer = self._send_call(call)
         now = self._clock.now()
         if isinstance(answer, Success):
             self._membership.on_answer(call.call_id, answer.unwrap(), now)
         else:
             self._membership.on_failure(call.call_id, now)
-        self._pump()
+        self._execute_commands()
 
-    def _ask(self, call: Call) -> Result[Any, Failure] | None:
+    def _send_call(self, call: Call) -> Result[Any, Failure] | None:
         with gevent.Timeout(call.timeout_s, False):
             return self._peers.call_host(
                 call.host, call.message, call.timeout_s
             )
         return None
 
-    def _spawn_tell(self, command: Tell) -> None:
-        greenlet = gevent.spawn(self._tell, command)
-        self._tells.add(greenlet)
-        greenlet.link(self._tells.discard)
+    def _spawn_send(self, command: Tell) -> None:
+        greenlet = gevent.spawn(self._send, command)
+        self._pending_sends.add(greenlet)
+        greenlet.link(self._pending_sends.discard)
 
-    def _tell(self, command: Tell) -> None:
+    def _send(self, command: Tell) -> None:
         opened = self._peers.open_channel(command.host)
         if isinstance(opened, Success):
             opened.unwrap().notify(command.message)
 
     def _on_probe(self, probe: Probe, peer: PeerIdentity) -> Any:
         answer = self._membership.on_probe(probe, self._clock.now())
-        self._pump()
+        self._execute_commands()
         return answer
 
     def _on_probe_for_me(self, req: ProbeForMe, peer: PeerIdentity) -> Any:
         report: AsyncResult = AsyncResult()
         self._membership.on_probe_for_me(req, report.set)
-        self._pump()
+        self._execute_commands()
         try:
             return report.get(timeout=PROBE_TIMEOUT_S * 2)
         except gevent.Timeout:
@@ -239,13 +242,13 @@
 
     def _on_exchange(self, exchange: Exchange, peer: PeerIdentity) -> News:
         answer = self._membership.on_exchange(exchange)
-        self._pump()
+        self._execute_commands()
         return answer
 
     def _on_news(self, news: News, peer: PeerIdentity) -> None:
         self._membership.on_news(news, peer.host)
-        self._pump()
+        self._execute_commands()
 
     def _on_contact_lost(self, peer: PeerIdentity) -> None:
         self._membership.on_contact_lost(peer.host, self._clock.now())
-        self._pump()
+        self._execute_commands()
--- a/packages/node/src/trefoilpulley_node/metrics.py
+++ b/packages/node/src/trefoilpulley_node/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics sent by statsd."""
+"""Metrics of the process, sent to a statsd server."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Metrics:
-    """Counters and timings of the process.
+    """Sends counters and timings to statsd.
 
     Parameters
     ----------
     cfg : StatsdSettings or None
-        Where metrics go; without it they are dropped.
+        Address and prefix of the metrics; no metrics are sent if ``None``.
     """
 
     def __init__(self, cfg: StatsdSettings | None) -> None:
@@ -27,7 +27,7 @@
             )
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         if self._client is not None:
             self._client.incr(name, amount)
 
--- a/packages/node/src/trefoilpulley_node/node.py
+++ b/packages/node/src/trefoilpulley_node/node.py
@@ -1,4 +1,4 @@
-"""Life of an entry host process: start, drain, stop."""
+"""Starts, drains and stops an entry host process."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
     from trefoilpulley_node.settings import NodeSettings
     from trefoilpulley_wire.listener import Listener
 
-DRAIN_POLL_S = 0.05
-"""Time between looks at the running work while draining."""
+DRAIN_POLL_INTERVAL_S = 0.05
+"""Interval between checks for running work while draining, in seconds."""
 
-LEAVE_SETTLE_S = 1.0
-"""Time in which peers learn that this host leaves."""
+LEAVE_NOTICE_DELAY_S = 1.0
+"""Wait until all peers know that this host leaves, in seconds."""
 
 
 class Node:
-    """One entry host process.
+    """Process of an entry host.
 
     Parameters
     ----------
     cfg : NodeSettings
         Settings of the process.
     services : Sequence[Service]
-        Background parts, in the order in which they start.
+        Background services in the order in which they start.
     membership : MembershipRunner
         Tells the peers that this host leaves.
-    callers : Listener
-        Connections of callers.
+    caller_listener : Listener
+        Accepts the connections of callers.
     peer_listener : Listener
-        Connections of other hosts.
+        Accepts the connections of other hosts.
     admit : Admit
         Counts the running requests.
     pooler : Pooler
@@ -49,7 +49,7 @@
     peers : Peers
         Connections to other hosts.
     transactions : EntryTransactions
-        Transactions of callers.
+        Open transactions of callers.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         cfg: NodeSettings,
         services: Sequence[Service],
         membership: MembershipRunner,
-        callers: Listener,
+        caller_listener: Listener,
         peer_listener: Listener,
         admit: Admit,
         pooler: Pooler,
@@ -67,7 +67,7 @@
         self._cfg = cfg
         self._services = tuple(services)
         self._membership = membership
-        self._callers = callers
+        self._caller_listener = caller_listener
         self._peer_listener = peer_listener
         self._admit = admit
         self._pooler = pooler
@@ -75,29 +75,29 @@
         self._transactions = transactions
 
     def start(self) -> None:
-        """Start the parts, the caller's side last."""
+        """Start all components; the listener for callers starts last."""
         self._peer_listener.start()
         for service in self._services:
             service.start()
-        self._callers.start()
+        self._caller_listener.start()
         events.HOST_STARTED.log(host=self._cfg.host, zone=self._cfg.zone)
 
     def drain(self) -> None:
-        """Take no new work, finish what runs, then stop."""
+        """Refuse new work, finish running work, then stop."""
         events.HOST_DRAINING.log(host=self._cfg.host)
         self._admit.is_draining = True
-        self._callers.stop_accepting()
+        self._caller_listener.stop_accepting()
         self._membership.leave()
-        # Peers that have not heard of it yet still send pooled work.
-        gevent.sleep(LEAVE_SETTLE_S)
+        # Peers send pooled work until they learn that this host leaves.
+        gevent.sleep(LEAVE_NOTICE_DELAY_S)
         with gevent.Timeout(self._cfg.drain_s, False):
             while self._has_work():
-                gevent.sleep(DRAIN_POLL_S)
+                gevent.sleep(DRAIN_POLL_INTERVAL_S)
         self.stop()
 
     def stop(self) -> None:
-        """Stop every part at once."""
-        self._callers.stop()
+        """Stop all components without waiting for running work."""
+        self._caller_listener.stop()
         for service in reversed(self._services):
             service.stop()
         self._peer_listener.stop()
--- a/packages/node/src/trefoilpulley_node/notice_log.py
+++ b/packages/node/src/trefoilpulley_node/notice_log.py
@@ -1,4 +1,4 @@
-"""Writes the coordinator's notices to the log."""
+"""Logs the notices of the coordinator role."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class NoticeLog(NoticeListener):
-    """Logs each notice with its type and fields."""
+    """Logs each notice with its type and its fields as strings."""
 
     def on_notice(self, notice: Notice) -> None:
         """Log one notice."""
--- a/packages/node/src/trefoilpulley_node/peer_server.py
+++ b/packages/node/src/trefoilpulley_node/peer_server.py
@@ -1,4 +1,4 @@
-"""Serves the messages of other hosts."""
+"""Server side of the connections from other hosts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """Host on the other side of a connection."""
+    """Authenticated host on the other side of a connection."""
 
     host: str
     """Name of the host."""
@@ -34,82 +34,85 @@
     """Availability zone of the host."""
 
     incarnation: int
-    """Number of the process's start."""
+    """Identifier of the run of the host's process."""
 
     connection: int
     """Number of the connection, unique in this process."""
 
 
 class PeerServer(Handler):
-    """Authenticates peers and hands their messages to the roles.
+    """Authenticates peers and passes their messages to the roles.
 
     Parameters
     ----------
     host : str
         Name of this host.
     incarnation : int
-        Number of this process's start.
+        Identifier of this run of the process.
     secret : str
-        Secret of the deployment's hosts.
+        Secret that the hosts of the deployment share.
     """
 
     def __init__(self, host: str, incarnation: int, secret: str) -> None:
         self._secret = secret
         self._welcome = PeerWelcome(host, incarnation)
         self._handlers: dict[type, Callable[[Any, PeerIdentity], Any]] = {}
-        self._on_close: list[Callable[[PeerIdentity], None]] = []
+        self._close_listeners: list[Callable[[PeerIdentity], None]] = []
         self._connections = 0
 
     def register(
         self, kind: type, serve: Callable[[Any, PeerIdentity], Any]
     ) -> None:
-        """Let a role serve one type of message."""
+        """Register the handler of a message type."""
         self._handlers[kind] = serve
 
     def register_close(self, on_close: Callable[[PeerIdentity], None]) -> None:
-        """Let a role learn that a peer's connection has ended."""
-        self._on_close.append(on_close)
+        """Register a callback for the end of a peer's connection."""
+        self._close_listeners.append(on_close)
 
     def serve(self, message: Any, peer: PeerIdentity) -> Any:
-        """Return the reply to a message of an authenticated peer."""
+        """Handle a message of an authenticated peer and return the reply."""
         serve = self._handlers.get(type(message))
         if serve is None:
             return make_failure_reply(
-                MalformedMessage('no role serves the message')
+                MalformedMessage('message type has no handler')
             )
         try:
             return serve(message, peer)
-        except Exception as exc:  # a fault here must not end the connection
+        except Exception as exc:  # an error must not close the connection
             events.HANDLER_CRASHED.log(
                 message=type(message).__name__, error=repr(exc)
             )
             return make_failure_reply(OutcomeUnknown('internal error'))
 
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Serve a request once the peer is known."""
+        """Handle a request; all but a hello need an authenticated peer."""
         if isinstance(message, PeerHello):
-            return self._greet(channel, message)
+            return self._on_hello(channel, message)
         if channel.context is None:
             return make_failure_reply(NotAuthenticated())
         return self.serve(message, channel.context)
 
     def on_notice(self, channel: Channel, message: Any) -> None:
-        """Serve a one-way message once the peer is known."""
+        """Handle a one-way message of an authenticated peer.
+
+        Messages of other peers are ignored.
+        """
         if channel.context is not None:
             self.serve(message, channel.context)
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
-        """Reply to what could not be decoded."""
+        """Return the reply to a message that could not be decoded."""
         return make_failure_reply(failure)
 
     def on_close(self, channel: Channel) -> None:
-        """Tell the roles that a peer's connection has ended."""
+        """Report the end of a peer's connection to the roles."""
         if channel.context is None:
             return
-        for on_close in self._on_close:
+        for on_close in self._close_listeners:
             on_close(channel.context)
 
-    def _greet(self, channel: Channel, hello: PeerHello) -> Any:
+    def _on_hello(self, channel: Channel, hello: PeerHello) -> Any:
         if not hmac.compare_digest(
             hello.secret.encode(), self._secret.encode()
         ):
@@ -123,5 +126,5 @@
 
 
 def make_failure_reply(failure: Failure) -> PooledFailure:
-    """Return the wire form of a failure between hosts."""
+    """Return the message that reports a failure to another host."""
     return PooledFailure(failure.code, failure.detail)
--- a/packages/node/src/trefoilpulley_node/peers.py
+++ b/packages/node/src/trefoilpulley_node/peers.py
@@ -1,4 +1,4 @@
-"""Connections to other hosts."""
+"""Client side of the connections to other hosts."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     from trefoilpulley_wire.channel import Channel
 
 DIAL_TIMEOUT_S = 0.5
-"""Longest time to connect to a peer."""
+"""Longest time to connect to a peer, in seconds."""
 
 
 @cache
@@ -43,20 +43,20 @@
 
 
 class Peers(PoolerCaller):
-    """Channels to other hosts, opened on use and kept.
+    """Channels to other hosts, opened on first use and kept open.
 
     Parameters
     ----------
     hello : PeerHello
-        First message of every connection.
+        First message on each connection, which authenticates this host.
     server : PeerServer
-        Serves the messages that this host sends to itself.
+        Handles the messages that this host sends to itself.
     find_endpoint : Callable[[str], Endpoint | None]
-        Peer address of a host by its name.
+        Returns the peer address of a host by name.
     find_pooler : Callable[[str], str | None]
-        Host that pools a member, by the member's name.
+        Returns the host that pools a member, by the member's name.
     tls : ssl.SSLContext, optional
-        Client context for the connections.
+        TLS client context for the connections.
     """
 
     def __init__(
@@ -74,7 +74,9 @@
         self._tls = tls
         self._channels: dict[str, Channel] = {}
         self._dialling: dict[str, gevent.Greenlet] = {}
-        self._self = PeerIdentity(hello.host, hello.zone, hello.incarnation, 0)
+        self._own_identity = PeerIdentity(
+            hello.host, hello.zone, hello.incarnation, 0
+        )
 
     @property
     def open_channels(self) -> int:
@@ -84,7 +86,7 @@
     def call_pooler(
         self, member: str, message: Any, timeout_s: float
     ) -> Result[Any, Failure]:
-        """Send a request to the host that pools a member."""
+        """Send a request to the pooler of a member and wait for the reply."""
         host = self._find_pooler(member)
         if host is None:
             return Failed(PeerUnreachable('no host pools the member'))
@@ -98,9 +100,10 @@
         Returns
         -------
         Result[Any, Failure]
-            The reply; a `PooledFailure` comes as the typed failure.
+            The reply. A `PooledFailure` is returned as the failure that it
+            encodes.
         """
-        return _unwrap(self.call_host_raw(host, message, timeout_s))
+        return _decode_reply(self.call_host_raw(host, message, timeout_s))
 
     def call_host_raw(
         self,
@@ -109,18 +112,18 @@
         timeout_s: float,
         abort: Event | None = None,
     ) -> Result[Any, Failure]:
-        """Send a request to a host and return its reply as it came.
+        """Send a request to a host and return its unprocessed reply.
 
         Parameters
         ----------
         host : str
             Name of the host.
         message : Any
-            Typed request.
+            Request message.
         timeout_s : float
             Longest wait in seconds.
         abort : Event, optional
-            Ends the wait as if the peer were unreachable.
+            If set, ends the wait as if the peer were unreachable.
 
         Returns
         -------
@@ -128,31 +131,33 @@
             The reply, which may be a `PooledFailure`.
         """
         if host == self._hello.host:
-            return Success(self._server.serve(message, self._self))
+            return Success(self._server.serve(message, self._own_identity))
         opened = self.open_channel(host)
         if not isinstance(opened, Success):
-            # Nothing was sent: the request can not have run.
+            # The request was not sent, so it has not run.
             return Failed(NoUpstream(opened.failure().detail))
         return opened.unwrap().call(message, timeout_s, abort)
 
     def find_pooler(self, member: str) -> str | None:
-        """Return the host that pools a member, or ``None``."""
+        """Return the host that pools a member, or ``None`` if unknown."""
         return self._find_pooler(member)
 
     def open_channel(
         self, host: str, timeout_s: float | None = None
     ) -> Result[Channel, Failure]:
-        """Return the open channel to a host, dialling where needed.
+        """Return the channel to a host, and open it first if necessary.
 
-        All who need the channel wait for one dial and share its outcome:
-        a host that is dead holds each of them up once.
+        Concurrent calls for the same host wait for a single connection
+        attempt and share its result, so that an unreachable host delays
+        each call only once.
 
         Parameters
         ----------
         host : str
             Name of the host.
         timeout_s : float, optional
-            Longest wait for the dial, which goes on afterwards.
+            Longest wait for the connection in seconds. The connection
+            attempt continues after the wait.
         """
         channel = self._channels.get(host)
         if channel is not None and channel.is_open:
@@ -167,12 +172,12 @@
             return Failed(PeerUnreachable('timeout'))
 
     def close(self) -> None:
-        """Close every channel."""
+        """Close every channel gracefully."""
         for channel in list(self._channels.values()):
             channel.close_gracefully()
 
     def forget(self, host: str) -> None:
-        """Close the channel to a host that is gone."""
+        """Close and remove the channel to a host."""
         channel = self._channels.pop(host, None)
         if channel is not None:
             channel.close()
@@ -196,12 +201,12 @@
 
 
 def read_failure(message: PooledFailure) -> Failure:
-    """Return the typed failure of its wire form."""
+    """Return the failure that a message encodes."""
     kind = _failures().get(message.code, Failure)
     return kind(message.detail)
 
 
-def _unwrap(reply: Result[Any, Failure]) -> Result[Any, Failure]:
+def _decode_reply(reply: Result[Any, Failure]) -> Result[Any, Failure]:
     if not isinstance(reply, Success):
         return reply
     message = reply.unwrap()
--- a/packages/node/src/trefoilpulley_node/policies.py
+++ b/packages/node/src/trefoilpulley_node/policies.py
@@ -1,4 +1,4 @@
-"""Policies that the settings choose by name."""
+"""Creates the policies that the settings select by name."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def make_routing(name: str, targets: ClassTargets) -> RoutingPolicy:
-    """Return the routing policy with a name."""
+    """Create the routing policy with a name."""
     if name == 'plain':
         return PlainRouting()
     if name == 'thin':
@@ -29,7 +29,7 @@
 def make_slot_queue(
     name: str, member: MemberEntry, targets: ClassTargets
 ) -> SlotQueue:
-    """Return the slot queue with a name for a member."""
+    """Create the slot queue with a name for a member."""
     if name == 'fifo':
         return FifoSlots(member.slots)
     return DeadlineSlots(member.slots, targets)
--- a/packages/node/src/trefoilpulley_node/pool_owner.py
+++ b/packages/node/src/trefoilpulley_node/pool_owner.py
@@ -1,4 +1,4 @@
-"""Gives up the members that another host pools by now."""
+"""Releases pooled members that another host owns."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     from trefoilpulley_node.directory import Directory
     from trefoilpulley_node.pooler.pooler import Pooler
 
-CHECK_S = 2.0
-"""Time between two looks at the owners of the pooled members."""
+OWNER_CHECK_INTERVAL_S = 2.0
+"""Interval between checks of the members' owners, in seconds."""
 
 
 class PoolOwnershipMonitor(Service):
-    """Releases members whose owner by rendezvous hashing has changed.
+    """Releases pooled members that rendezvous hashing moved to another host.
 
     Parameters
     ----------
     host : str
         Name of this host.
     directory : Directory
-        Finds the owner of a member.
+        Finds the host that owns a member.
     pooler : Pooler
         Pooler role of this host.
     """
@@ -38,17 +38,17 @@
         self._greenlet: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Begin to look."""
+        """Start checking in the background."""
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the looks."""
+        """Stop checking."""
         if self._greenlet is not None:
             self._greenlet.kill(block=False)
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(CHECK_S)
+            gevent.sleep(OWNER_CHECK_INTERVAL_S)
             for name in list(self._pooler.members):
                 if self._directory.find_pooler(name) != self._host:
                     self._pooler.release_member(name)
--- a/packages/node/src/trefoilpulley_node/service.py
+++ b/packages/node/src/trefoilpulley_node/service.py
@@ -1,4 +1,4 @@
-"""Background part of the process."""
+"""Interface of the background services of the process."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Service(abc.ABC):
-    """Part that works in the background."""
+    """Component that runs in the background."""
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Begin to work."""
+        """Start the background work."""
 
     @abc.abstractmethod
     def stop(self) -> None:
-        """End the work."""
+        """Stop the background work."""
--- a/packages/node/src/trefoilpulley_node/settings.py
+++ b/packages/node/src/trefoilpulley_node/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry host process."""
+"""Settings of an entry host process."""
 
 from __future__ import annotations
 
@@ -30,32 +30,32 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """Certificates of the process."""
+    """TLS files of the process."""
 
     certificate: str
-    """Path of the certificate chain, PEM."""
+    """Path of the certificate chain in PEM format."""
 
     key: str
-    """Path of the private key, PEM."""
+    """Path of the private key in PEM format."""
 
     authorities: str
-    """Path of the authorities that sign peers' certificates, PEM."""
+    """Path of the CA certificates for peers in PEM format."""
 
 
 @dataclass(frozen=True, slots=True)
 class StatsdSettings:
-    """Where metrics go."""
+    """Destination of the metrics."""
 
     endpoint: Endpoint
     """Address of the statsd server."""
 
     prefix: str = 'trefoilpulley'
-    """First part of every metric's name."""
+    """Prefix of every metric name."""
 
 
 @dataclass(frozen=True, slots=True)
 class SeedPeer:
-    """Host that is asked for the host list when the service is out."""
+    """Host to contact when the platform's service is unavailable."""
 
     name: str
     """Name of the host."""
@@ -66,21 +66,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneDistance:
-    """One-way delay to another availability zone."""
+    """Network distance to another availability zone."""
 
     zone: str
     """Availability zone."""
 
     one_way_ms: float
-    """One-way delay in milliseconds."""
+    """One-way network delay in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """Settings of one entry host process."""
+    """Settings of an entry host process."""
 
     deployment: str
-    """Name of the deployment; part of every session token."""
+    """Name of the deployment, which is part of every session token."""
 
     host: str
     """Name of the host."""
@@ -92,40 +92,43 @@
     """Availability zone of the host."""
 
     listen: Endpoint
-    """Address for callers."""
+    """Address on which the host listens for callers."""
 
     peer_listen: Endpoint
-    """Address for other hosts."""
+    """Address on which the host listens for other hosts."""
 
     platform: Endpoint
     """Address of the platform's key-value service."""
 
     token_keys: tuple[str, ...]
-    """Keys of the session tokens, oldest first; the last one signs."""
+    """Signing keys of session tokens, oldest first.
+
+    The last key signs new tokens; all keys verify tokens.
+    """
 
     peer_secret: str
-    """Secret of the deployment's hosts."""
+    """Secret that the hosts of the deployment share."""
 
     operator_secret: str
-    """Secret of the operators."""
+    """Secret with which operators read the state dump."""
 
     tenants: tuple[TenantSecret, ...] = ()
-    """Secrets of the tenants."""
+    """Secrets of the tenants' callers."""
 
     seeds: tuple[SeedPeer, ...] = ()
-    """Hosts to ask when the service is out at start."""
+    """Hosts to contact if the service is unavailable at start."""
 
     distances: tuple[ZoneDistance, ...] = ()
-    """Delays to the other availability zones."""
+    """Network distances to the other availability zones."""
 
     statsd: StatsdSettings | None = None
-    """Where metrics go; none are sent without it."""
+    """Destination of the metrics; no metrics are sent if ``None``."""
 
     tls: TlsSettings | None = None
-    """Certificates; plain TCP without them."""
+    """TLS files; connections are unencrypted if ``None``."""
 
     log_path: str = ''
-    """File of the log; standard error without it."""
+    """Path of the log file; the log goes to standard error if empty."""
 
     routing: str = 'targets'
     """Routing policy: ``targets``, ``thin`` or ``plain``."""
@@ -134,14 +137,14 @@
     """Slot queue: ``deadline`` or ``fifo``."""
 
     drain_s: float = 10.0
-    """Longest time that a planned stop waits for running work."""
+    """Longest wait for running work before the host stops, in seconds."""
 
 
 def load_settings(path: Path) -> Result[NodeSettings, Failure]:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     return read_settings(path, NodeSettings)
 
 
 def dump_settings(cfg: NodeSettings) -> str:
-    """Return the JSON text of settings."""
+    """Return settings as JSON text."""
     return format_settings(cfg)
--- a/packages/node/src/trefoilpulley_node/settings_file.py
+++ b/packages/node/src/trefoilpulley_node/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads and writes JSON files of settings."""
+"""Reads and formats settings files in JSON."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidSettings(Failure):
-    """The settings file can't be read or has faults."""
+    """The settings file can't be read or is invalid."""
 
     code = 'invalid-settings'
     run_state = RunState.NOT_RUN
 
     faults: tuple[str, ...] = ()
-    """Each fault with its path."""
+    """Description of each fault with its path in the document."""
 
 
 def read_settings(path: Path, kind: type[_T]) -> Result[_T, Failure]:
-    """Read and check a file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
     path : Path
-        JSON file.
+        Path of the JSON file.
     kind : type
-        Data class of the settings.
+        Data class that the settings must match.
 
     Returns
     -------
@@ -65,5 +65,5 @@
 
 
 def format_settings(cfg: Any) -> str:
-    """Return the JSON text of settings."""
+    """Return settings as JSON text."""
     return json.dumps(_CONVERTER.unstructure(cfg), indent=2)
--- a/packages/node/src/trefoilpulley_node/tls.py
+++ b/packages/node/src/trefoilpulley_node/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts of the process, from the standard library on gevent."""
+"""TLS contexts of the process, made with gevent's ``ssl`` module."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 def make_peer_server_context(
     cfg: TlsSettings | None,
 ) -> ssl.SSLContext | None:
-    """Return the server context for hosts, which must show certificates."""
+    """Return the server context for other hosts, or ``None`` without TLS.
+
+    The context requires a certificate from each connecting host.
+    """
     if cfg is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -35,7 +38,7 @@
 def make_peer_client_context(
     cfg: TlsSettings | None,
 ) -> ssl.SSLContext | None:
-    """Return the client context for the connections to other hosts."""
+    """Return the client context for other hosts, or ``None`` without TLS."""
     if cfg is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
--- a/packages/node/src/trefoilpulley_node/traffic_state.py
+++ b/packages/node/src/trefoilpulley_node/traffic_state.py
@@ -1,4 +1,4 @@
-"""Traffic of the process in the state dump."""
+"""Traffic section of the state dump."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficState:
-    """Messages and calls since the process started."""
+    """Numbers of messages and calls since the process started."""
 
     callers: tuple[TrafficCount, ...]
     """Frames to and from callers."""
