--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -17,7 +17,7 @@
 from trefoilpulley_cli.main import main
 from trefoilpulley_core.clock import Clock
 from trefoilpulley_node.log_sink import LogSink
-from trefoilpulley_node.log_sink import QUEUE_BYTES
+from trefoilpulley_node.log_sink import MAX_QUEUED_BYTES
 from trefoilpulley_node.proxy.proxy_metrics import COUNTERS
 from trefoilpulley_node.proxy.proxy_metrics import GAUGES
 from trefoilpulley_node.proxy.proxy_metrics import HISTOGRAMS
@@ -100,7 +100,7 @@
     def check_bounded(context: Any) -> None:
         """Check what waits for the reader."""
         waiting = context.sink.queued_bytes
-        assert 0 < waiting <= QUEUE_BYTES, waiting
+        assert 0 < waiting <= MAX_QUEUED_BYTES, waiting
 
     @staticmethod
     @then('the dropped lines are counted by event')
--- a/packages/node/src/trefoilpulley_node/log_sink.py
+++ b/packages/node/src/trefoilpulley_node/log_sink.py
@@ -20,7 +20,7 @@
 
     from trefoilpulley_core.clock import Clock
 
-QUEUE_BYTES = 256 * 1024
+MAX_QUEUED_BYTES = 256 * 1024
 """Largest total size of the lines that wait to be written, in bytes."""
 
 MAX_LINES_PER_S = 40.0
@@ -93,7 +93,7 @@
 
     def _enqueue(self, message: Mapping[str, Any]) -> bool:
         line = json.dumps(message, default=str).encode() + b'\n'
-        if self._queued_bytes + len(line) > QUEUE_BYTES:
+        if self._queued_bytes + len(line) > MAX_QUEUED_BYTES:
             return False
         self._queue.append(line)
         self._queued_bytes += len(line)
