--- a/packages/node/src/trefoilpulley_node/configuration_runner.py
+++ b/packages/node/src/trefoilpulley_node/configuration_runner.py
@@ -1,4 +1,4 @@
-"""Executes the distribution of documents on this host."""
+"""Runs the distribution of documents on this host."""
 
 from __future__ import annotations
 
--- a/packages/node/src/trefoilpulley_node/log_sink.py
+++ b/packages/node/src/trefoilpulley_node/log_sink.py
@@ -129,8 +129,8 @@
                 while self._queue:
                     self._write(self._next_batch())
         except OSError:
-            # The reading end has closed the pipe, so the queued lines can't
-            # be written and the error can't be logged.
+            # The reader has closed the descriptor, so neither the queued
+            # lines nor a report of this error can be written.
             self._queue.clear()
 
     def _next_batch(self) -> bytes:
--- a/packages/node/src/trefoilpulley_node/pooler/member_connections.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_connections.py
@@ -57,7 +57,7 @@
 
     @property
     def open_for_work(self) -> int:
-        """Open or opening connections, without the control connection."""
+        """Number of open or opening connections, except the control one."""
         return len(self._idle) + len(self._in_use) + self._pacer.opening
 
     @property
--- a/packages/node/src/trefoilpulley_node/pooler/member_link.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_link.py
@@ -207,7 +207,8 @@
     Returns
     -------
     Result[MemberLink, Failure]
-        The connection, or `PeerUnreachable` if it could not be opened.
+        The connection, or `PeerUnreachable` if the member could not be
+        reached.
     """
     return dial(
         endpoint,
--- a/packages/node/src/trefoilpulley_node/pooler/transactions.py
+++ b/packages/node/src/trefoilpulley_node/pooler/transactions.py
@@ -51,10 +51,10 @@
 class Transactions:
     """Open transactions, each pinned to a slot and a connection.
 
-    A transaction belongs to the peer connection that began it. It is
-    rolled back when that connection ends. It is also rolled back when it
-    is idle for longer than the promptness of its class, because other
-    work can't use the slot of an open transaction.
+    A transaction belongs to the peer connection on which it was begun.
+    The pooler rolls back a transaction when that connection ends, and
+    when the transaction is idle for longer than the promptness of its
+    class, because other work can't use the slot of an open transaction.
 
     Parameters
     ----------
--- a/packages/node/src/trefoilpulley_node/pooler/write_hold.py
+++ b/packages/node/src/trefoilpulley_node/pooler/write_hold.py
@@ -9,7 +9,7 @@
 
 
 class WriteHold:
-    """Hold of one handover that expires after a set time.
+    """Hold on writes that belongs to one handover and expires in time.
 
     Parameters
     ----------
