--- a/features/fakes/tenants_host.py
+++ b/features/fakes/tenants_host.py
@@ -30,15 +30,15 @@
 from trefoilpulley_node.entry.entry_transactions import EntryTransactions
 from trefoilpulley_node.entry.state import StateCollector
 from trefoilpulley_node.metrics import Metrics
-from trefoilpulley_node.pipeline.admit import Admit
-from trefoilpulley_node.pipeline.answer import AnswerMaker
-from trefoilpulley_node.pipeline.authenticate import Authenticate
-from trefoilpulley_node.pipeline.classify import Classify
+from trefoilpulley_node.pipeline.admit import AdmissionFilter
+from trefoilpulley_node.pipeline.answer import AnswerBuilder
+from trefoilpulley_node.pipeline.authenticate import AuthenticationFilter
+from trefoilpulley_node.pipeline.classify import ClassificationFilter
 from trefoilpulley_node.pipeline.confirm import OutcomeResolver
-from trefoilpulley_node.pipeline.deliver import Deliver
+from trefoilpulley_node.pipeline.deliver import DeliveryFilter
 from trefoilpulley_node.pipeline.execute import Executor
 from trefoilpulley_node.pipeline.pipeline import Pipeline
-from trefoilpulley_node.pipeline.session_floor import SessionFloor
+from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
 from trefoilpulley_node.settings import TenantSecret
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
         return Success(Route(f'{req.database.name}/a', is_primary=True))
 
 
-class _LedgerAlone(Classify):
+class _LedgerAlone(ClassificationFilter):
     def _is_granted(
         self, tenant: Tenant, database: DatabaseEntry, work_class: str
     ) -> bool:
@@ -100,7 +100,7 @@
 class HostParts:
     """Types of the parts that keep tenants apart."""
 
-    classify: type[Classify] = Classify
+    classify: type[ClassificationFilter] = ClassificationFilter
     """Checks rights."""
 
     tokens: type[TokenCodec] = TokenCodec
@@ -173,12 +173,12 @@
         tokens = parts.tokens('deployment', ('key',))
         targets = ClassTargets()
         targets.declare(self.declarations.classes)
-        admit = Admit(Admission(targets), self._clock)
-        authenticate = Authenticate(
+        admit = AdmissionFilter(Admission(targets), self._clock)
+        authenticate = AuthenticationFilter(
             [TenantSecret(t, _secret_of(t)) for t in self.rights],
             lambda: self.declarations,
         )
-        floor = SessionFloor(tokens)
+        floor = SessionFloorFilter(tokens)
         prepare = (
             authenticate,
             parts.classify(lambda: self.declarations, self._databases.get),
@@ -191,7 +191,7 @@
         confirm = OutcomeResolver(
             router, executor, views, lambda: False, self._clock
         )
-        deliver = Deliver(
+        deliver = DeliveryFilter(
             router,
             executor,
             confirm,
@@ -210,7 +210,7 @@
                 parts.transactions(
                     router, self._peers, floor, confirm, views, self._clock
                 ),
-                AnswerMaker(tokens),
+                AnswerBuilder(tokens),
                 targets,
                 tokens,
                 StateCollector('operators'),
--- a/features/steps/capacity_succession_steps.py
+++ b/features/steps/capacity_succession_steps.py
@@ -13,7 +13,7 @@
 from trefoilpulley_core.declarations import Declarations
 from trefoilpulley_core.membership.live_hosts import LiveHosts
 from trefoilpulley_core.membership.live_hosts import ZoneHosts
-from trefoilpulley_node.coordination.observer import SituationObserver
+from trefoilpulley_node.coordination.observer import DeploymentObserver
 from trefoilpulley_standins.measure.catalogue import make_databases
 from trefoilpulley_standins.measure.catalogue import make_hosts
 
@@ -59,7 +59,7 @@
         catalog = Catalog((), listed)
         declarations = Declarations()
         context.live = _live(listed)
-        context.observer = SituationObserver(
+        context.observer = DeploymentObserver(
             lambda: catalog, lambda: declarations, lambda: context.live
         )
 
--- a/features/steps/client_orphans_steps.py
+++ b/features/steps/client_orphans_steps.py
@@ -19,7 +19,7 @@
 from trefoilpulley_core.upstream import Statement
 from trefoilpulley_core.upstream import StatementResult
 from trefoilpulley_node.peer_server import PeerIdentity
-from trefoilpulley_node.pooler.transactions import Transactions
+from trefoilpulley_node.pooler.transactions import PoolerTransactions
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -109,7 +109,7 @@
             pool=context.pool,
         )
         context.calls = VirtualCalls()
-        context.transactions = Transactions(
+        context.transactions = PoolerTransactions(
             work=None, call_later=context.calls.call_later
         )
 
--- a/features/steps/coordination_driver_steps.py
+++ b/features/steps/coordination_driver_steps.py
@@ -32,9 +32,9 @@
 from trefoilpulley_core.peer import StatusReport
 from trefoilpulley_node.clock import MonotonicClock
 from trefoilpulley_node.coordination.driver import CoordinationDriver
+from trefoilpulley_node.coordination.situation import DeploymentView
 from trefoilpulley_node.coordination.situation import NoticeListener
 from trefoilpulley_node.coordination.situation import PoolerCaller
-from trefoilpulley_node.coordination.situation import Situation
 from trefoilpulley_standins.explore_member import ModelMember
 
 EVENT_TIMEOUT_S = 20.0
@@ -124,7 +124,9 @@
             tuple(MemberEntry(n, n, NOWHERE, 2, 16) for n in 'abc'),
         )
         host = HostEntry('h', 'region', 'b', NOWHERE, NOWHERE)
-        seen = Situation(Catalog((entry,), (host,)), Declarations(), (host,))
+        seen = DeploymentView(
+            Catalog((entry,), (host,)), Declarations(), (host,)
+        )
         context.fake = FakeMembers(entry)
         context.service = GrantPlatform()
         context.driver = CoordinationDriver(
--- a/features/steps/declarations_steps.py
+++ b/features/steps/declarations_steps.py
@@ -15,7 +15,7 @@
 from trefoilpulley_core.declarations_check import check_declarations
 from trefoilpulley_core.declarations_form import format_declarations
 from trefoilpulley_core.failure import NotAuthorized
-from trefoilpulley_node.pipeline.classify import Classify
+from trefoilpulley_node.pipeline.classify import ClassificationFilter
 from trefoilpulley_node.pipeline.request import PipelineRequest
 
 _FILING = '{"work": "write", "promptness": {"within_ms": 2000, "share": 0.99}}'
@@ -138,7 +138,7 @@
         """Pass a request through the filter that checks rights."""
         declarations = context.checked.unwrap()
         entry = DatabaseEntry(database, ledger, ())
-        step = Classify(lambda: declarations, lambda name: entry)
+        step = ClassificationFilter(lambda: declarations, lambda name: entry)
         message = Begin(name, database)
         found = step.apply(PipelineRequest(tenant, message, 0.0))
         if outcome == 'granted':
--- a/features/steps/entry_transactions_steps.py
+++ b/features/steps/entry_transactions_steps.py
@@ -30,11 +30,11 @@
 from trefoilpulley_core.token import SessionToken
 from trefoilpulley_core.token import TokenCodec
 from trefoilpulley_node.entry.entry_transactions import EntryTransactions
-from trefoilpulley_node.pipeline.answer import AnswerMaker
+from trefoilpulley_node.pipeline.answer import AnswerBuilder
 from trefoilpulley_node.pipeline.confirm import OutcomeResolver
 from trefoilpulley_node.pipeline.execute import Executor
 from trefoilpulley_node.pipeline.request import PipelineRequest
-from trefoilpulley_node.pipeline.session_floor import SessionFloor
+from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
 
 TENANT = 'north'
 CONNECTION = 1
@@ -138,7 +138,12 @@
             clock,
         )
         context.transactions = EntryTransactions(
-            router, peers, SessionFloor(context.codec), confirm, views, clock
+            router,
+            peers,
+            SessionFloorFilter(context.codec),
+            confirm,
+            views,
+            clock,
         )
 
     @staticmethod
@@ -185,7 +190,7 @@
     @then('the answer\'s token has floors for "{databases}"')
     def check_floors(context: Any, databases: str) -> None:
         """Read the token of the answer."""
-        answer = AnswerMaker(context.codec).make(context.result.unwrap())
+        answer = AnswerBuilder(context.codec).make(context.result.unwrap())
         token = context.codec.decode(answer.token, TENANT).unwrap()
         found = sorted(floor.database for floor in token.floors)
         assert found == databases.split(','), found
--- a/features/steps/pipeline_steps.py
+++ b/features/steps/pipeline_steps.py
@@ -34,16 +34,16 @@
 from trefoilpulley_core.targets import ClassTargets
 from trefoilpulley_core.token import SessionToken
 from trefoilpulley_core.token import TokenCodec
-from trefoilpulley_node.pipeline.admit import Admit
+from trefoilpulley_node.pipeline.admit import AdmissionFilter
 from trefoilpulley_node.pipeline.admit import make_key
-from trefoilpulley_node.pipeline.authenticate import Authenticate
-from trefoilpulley_node.pipeline.classify import Classify
+from trefoilpulley_node.pipeline.authenticate import AuthenticationFilter
+from trefoilpulley_node.pipeline.classify import ClassificationFilter
 from trefoilpulley_node.pipeline.confirm import OutcomeResolver
-from trefoilpulley_node.pipeline.deliver import Deliver
+from trefoilpulley_node.pipeline.deliver import DeliveryFilter
 from trefoilpulley_node.pipeline.execute import Executor
 from trefoilpulley_node.pipeline.pipeline import Pipeline
 from trefoilpulley_node.pipeline.request import PipelineRequest
-from trefoilpulley_node.pipeline.session_floor import SessionFloor
+from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
 
 
 def _make_class(name: str, work: WorkKind) -> WorkClass:
@@ -88,12 +88,12 @@
         targets.declare(declarations.classes)
         context.clock = FakeClock()
         context.codec = TokenCodec('deployment', ('key',))
-        context.admit = Admit(Admission(targets), context.clock)
+        context.admit = AdmissionFilter(Admission(targets), context.clock)
         context.pipeline = Pipeline(
             (
-                Authenticate((), lambda: declarations),
-                Classify(lambda: declarations, DATABASES.get),
-                SessionFloor(context.codec),
+                AuthenticationFilter((), lambda: declarations),
+                ClassificationFilter(lambda: declarations, DATABASES.get),
+                SessionFloorFilter(context.codec),
                 context.admit,
             )
         )
@@ -202,7 +202,7 @@
         confirm = context.confirm_type(
             router, executor, views, lambda: context.is_cut_off, clock
         )
-        deliver = Deliver(
+        deliver = DeliveryFilter(
             router,
             executor,
             confirm,
--- a/features/steps/pooled_reads_steps.py
+++ b/features/steps/pooled_reads_steps.py
@@ -18,7 +18,7 @@
 from trefoilpulley_core.upstream import Statement
 from trefoilpulley_core.upstream import StatementResult
 from trefoilpulley_node.pooler.pooled_member import RequestedAge
-from trefoilpulley_node.pooler.pooled_work import PooledWork
+from trefoilpulley_node.pooler.pooled_work import PooledStatementRunner
 
 
 class FakeLink:
@@ -110,7 +110,9 @@
             0,
             needs_leader=wanted == 'the present',
         )
-        context.result = PooledWork(context.clock).read(context.member, req)
+        context.result = PooledStatementRunner(context.clock).read(
+            context.member, req
+        )
 
     @staticmethod
     @then('the pooled read is {outcome}')
--- a/features/steps/token_steps.py
+++ b/features/steps/token_steps.py
@@ -22,7 +22,7 @@
 from trefoilpulley_core.token import SessionToken
 from trefoilpulley_core.token import TokenCodec
 from trefoilpulley_node.pipeline.request import PipelineRequest
-from trefoilpulley_node.pipeline.session_floor import SessionFloor
+from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
 
 EXAMPLES = 300
 """Generated tokens."""
@@ -166,7 +166,7 @@
         """Send a request through the filter that reads tokens."""
         message = Execute('r-1', 'lookup', 'db/0', 'select 1')
         req = PipelineRequest(tenant, message, 0.0)
-        session_floor = SessionFloor(TokenCodec('d', ['k1']))
+        session_floor = SessionFloorFilter(TokenCodec('d', ['k1']))
         found = session_floor.apply(req).unwrap()
         assert found.floor is None
         context.session = found.token
--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -19,7 +19,7 @@
 from trefoilpulley_node.clock import MonotonicClock
 from trefoilpulley_node.configuration_runner import ConfigurationRunner
 from trefoilpulley_node.coordination.driver import CoordinationDriver
-from trefoilpulley_node.coordination.observer import SituationObserver
+from trefoilpulley_node.coordination.observer import DeploymentObserver
 from trefoilpulley_node.directory import Directory
 from trefoilpulley_node.entry.caller_server import CallerServer
 from trefoilpulley_node.entry.caller_server import EntryComponents
@@ -35,16 +35,16 @@
 from trefoilpulley_node.notice_log import NoticeLog
 from trefoilpulley_node.peer_server import PeerServer
 from trefoilpulley_node.peers import Peers
-from trefoilpulley_node.pipeline.admit import Admit
-from trefoilpulley_node.pipeline.answer import AnswerMaker
-from trefoilpulley_node.pipeline.authenticate import Authenticate
-from trefoilpulley_node.pipeline.classify import Classify
+from trefoilpulley_node.pipeline.admit import AdmissionFilter
+from trefoilpulley_node.pipeline.answer import AnswerBuilder
+from trefoilpulley_node.pipeline.authenticate import AuthenticationFilter
+from trefoilpulley_node.pipeline.classify import ClassificationFilter
 from trefoilpulley_node.pipeline.confirm import OutcomeResolver
-from trefoilpulley_node.pipeline.deliver import Deliver
+from trefoilpulley_node.pipeline.deliver import DeliveryFilter
 from trefoilpulley_node.pipeline.execute import Executor
 from trefoilpulley_node.pipeline.pipeline import Pipeline
 from trefoilpulley_node.pipeline.route import Router
-from trefoilpulley_node.pipeline.session_floor import SessionFloor
+from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
 from trefoilpulley_node.policies import make_routing
 from trefoilpulley_node.policies import make_slot_queue
 from trefoilpulley_node.pool_owner import PoolOwnershipMonitor
@@ -175,8 +175,8 @@
         )
 
     @cached_property
-    def _observer(self) -> SituationObserver:
-        return SituationObserver(
+    def _observer(self) -> DeploymentObserver:
+        return DeploymentObserver(
             lambda: self._documents.catalog,
             self._get_declarations,
             lambda: self._membership.live_hosts,
@@ -218,16 +218,16 @@
         )
 
     @cached_property
-    def _admit(self) -> Admit:
-        return Admit(Admission(self._targets), self._clock)
+    def _admit(self) -> AdmissionFilter:
+        return AdmissionFilter(Admission(self._targets), self._clock)
 
     @cached_property
-    def _authenticate(self) -> Authenticate:
-        return Authenticate(self._cfg.tenants, self._get_declarations)
+    def _authenticate(self) -> AuthenticationFilter:
+        return AuthenticationFilter(self._cfg.tenants, self._get_declarations)
 
     @cached_property
-    def _session_floor(self) -> SessionFloor:
-        return SessionFloor(self._tokens)
+    def _session_floor(self) -> SessionFloorFilter:
+        return SessionFloorFilter(self._tokens)
 
     @cached_property
     def _transactions(self) -> EntryTransactions:
@@ -245,7 +245,7 @@
         return Pipeline(
             (
                 self._authenticate,
-                Classify(
+                ClassificationFilter(
                     self._get_declarations, self._directory.find_database
                 ),
                 self._session_floor,
@@ -255,7 +255,7 @@
 
     @cached_property
     def _deliver_pipeline(self) -> Pipeline:
-        deliver = Deliver(
+        deliver = DeliveryFilter(
             self._router,
             self._executor,
             self._outcome_resolver,
@@ -275,7 +275,7 @@
             self._prepare_pipeline,
             self._deliver_pipeline,
             self._transactions,
-            AnswerMaker(self._tokens),
+            AnswerBuilder(self._tokens),
             self._targets,
             self._tokens,
             self._state,
--- a/packages/node/src/trefoilpulley_node/coordination/driver.py
+++ b/packages/node/src/trefoilpulley_node/coordination/driver.py
@@ -36,9 +36,9 @@
     from trefoilpulley_core.coordination.commands import Command
     from trefoilpulley_core.coordination.commands import Commands
     from trefoilpulley_core.platform import Platform
+    from trefoilpulley_node.coordination.situation import DeploymentView
     from trefoilpulley_node.coordination.situation import NoticeListener
     from trefoilpulley_node.coordination.situation import PoolerCaller
-    from trefoilpulley_node.coordination.situation import Situation
 
 
 class CoordinationDriver(Service):
@@ -57,7 +57,7 @@
         Client of the platform's key-value service.
     poolers : PoolerCaller
         Sends control messages to the poolers of members.
-    observe : Callable[[], Situation]
+    observe : Callable[[], DeploymentView]
         Returns the current catalogue, declarations and live hosts.
     clock : Clock
         Monotonic time.
@@ -71,7 +71,7 @@
         incarnation: int,
         platform: Platform,
         poolers: PoolerCaller,
-        observe: Callable[[], Situation],
+        observe: Callable[[], DeploymentView],
         clock: Clock,
         listener: NoticeListener,
     ) -> None:
@@ -125,16 +125,14 @@
 
     def _tick(self) -> None:
         now = self._clock.now()
-        situation = self._observe()
-        self._duty_runner.tick(
-            situation.live_hosts, situation.catalog.databases, now
-        )
+        view = self._observe()
+        self._duty_runner.tick(view.live_hosts, view.catalog.databases, now)
         self._update_shards()
         interval_s = self._poll_interval_s(now)
         for number, shard in list(self._shards.items()):
             entries = self._duty.succession.members.get(number, ())
             surroundings = [
-                self._surroundings(entry, situation, interval_s)
+                self._surroundings(entry, view, interval_s)
                 for entry in entries
             ]
             is_acting = self._duty.may_act(number, now)
@@ -158,11 +156,11 @@
         return poll_interval_s(member_count)
 
     def _surroundings(
-        self, entry: DatabaseEntry, situation: Situation, interval_s: float
+        self, entry: DatabaseEntry, view: DeploymentView, interval_s: float
     ) -> Surroundings:
         return Surroundings(
             entry,
-            stopped_zones(situation.declarations, entry),
+            stopped_zones(view.declarations, entry),
             interval_s,
             self._duty.is_service_up,
         )
--- a/packages/node/src/trefoilpulley_node/coordination/observer.py
+++ b/packages/node/src/trefoilpulley_node/coordination/observer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from trefoilpulley_node.coordination.situation import Situation
+from trefoilpulley_node.coordination.situation import DeploymentView
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -14,7 +14,7 @@
     from trefoilpulley_core.membership.live_hosts import LiveHosts
 
 
-class SituationObserver:
+class DeploymentObserver:
     """Combines the catalogue, the declarations and the live hosts.
 
     The combined view is cached until one of the three changes, because
@@ -41,32 +41,32 @@
         self._get_declarations = get_declarations
         self._get_live_hosts = get_live_hosts
         self._live_hosts: LiveHosts | None = None
-        self._situation: Situation | None = None
+        self._view: DeploymentView | None = None
 
-    def observe(self) -> Situation:
+    def observe(self) -> DeploymentView:
         """Return the view; the same object until the deployment changes."""
         catalog = self._get_catalog()
         declarations = self._get_declarations()
         live = self._get_live_hosts()
         if not self._is_current(catalog, declarations, live):
             self._live_hosts = live
-            self._situation = _make_situation(catalog, declarations, live)
-        return self._situation
+            self._view = _make_view(catalog, declarations, live)
+        return self._view
 
     def _is_current(
         self, catalog: Catalog, declarations: Declarations, live: LiveHosts
     ) -> bool:
         return (
-            self._situation is not None
-            and self._situation.catalog is catalog
-            and self._situation.declarations is declarations
+            self._view is not None
+            and self._view.catalog is catalog
+            and self._view.declarations is declarations
             and self._live_hosts is live
         )
 
 
-def _make_situation(
+def _make_view(
     catalog: Catalog, declarations: Declarations, live: LiveHosts
-) -> Situation:
+) -> DeploymentView:
     names = {host for zone in live.zones for host in zone.hosts}
     hosts = tuple(h for h in catalog.hosts if h.name in names)
-    return Situation(catalog, declarations, hosts)
+    return DeploymentView(catalog, declarations, hosts)
--- a/packages/node/src/trefoilpulley_node/coordination/situation.py
+++ b/packages/node/src/trefoilpulley_node/coordination/situation.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Situation:
+class DeploymentView:
     """Current view of the deployment from this host."""
 
     catalog: Catalog
--- a/packages/node/src/trefoilpulley_node/entry/caller_server.py
+++ b/packages/node/src/trefoilpulley_node/entry/caller_server.py
@@ -30,9 +30,9 @@
     from trefoilpulley_node.entry.entry_transactions import EntryTransactions
     from trefoilpulley_node.entry.state import StateCollector
     from trefoilpulley_node.metrics import Metrics
-    from trefoilpulley_node.pipeline.admit import Admit
-    from trefoilpulley_node.pipeline.answer import AnswerMaker
-    from trefoilpulley_node.pipeline.authenticate import Authenticate
+    from trefoilpulley_node.pipeline.admit import AdmissionFilter
+    from trefoilpulley_node.pipeline.answer import AnswerBuilder
+    from trefoilpulley_node.pipeline.authenticate import AuthenticationFilter
     from trefoilpulley_node.pipeline.pipeline import Pipeline
     from trefoilpulley_wire.channel import Channel
 
@@ -55,10 +55,10 @@
     host: str
     """Name of this host."""
 
-    authenticate: Authenticate
+    authenticate: AuthenticationFilter
     """Authenticates callers."""
 
-    admit: Admit
+    admit: AdmissionFilter
     """Limits and counts the running requests."""
 
     prepare: Pipeline
@@ -70,7 +70,7 @@
     transactions: EntryTransactions
     """Open transactions of callers."""
 
-    answers: AnswerMaker
+    answers: AnswerBuilder
     """Creates the answers to callers."""
 
     targets: ClassTargets
--- a/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
+++ b/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
@@ -43,7 +43,7 @@
     from trefoilpulley_node.pipeline.confirm import OutcomeResolver
     from trefoilpulley_node.pipeline.request import PipelineRequest
     from trefoilpulley_node.pipeline.route import Router
-    from trefoilpulley_node.pipeline.session_floor import SessionFloor
+    from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
 
 STATEMENT_TIMEOUT_S = 30.0
 """Longest wait for a statement inside a transaction, in seconds."""
@@ -83,7 +83,7 @@
         Finds the primary of the database.
     peers : Peers
         Sends requests to poolers.
-    session_floor : SessionFloor
+    session_floor : SessionFloorFilter
         Reads the session token of a commit.
     outcome_resolver : OutcomeResolver
         Finds out the outcome of commits whose answers were lost.
@@ -97,7 +97,7 @@
         self,
         router: Router,
         peers: Peers,
-        session_floor: SessionFloor,
+        session_floor: SessionFloorFilter,
         outcome_resolver: OutcomeResolver,
         views: DatabaseViews,
         clock: Clock,
--- a/packages/node/src/trefoilpulley_node/node.py
+++ b/packages/node/src/trefoilpulley_node/node.py
@@ -14,7 +14,7 @@
     from trefoilpulley_node.entry.entry_transactions import EntryTransactions
     from trefoilpulley_node.membership_runner import MembershipRunner
     from trefoilpulley_node.peers import Peers
-    from trefoilpulley_node.pipeline.admit import Admit
+    from trefoilpulley_node.pipeline.admit import AdmissionFilter
     from trefoilpulley_node.pooler.pooler import Pooler
     from trefoilpulley_node.service import Service
     from trefoilpulley_node.settings import NodeSettings
@@ -42,7 +42,7 @@
         Accepts the connections of callers.
     peer_listener : Listener
         Accepts the connections of other hosts.
-    admit : Admit
+    admit : AdmissionFilter
         Counts the running requests.
     pooler : Pooler
         Pooler role.
@@ -59,7 +59,7 @@
         membership: MembershipRunner,
         caller_listener: Listener,
         peer_listener: Listener,
-        admit: Admit,
+        admit: AdmissionFilter,
         pooler: Pooler,
         peers: Peers,
         transactions: EntryTransactions,
--- a/packages/node/src/trefoilpulley_node/pipeline/admit.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/admit.py
@@ -25,7 +25,7 @@
     from trefoilpulley_core.clock import Clock
 
 
-class Admit(Filter):
+class AdmissionFilter(Filter):
     """Limits the running requests and refuses all requests while draining.
 
     Parameters
--- a/packages/node/src/trefoilpulley_node/pipeline/answer.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/answer.py
@@ -12,7 +12,7 @@
     from trefoilpulley_node.pipeline.request import PipelineRequest
 
 
-class AnswerMaker:
+class AnswerBuilder:
     """Creates the caller's answer from an executed request.
 
     Parameters
--- a/packages/node/src/trefoilpulley_node/pipeline/authenticate.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/authenticate.py
@@ -23,7 +23,7 @@
     from trefoilpulley_node.settings import TenantSecret
 
 
-class Authenticate(Filter):
+class AuthenticationFilter(Filter):
     """Checks the secrets of callers and whether their tenants are declared.
 
     Parameters
--- a/packages/node/src/trefoilpulley_node/pipeline/classify.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/classify.py
@@ -24,7 +24,7 @@
     from trefoilpulley_core.declarations import Tenant
 
 
-class Classify(Filter):
+class ClassificationFilter(Filter):
     """Looks up class and database and checks the grants of the tenant.
 
     Parameters
--- a/packages/node/src/trefoilpulley_node/pipeline/deliver.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/deliver.py
@@ -49,7 +49,7 @@
 _UNCERTAIN_FAILURES = (OutcomeUnknown, PeerUnreachable)
 
 
-class Deliver(Filter):
+class DeliveryFilter(Filter):
     """Tries members until one runs the request or the deadline passes.
 
     If the answer to an attempt is lost, the outcome of a write is
--- a/packages/node/src/trefoilpulley_node/pipeline/request.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/request.py
@@ -50,25 +50,28 @@
     """Monotonic time of arrival, in seconds."""
 
     work_class: WorkClass | None = None
-    """Class of work; set by ``Classify``."""
+    """Class of work; set by `ClassificationFilter`."""
 
     database: DatabaseEntry | None = None
-    """Database; set by ``Classify``."""
+    """Database; set by `ClassificationFilter`."""
 
     deadline: float = 0.0
-    """Monotonic time at which the answer is due; set by ``Classify``."""
+    """Monotonic time in seconds at which the answer is due.
+
+    The time is set by `ClassificationFilter`.
+    """
 
     token: SessionToken | None = None
-    """Session token of the caller; set by ``SessionFloor``."""
+    """Session token of the caller; set by `SessionFloorFilter`."""
 
     floor: Position | None = None
-    """Floor of the database, if known; set by ``SessionFloor``."""
+    """Floor of the database, if known; set by `SessionFloorFilter`."""
 
     key: OutcomeKey | None = None
-    """Key of the write's outcome; set by ``Admit``."""
+    """Key of the write's outcome; set by `AdmissionFilter`."""
 
     delivered: DeliveredResult | None = None
-    """Result of the request; set by ``Deliver`` or by a commit."""
+    """Result of the request; set by `DeliveryFilter` or by a commit."""
 
     @property
     def copies(self) -> int:
--- a/packages/node/src/trefoilpulley_node/pipeline/session_floor.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/session_floor.py
@@ -24,7 +24,7 @@
 """
 
 
-class SessionFloor(Filter):
+class SessionFloorFilter(Filter):
     """Verifies the session token and reads the floor of the database.
 
     Parameters
--- a/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
@@ -37,7 +37,7 @@
 """Number of connections on which a read is attempted."""
 
 
-class PooledWork:
+class PooledStatementRunner:
     """Runs single statements and outcome look-ups at a member.
 
     Parameters
--- a/packages/node/src/trefoilpulley_node/pooler/pooler.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooler.py
@@ -16,8 +16,8 @@
 from trefoilpulley_node import events
 from trefoilpulley_node.pooler.age_prober import AgeProber
 from trefoilpulley_node.pooler.pooled_member import PooledMember
-from trefoilpulley_node.pooler.pooled_work import PooledWork
-from trefoilpulley_node.pooler.transactions import Transactions
+from trefoilpulley_node.pooler.pooled_work import PooledStatementRunner
+from trefoilpulley_node.pooler.transactions import PoolerTransactions
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -67,11 +67,11 @@
         self._make_queue = make_queue
         self._find_database = find_database
         self._find_member = find_member
-        self._work = PooledWork(clock)
+        self._work = PooledStatementRunner(clock)
         self._peers = peers
         self._rng = rng
         self._probers: dict[str, AgeProber] = {}
-        self.transactions = Transactions(self._work)
+        self.transactions = PoolerTransactions(self._work)
         """Transactions that entry hosts have open at this pooler."""
 
         self.members: dict[str, PooledMember] = {}
--- a/packages/node/src/trefoilpulley_node/pooler/transactions.py
+++ b/packages/node/src/trefoilpulley_node/pooler/transactions.py
@@ -30,7 +30,7 @@
     from trefoilpulley_node.peer_server import PeerIdentity
     from trefoilpulley_node.pooler.member_pool import SlotLease
     from trefoilpulley_node.pooler.pooled_member import PooledMember
-    from trefoilpulley_node.pooler.pooled_work import PooledWork
+    from trefoilpulley_node.pooler.pooled_work import PooledStatementRunner
 
 
 MIN_IDLE_TIMEOUT_S = 1.0
@@ -48,7 +48,7 @@
     is_aborted: bool = False
 
 
-class Transactions:
+class PoolerTransactions:
     """Open transactions, each pinned to a slot and a connection.
 
     A transaction belongs to the peer connection on which it was begun.
@@ -58,7 +58,7 @@
 
     Parameters
     ----------
-    work : PooledWork
+    work : PooledStatementRunner
         Waits for the copies of a commit.
     call_later : Callable[..., Any]
         Calls a function with arguments after a delay in seconds.
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        work: PooledWork,
+        work: PooledStatementRunner,
         call_later: Callable[..., Any] = gevent.spawn_later,
     ) -> None:
         self._work = work
--- a/packages/standins/src/trefoilpulley_standins/measure/state.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/state.py
@@ -29,7 +29,7 @@
 from trefoilpulley_core.membership.live_hosts import LiveHosts
 from trefoilpulley_core.membership.live_hosts import ZoneHosts
 from trefoilpulley_core.membership.membership import Membership
-from trefoilpulley_node.coordination.observer import SituationObserver
+from trefoilpulley_node.coordination.observer import DeploymentObserver
 from trefoilpulley_node.directory import Directory
 from trefoilpulley_standins.measure.catalogue import make_databases
 from trefoilpulley_standins.measure.catalogue import make_hosts
@@ -183,7 +183,7 @@
     )
     catalog = Catalog(databases, hosts)
     declarations = Declarations()
-    observer = SituationObserver(
+    observer = DeploymentObserver(
         lambda: catalog, lambda: declarations, lambda: live
     )
 
