--- a/packages/node/src/trefoilpulley_node/coordination/shard_store.py
+++ b/packages/node/src/trefoilpulley_node/coordination/shard_store.py
@@ -103,7 +103,7 @@
         """Execute a command and return its outcome."""
         if isinstance(command, LoadShard):
             return self._load(command)
-        return self._save(command)
+        return self._store(command)
 
     def _load(self, command: LoadShard) -> StoreOutcome:
         found = self._platform.get(shard_key(command.shard))
@@ -114,7 +114,7 @@
             return RecordsLoaded(b'', 0)
         return RecordsLoaded(pair.value, pair.mod_revision)
 
-    def _save(self, command: StoreShard) -> StoreOutcome:
+    def _store(self, command: StoreShard) -> StoreOutcome:
         stored = self._platform.compare_and_swap(
             shard_key(command.shard), command.expected_revision, command.value
         )
--- a/packages/node/src/trefoilpulley_node/entry/caller_server.py
+++ b/packages/node/src/trefoilpulley_node/entry/caller_server.py
@@ -180,7 +180,7 @@
     ) -> Any:
         if message.transaction:
             return self._on_run(message, caller)
-        return self._answer(
+        return self._make_answer(
             self._run_admitted(message, caller, self._components.deliver.run)
         )
 
@@ -204,7 +204,7 @@
     def _on_look_up(
         self, message: messages.LookUp, caller: CallerIdentity
     ) -> Any:
-        return self._answer(
+        return self._make_answer(
             self._run_admitted(message, caller, self._components.deliver.run)
         )
 
@@ -225,7 +225,7 @@
     def _on_commit(
         self, message: messages.Commit, caller: CallerIdentity
     ) -> Any:
-        return self._answer(
+        return self._make_answer(
             self._components.transactions.commit(
                 message, caller.tenant, caller.connection
             )
@@ -256,10 +256,10 @@
             result = work(prepared.unwrap())
         finally:
             components.admit.finish(caller.tenant)
-        self._record(prepared.unwrap(), result)
+        self._record_outcome(prepared.unwrap(), result)
         return result
 
-    def _record(
+    def _record_outcome(
         self, req: PipelineRequest, result: Result[Any, Failure]
     ) -> None:
         now = self._components.clock.now()
@@ -270,7 +270,7 @@
         elif isinstance(result.failure(), NotRun):
             self._components.targets.record_refusal(name, now)
 
-    def _answer(self, result: Result[PipelineRequest, Failure]) -> Any:
+    def _make_answer(self, result: Result[PipelineRequest, Failure]) -> Any:
         if not isinstance(result, Success):
             return make_refusal(result.failure())
         return self._components.answers.make(result.unwrap())
--- a/packages/node/src/trefoilpulley_node/etcd_gateway.py
+++ b/packages/node/src/trefoilpulley_node/etcd_gateway.py
@@ -129,10 +129,10 @@
             )
             document = resp.json()
         except (requests.RequestException, OSError) as exc:
-            return self._fail(classify_exception(kind, exc))
+            return self._count_failure(classify_exception(kind, exc))
         if resp.ok:
             return Success(document)
-        return self._fail(classify_refusal(kind, document))
+        return self._count_failure(classify_refusal(kind, document))
 
     def open_stream(
         self, kind: CallKind, path: str, body: Mapping[str, Any]
@@ -150,11 +150,11 @@
                 timeout=(self._connect_timeout_s, None),
             )
         except (requests.RequestException, OSError) as exc:
-            return self._fail(classify_exception(kind, exc))
+            return self._count_failure(classify_exception(kind, exc))
         if resp.ok:
             return Success(resp)
         resp.close()
-        return self._fail(PlatformDown(f'status {resp.status_code}'))
+        return self._count_failure(PlatformDown(f'status {resp.status_code}'))
 
     def close(self) -> None:
         """Close the idle connections."""
@@ -168,7 +168,7 @@
         value = getattr(self.counts, field) + 1
         self.counts = replace(self.counts, **{field: value})
 
-    def _fail(self, failure: Failure) -> Failed:
+    def _count_failure(self, failure: Failure) -> Failed:
         self._add_one('failures')
         return Failed(failure)
 
--- a/packages/node/src/trefoilpulley_node/pipeline/deliver.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/deliver.py
@@ -135,7 +135,7 @@
                 break
             if route.unwrap().is_primary and self._is_cut_off():
                 break
-            excluded = self._exclude(req, excluded, route.unwrap())
+            excluded = self._updated_exclusions(req, excluded, route.unwrap())
         return self._finish_failed(req, failure, is_uncertain)
 
     def _may_send(self, member: str, failure: Failure, attempts: int) -> bool:
@@ -146,7 +146,7 @@
         # idempotent.
         return self._retries.try_retry(member, failure, is_repeatable=True)
 
-    def _exclude(
+    def _updated_exclusions(
         self, req: PipelineRequest, excluded: frozenset[str], route: Route
     ) -> frozenset[str]:
         if req.work_class.work is WorkKind.READ and not route.is_primary:
--- a/packages/node/src/trefoilpulley_node/pooler/member_link.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_link.py
@@ -61,76 +61,78 @@
 
     def status(self) -> Result[MemberStatus, Failure]:
         """Ask the member for its status."""
-        return self._control(member_codec.Status())
+        return self._call_control(member_codec.Status())
 
     def read(
         self, statement: Statement, floor: Position
     ) -> Result[StatementResult, Failure]:
         """Run a read in a snapshot that includes the floor."""
-        return self._work(member_codec.Read(statement, floor))
+        return self._call_statement(member_codec.Read(statement, floor))
 
     def write(
         self, statement: Statement, term: int, key: OutcomeKey | None
     ) -> Result[StatementResult, Failure]:
         """Run a write and store its outcome in the same transaction."""
-        return self._work(member_codec.Write(statement, term, key))
+        return self._call_statement(member_codec.Write(statement, term, key))
 
     def begin(self, term: int) -> Result[None, Failure]:
         """Begin a transaction on this connection."""
-        return self._done(member_codec.BeginTransaction(term))
+        return self._call_without_result(member_codec.BeginTransaction(term))
 
     def run(self, statement: Statement) -> Result[StatementResult, Failure]:
         """Run a statement inside the open transaction."""
-        return self._work(member_codec.RunStatement(statement))
+        return self._call_statement(member_codec.RunStatement(statement))
 
     def commit(
         self, key: OutcomeKey | None
     ) -> Result[StatementResult, Failure]:
         """Commit the open transaction and store its outcome with it."""
-        return self._work(member_codec.CommitTransaction(key))
+        return self._call_statement(member_codec.CommitTransaction(key))
 
     def rollback(self) -> Result[None, Failure]:
         """Roll back the open transaction."""
-        return self._done(member_codec.RollbackTransaction())
+        return self._call_without_result(member_codec.RollbackTransaction())
 
     def resolve(
         self, key: OutcomeKey, term: int
     ) -> Result[StatementResult, Failure]:
         """Return the stored outcome of a key, or abandon the key."""
-        return self._work(member_codec.Resolve(key, term))
+        return self._call_statement(member_codec.Resolve(key, term))
 
     def fence(self, term: int) -> Result[MemberStatus, Failure]:
         """Make the member refuse every lower term permanently."""
-        return self._control(member_codec.Fence(term))
+        return self._call_control(member_codec.Fence(term))
 
     def promote(self, term: int) -> Result[MemberStatus, Failure]:
         """Make the member the primary of the term at which it is fenced."""
-        return self._control(member_codec.Promote(term))
+        return self._call_control(member_codec.Promote(term))
 
     def follow(self, term: int, primary: str) -> Result[MemberStatus, Failure]:
         """Make the member a replica of the primary of a term."""
-        return self._control(member_codec.Follow(term, primary))
+        return self._call_control(member_codec.Follow(term, primary))
 
     def watch_progress(self) -> Result[MemberStatus, Failure]:
         """Ask the member to report every change of its progress."""
-        watching = self._done(member_codec.WatchProgress())
+        watching = self._call_without_result(member_codec.WatchProgress())
         return watching.bind(lambda _: self.status())
 
     def close(self) -> None:
         """Close the connection."""
         self._channel.close()
 
-    def _control(self, message: Any) -> Result[MemberStatus, Failure]:
+    def _call_control(self, message: Any) -> Result[MemberStatus, Failure]:
         return self._call(message, CONTROL_TIMEOUT_S).map(
             lambda reply: reply.status
         )
 
-    def _work(self, message: Any) -> Result[StatementResult, Failure]:
+    def _call_statement(
+        self, message: Any
+    ) -> Result[StatementResult, Failure]:
         return self._call(message, STATEMENT_TIMEOUT_S).map(
             lambda reply: reply.result
         )
 
-    def _done(self, message: Any) -> Result[None, Failure]:
+    def _call_without_result(self, message: Any) -> Result[None, Failure]:
         return self._call(message, STATEMENT_TIMEOUT_S).map(lambda _: None)
 
     def _call(self, message: Any, timeout_s: float) -> Result[Any, Failure]:
--- a/packages/node/src/trefoilpulley_node/pooler/member_monitor.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_monitor.py
@@ -133,7 +133,7 @@
     def wait_for_position(self, floor: Position, timeout_s: float) -> bool:
         """Return whether the member's log holds a position in time."""
         until = self._clock.now() + timeout_s
-        while not self._holds(floor):
+        while not self._has_position(floor):
             left = until - self._clock.now()
             if left <= 0 or not self.is_reachable:
                 return False
@@ -141,7 +141,7 @@
             self._changed.wait(left)
         return True
 
-    def _holds(self, floor: Position) -> bool:
+    def _has_position(self, floor: Position) -> bool:
         return self.status is not None and self.status.history.contains(floor)
 
     def _run(self) -> None:
--- a/packages/node/src/trefoilpulley_node/pooler/pooler.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooler.py
@@ -167,11 +167,11 @@
 
     def on_run(self, req: messages.PooledRun, peer: PeerIdentity) -> Any:
         """Handle a request to run a statement in a transaction."""
-        return self._reply(self.transactions.run(req, peer), None)
+        return self._make_reply(self.transactions.run(req, peer), None)
 
     def on_commit(self, req: messages.PooledCommit, peer: PeerIdentity) -> Any:
         """Handle a request to commit a transaction."""
-        return self._reply(self.transactions.commit(req, peer), None)
+        return self._make_reply(self.transactions.commit(req, peer), None)
 
     def on_rollback(
         self, req: messages.PooledRollback, peer: PeerIdentity
@@ -257,9 +257,9 @@
         member = self.ensure_member(name)
         if member is None:
             return _make_failure(NoUpstream('unknown member'), None)
-        return self._reply(run(member, req), member)
+        return self._make_reply(run(member, req), member)
 
-    def _reply(
+    def _make_reply(
         self,
         result: Result[StatementResult, Failure],
         member: PooledMember | None,
--- a/packages/node/src/trefoilpulley_node/tls.py
+++ b/packages/node/src/trefoilpulley_node/tls.py
@@ -15,7 +15,7 @@
     if cfg is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    _harden(context, cfg)
+    _configure(context, cfg)
     return context
 
 
@@ -29,7 +29,7 @@
     if cfg is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    _harden(context, cfg)
+    _configure(context, cfg)
     context.verify_mode = ssl.CERT_REQUIRED
     context.load_verify_locations(cfg.authorities)
     return context
@@ -42,11 +42,11 @@
     if cfg is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    _harden(context, cfg)
+    _configure(context, cfg)
     context.load_verify_locations(cfg.authorities)
     return context
 
 
-def _harden(context: ssl.SSLContext, cfg: TlsSettings) -> None:
+def _configure(context: ssl.SSLContext, cfg: TlsSettings) -> None:
     context.minimum_version = ssl.TLSVersion.TLSv1_3
     context.load_cert_chain(cfg.certificate, cfg.key)
