--- a/packages/node/src/trefoilpulley_node/beginnings.py
+++ b/packages/node/src/trefoilpulley_node/beginnings.py
@@ -1,4 +1,4 @@
-"""Transactions that are being begun, and those who ask for them."""
+"""Tracks begin requests whose connection may end while they run."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 @dataclass(eq=False, slots=True)
-class _Beginning:
+class _PendingBegin:
     connection: int
-    is_orphaned: bool = False
+    is_connection_lost: bool = False
 
 
-class Beginnings:
-    """Rolls back a transaction whose connection ended while it began."""
+class PendingBegins:
+    """Rolls back transactions whose connection ended while they began."""
 
     def __init__(self) -> None:
-        self._running: set[_Beginning] = set()
+        self._running: set[_PendingBegin] = set()
 
     def run(
         self,
@@ -40,25 +40,28 @@
         Parameters
         ----------
         connection : int
-            Number of the connection that asks for the transaction.
+            Number of the connection that requested the transaction.
         begin : Callable[[], Result[str, Failure]]
             Begins the transaction and returns its identifier.
         roll_back : Callable[[str], Any]
-            Rolls it back where the connection has ended meanwhile.
+            Rolls back the transaction with an identifier. Called if the
+            connection ended while the transaction began.
         """
-        beginning = _Beginning(connection)
-        self._running.add(beginning)
+        pending = _PendingBegin(connection)
+        self._running.add(pending)
         try:
             begun = begin()
         finally:
-            self._running.discard(beginning)
-        if not beginning.is_orphaned or not isinstance(begun, Success):
+            self._running.discard(pending)
+        if not pending.is_connection_lost or not isinstance(begun, Success):
             return begun
         roll_back(begun.unwrap())
-        return Failed(TransactionLost('connection ended'))
+        return Failed(
+            TransactionLost('connection ended while the transaction began')
+        )
 
-    def on_lost(self, connection: int) -> None:
-        """Take note that a connection has ended."""
-        for beginning in self._running:
-            if beginning.connection == connection:
-                beginning.is_orphaned = True
+    def on_connection_lost(self, connection: int) -> None:
+        """Record that a connection has ended."""
+        for pending in self._running:
+            if pending.connection == connection:
+                pending.is_connection_lost = True
--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -1,4 +1,4 @@
-"""Composition root: wires the parts of an entry host process."""
+"""Composition root that creates the components of an entry host."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from trefoilpulley_node.clock import MonotonicClock
 from trefoilpulley_node.configuration_runner import ConfigurationRunner
 from trefoilpulley_node.coordination.driver import CoordinationDriver
-from trefoilpulley_node.coordination.observer import SituationObserver
+from trefoilpulley_node.coordination.observer import DeploymentObserver
 from trefoilpulley_node.directory import Directory
 from trefoilpulley_node.entry.caller_server import CallerServer
-from trefoilpulley_node.entry.caller_server import EntryParts
+from trefoilpulley_node.entry.caller_server import EntryComponents
 from trefoilpulley_node.entry.entry_state import EntryState
 from trefoilpulley_node.entry.entry_transactions import EntryTransactions
-from trefoilpulley_node.entry.state import StateSource
-from trefoilpulley_node.entry.views import Views
+from trefoilpulley_node.entry.state import StateCollector
+from trefoilpulley_node.entry.views import DatabaseViews
 from trefoilpulley_node.etcd_gateway import EtcdGateway
 from trefoilpulley_node.etcd_platform import EtcdPlatform
 from trefoilpulley_node.membership_runner import MembershipRunner
@@ -35,19 +35,19 @@
 from trefoilpulley_node.notice_log import NoticeLog
 from trefoilpulley_node.peer_server import PeerServer
 from trefoilpulley_node.peers import Peers
-from trefoilpulley_node.pipeline.admit import Admit
-from trefoilpulley_node.pipeline.answer import AnswerMaker
-from trefoilpulley_node.pipeline.authenticate import Authenticate
-from trefoilpulley_node.pipeline.classify import Classify
-from trefoilpulley_node.pipeline.confirm import Confirm
-from trefoilpulley_node.pipeline.deliver import Deliver
+from trefoilpulley_node.pipeline.admit import AdmissionFilter
+from trefoilpulley_node.pipeline.answer import AnswerBuilder
+from trefoilpulley_node.pipeline.authenticate import AuthenticationFilter
+from trefoilpulley_node.pipeline.classify import ClassificationFilter
+from trefoilpulley_node.pipeline.confirm import OutcomeResolver
+from trefoilpulley_node.pipeline.deliver import DeliveryFilter
 from trefoilpulley_node.pipeline.execute import Executor
 from trefoilpulley_node.pipeline.pipeline import Pipeline
 from trefoilpulley_node.pipeline.route import Router
-from trefoilpulley_node.pipeline.session_floor import SessionFloor
+from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
 from trefoilpulley_node.policies import make_routing
 from trefoilpulley_node.policies import make_slot_queue
-from trefoilpulley_node.pool_owner import PoolOwner
+from trefoilpulley_node.pool_owner import PoolOwnershipMonitor
 from trefoilpulley_node.pooler.pooler import Pooler
 from trefoilpulley_node.pooler.pooler_state import dump_pooler
 from trefoilpulley_node.tls import make_caller_context
@@ -66,7 +66,7 @@
 
 
 class Composition:
-    """Builds each part once, on first use.
+    """Creates each component of the process once, on first use.
 
     Parameters
     ----------
@@ -81,10 +81,10 @@
         self._rng = random.Random(self._incarnation)
         self._targets = ClassTargets()
         self._tokens = TokenCodec(cfg.deployment, cfg.token_keys)
-        self._state = StateSource(cfg.operator_secret)
+        self._state = StateCollector(cfg.operator_secret)
 
     def compose(self) -> Node:
-        """Return the wired process."""
+        """Connect the components and return the process."""
         self._connect_services()
         self._register_state()
         return Node(
@@ -93,11 +93,11 @@
                 self._documents,
                 self._membership,
                 self._views,
-                self._pool_owner,
+                self._pool_ownership,
                 self._coordination,
             ),
             self._membership,
-            self._callers,
+            self._caller_listener,
             self._peer_listener,
             self._admit,
             self._pooler,
@@ -121,11 +121,14 @@
     @cached_property
     def _membership(self) -> MembershipRunner:
         cfg = self._cfg
-        me = HostEntry(
+        own_entry = HostEntry(
             cfg.host, cfg.region, cfg.zone, cfg.listen, cfg.peer_listen
         )
         membership = Membership(
-            me, self._incarnation, [s.name for s in cfg.seeds], self._rng
+            own_entry,
+            self._incarnation,
+            [s.name for s in cfg.seeds],
+            self._rng,
         )
         return MembershipRunner(membership, self._clock, cfg.seeds)
 
@@ -166,12 +169,14 @@
         )
 
     @cached_property
-    def _pool_owner(self) -> PoolOwner:
-        return PoolOwner(self._cfg.host, self._directory, self._pooler)
+    def _pool_ownership(self) -> PoolOwnershipMonitor:
+        return PoolOwnershipMonitor(
+            self._cfg.host, self._directory, self._pooler
+        )
 
     @cached_property
-    def _observer(self) -> SituationObserver:
-        return SituationObserver(
+    def _observer(self) -> DeploymentObserver:
+        return DeploymentObserver(
             lambda: self._documents.catalog,
             self._get_declarations,
             lambda: self._membership.live_hosts,
@@ -190,8 +195,8 @@
         )
 
     @cached_property
-    def _views(self) -> Views:
-        return Views(self._clock, self._peers, self._get_declarations)
+    def _views(self) -> DatabaseViews:
+        return DatabaseViews(self._clock, self._peers, self._get_declarations)
 
     @cached_property
     def _router(self) -> Router:
@@ -203,8 +208,8 @@
         return Executor(self._peers, self._views, self._clock)
 
     @cached_property
-    def _confirm(self) -> Confirm:
-        return Confirm(
+    def _outcome_resolver(self) -> OutcomeResolver:
+        return OutcomeResolver(
             self._router,
             self._executor,
             self._views,
@@ -213,16 +218,16 @@
         )
 
     @cached_property
-    def _admit(self) -> Admit:
-        return Admit(Admission(self._targets), self._clock)
+    def _admit(self) -> AdmissionFilter:
+        return AdmissionFilter(Admission(self._targets), self._clock)
 
     @cached_property
-    def _authenticate(self) -> Authenticate:
-        return Authenticate(self._cfg.tenants, self._get_declarations)
+    def _authenticate(self) -> AuthenticationFilter:
+        return AuthenticationFilter(self._cfg.tenants, self._get_declarations)
 
     @cached_property
-    def _session_floor(self) -> SessionFloor:
-        return SessionFloor(self._tokens)
+    def _session_floor(self) -> SessionFloorFilter:
+        return SessionFloorFilter(self._tokens)
 
     @cached_property
     def _transactions(self) -> EntryTransactions:
@@ -230,17 +235,17 @@
             self._router,
             self._peers,
             self._session_floor,
-            self._confirm,
+            self._outcome_resolver,
             self._views,
             self._clock,
         )
 
     @cached_property
-    def _prepare(self) -> Pipeline:
+    def _prepare_pipeline(self) -> Pipeline:
         return Pipeline(
             (
                 self._authenticate,
-                Classify(
+                ClassificationFilter(
                     self._get_declarations, self._directory.find_database
                 ),
                 self._session_floor,
@@ -249,11 +254,11 @@
         )
 
     @cached_property
-    def _deliver(self) -> Pipeline:
-        deliver = Deliver(
+    def _deliver_pipeline(self) -> Pipeline:
+        deliver = DeliveryFilter(
             self._router,
             self._executor,
-            self._confirm,
+            self._outcome_resolver,
             self._views,
             RetryBudget(),
             self._directory.is_cut_off,
@@ -262,15 +267,15 @@
         return Pipeline((deliver,))
 
     @cached_property
-    def _callers(self) -> Listener:
-        parts = EntryParts(
+    def _caller_listener(self) -> Listener:
+        parts = EntryComponents(
             self._cfg.host,
             self._authenticate,
             self._admit,
-            self._prepare,
-            self._deliver,
+            self._prepare_pipeline,
+            self._deliver_pipeline,
             self._transactions,
-            AnswerMaker(self._tokens),
+            AnswerBuilder(self._tokens),
             self._targets,
             self._tokens,
             self._state,
@@ -297,9 +302,9 @@
         return self._documents.configuration.declarations
 
     def _connect_services(self) -> None:
-        self._documents.serve_on(self._peer_server, self._peers)
-        self._membership.serve_on(self._peer_server, self._peers)
-        self._pooler.serve_on(self._peer_server)
+        self._documents.register_handlers(self._peer_server, self._peers)
+        self._membership.register_handlers(self._peer_server, self._peers)
+        self._pooler.register_handlers(self._peer_server)
         self._documents.subscribe(self._on_document)
         self._membership.subscribe_live(self._documents.on_live_hosts)
         self._membership.subscribe_versions(self._documents.on_versions)
@@ -329,7 +334,7 @@
         return EntryState(
             self._cfg.host,
             self._cfg.zone,
-            len(self._callers.channels),
+            len(self._caller_listener.channels),
             self._admit.running,
             len(self._transactions),
             self._views.databases_in_use,
@@ -340,5 +345,5 @@
 
 
 def compose(cfg: NodeSettings) -> Node:
-    """Return the wired process of one entry host."""
+    """Create the process of an entry host."""
     return Composition(cfg).compose()
--- a/packages/node/src/trefoilpulley_node/entry/caller_server.py
+++ b/packages/node/src/trefoilpulley_node/entry/caller_server.py
@@ -28,18 +28,18 @@
     from trefoilpulley_core.targets import ClassTargets
     from trefoilpulley_core.token import TokenCodec
     from trefoilpulley_node.entry.entry_transactions import EntryTransactions
-    from trefoilpulley_node.entry.state import StateSource
+    from trefoilpulley_node.entry.state import StateCollector
     from trefoilpulley_node.metrics import Metrics
-    from trefoilpulley_node.pipeline.admit import Admit
-    from trefoilpulley_node.pipeline.answer import AnswerMaker
-    from trefoilpulley_node.pipeline.authenticate import Authenticate
+    from trefoilpulley_node.pipeline.admit import AdmissionFilter
+    from trefoilpulley_node.pipeline.answer import AnswerBuilder
+    from trefoilpulley_node.pipeline.authenticate import AuthenticationFilter
     from trefoilpulley_node.pipeline.pipeline import Pipeline
     from trefoilpulley_wire.channel import Channel
 
 
 @dataclass(frozen=True, slots=True)
 class CallerIdentity:
-    """Caller on the other side of a connection."""
+    """Authenticated caller of a connection."""
 
     tenant: str
     """Tenant of the caller."""
@@ -49,37 +49,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EntryParts:
-    """What the entry role is made of."""
+class EntryComponents:
+    """Components of the entry role."""
 
     host: str
     """Name of this host."""
 
-    authenticate: Authenticate
-    """Checks callers."""
+    authenticate: AuthenticationFilter
+    """Authenticates callers."""
 
-    admit: Admit
-    """Counts the running requests."""
+    admit: AdmissionFilter
+    """Limits and counts the running requests."""
 
     prepare: Pipeline
-    """Filters up to admission."""
+    """Filters up to and including admission."""
 
     deliver: Pipeline
-    """Filters from routing on."""
+    """Filters after admission, which route and execute a request."""
 
     transactions: EntryTransactions
-    """Open transactions."""
+    """Open transactions of callers."""
 
-    answers: AnswerMaker
-    """Makes the answers."""
+    answers: AnswerBuilder
+    """Creates the answers to callers."""
 
     targets: ClassTargets
-    """How the classes do against their targets."""
+    """Measures the classes of work against their targets."""
 
     tokens: TokenCodec
     """Signs session tokens."""
 
-    state: StateSource
+    state: StateCollector
     """Collects the state dump."""
 
     metrics: Metrics
@@ -90,18 +90,18 @@
 
 
 class CallerServer(Handler):
-    """Serves callers' messages.
+    """Handles the messages of callers.
 
     Parameters
     ----------
-    parts : EntryParts
-        What the role is made of.
+    components : EntryComponents
+        Components of the entry role.
     """
 
-    def __init__(self, parts: EntryParts) -> None:
-        self._parts = parts
+    def __init__(self, components: EntryComponents) -> None:
+        self._components = components
         self._connections = itertools.count(1)
-        self._serving = {
+        self._handlers = {
             messages.Execute: self._on_execute,
             messages.Begin: self._on_begin,
             messages.Commit: self._on_commit,
@@ -110,56 +110,69 @@
         }
 
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Serve one message of a caller."""
+        """Handle one message of a caller and return the reply."""
         if isinstance(message, messages.Hello):
             return self._on_hello(channel, message)
         if isinstance(message, messages.GetState):
             return self._on_get_state(message)
         if channel.context is None:
-            return refuse(NotAuthenticated('say hello first'))
-        serve = self._serving.get(type(message))
-        if serve is None:
-            return refuse(MalformedMessage('not a request'))
-        return self._serve(serve, message, channel.context)
+            return make_refusal(
+                NotAuthenticated(
+                    'first message of a connection must be a hello'
+                )
+            )
+        handler = self._handlers.get(type(message))
+        if handler is None:
+            return make_refusal(MalformedMessage('message is not a request'))
+        return self._serve(handler, message, channel.context)
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
-        """Refuse what could not be decoded; the connection goes on."""
-        return refuse(failure)
+        """Refuse a message that could not be decoded.
+
+        The connection stays open.
+        """
+        return make_refusal(failure)
 
     def on_close(self, channel: Channel) -> None:
-        """Roll back what the caller had open."""
+        """Roll back the open transactions of the caller."""
         if channel.context is not None:
-            self._parts.transactions.on_caller_lost(channel.context.connection)
+            self._components.transactions.on_caller_lost(
+                channel.context.connection
+            )
 
-    def _serve(self, serve: Any, message: Any, caller: CallerIdentity) -> Any:
-        parts = self._parts
-        started = parts.clock.now()
+    def _serve(
+        self, handler: Any, message: Any, caller: CallerIdentity
+    ) -> Any:
+        components = self._components
+        started = components.clock.now()
         try:
-            reply = serve(message, caller)
-        except Exception as exc:  # a fault must not end the connection
+            reply = handler(message, caller)
+        except Exception as exc:  # an error must not close the connection
             events.HANDLER_CRASHED.log(
                 message=type(message).__name__, error=repr(exc)
             )
-            reply = refuse(OutcomeUnknown('internal error'))
-        parts.metrics.time('request', 1000 * (parts.clock.now() - started))
+            reply = make_refusal(OutcomeUnknown('internal error'))
+        components.metrics.time(
+            'request', 1000 * (components.clock.now() - started)
+        )
         if isinstance(reply, messages.Refusal):
-            parts.metrics.count(f'refused.{reply.code}')
+            components.metrics.count(f'refused.{reply.code}')
         return reply
 
     def _on_hello(self, channel: Channel, hello: messages.Hello) -> Any:
-        checked = self._parts.authenticate.check(hello)
+        checked = self._components.authenticate.check(hello)
         if not isinstance(checked, Success):
             events.CALLER_REFUSED.log(tenant=hello.tenant)
-            return refuse(checked.failure())
+            return make_refusal(checked.failure())
         tenant = checked.unwrap()
         channel.context = CallerIdentity(tenant, next(self._connections))
-        token = self._parts.tokens.encode(SessionToken(tenant))
-        return messages.Welcome(self._parts.host, token)
+        token = self._components.tokens.encode(SessionToken(tenant))
+        return messages.Welcome(self._components.host, token)
 
     def _on_get_state(self, message: messages.GetState) -> Any:
-        state = self._parts.state.collect(message.operator_secret)
+        state = self._components.state.collect(message.operator_secret)
         if not isinstance(state, Success):
-            return refuse(state.failure())
+            return make_refusal(state.failure())
         return messages.StateDump(state.unwrap())
 
     def _on_execute(
@@ -167,19 +180,19 @@
     ) -> Any:
         if message.transaction:
             return self._on_run(message, caller)
-        return self._answer(
-            self._admitted(message, caller, self._parts.deliver.run)
+        return self._make_answer(
+            self._run_admitted(message, caller, self._components.deliver.run)
         )
 
     def _on_run(
         self, message: messages.Execute, caller: CallerIdentity
     ) -> Any:
-        ran = self._parts.transactions.run(
+        executed = self._components.transactions.run(
             message, caller.tenant, caller.connection
         )
-        if not isinstance(ran, Success):
-            return refuse(ran.failure())
-        found = ran.unwrap()
+        if not isinstance(executed, Success):
+            return make_refusal(executed.failure())
+        found = executed.unwrap()
         return messages.Answer(
             found.result.columns,
             found.result.rows,
@@ -191,27 +204,29 @@
     def _on_look_up(
         self, message: messages.LookUp, caller: CallerIdentity
     ) -> Any:
-        return self._answer(
-            self._admitted(message, caller, self._parts.deliver.run)
+        return self._make_answer(
+            self._run_admitted(message, caller, self._components.deliver.run)
         )
 
     def _on_begin(
         self, message: messages.Begin, caller: CallerIdentity
     ) -> Any:
-        begun = self._admitted(
+        begun = self._run_admitted(
             message,
             caller,
-            lambda req: self._parts.transactions.begin(req, caller.connection),
+            lambda req: self._components.transactions.begin(
+                req, caller.connection
+            ),
         )
         if not isinstance(begun, Success):
-            return refuse(begun.failure())
+            return make_refusal(begun.failure())
         return messages.Begun(begun.unwrap())
 
     def _on_commit(
         self, message: messages.Commit, caller: CallerIdentity
     ) -> Any:
-        return self._answer(
-            self._parts.transactions.commit(
+        return self._make_answer(
+            self._components.transactions.commit(
                 message, caller.tenant, caller.connection
             )
         )
@@ -219,50 +234,50 @@
     def _on_rollback(
         self, message: messages.Rollback, caller: CallerIdentity
     ) -> Any:
-        ended = self._parts.transactions.rollback(
+        ended = self._components.transactions.rollback(
             message.transaction, caller.tenant, caller.connection
         )
         if not isinstance(ended, Success):
-            return refuse(ended.failure())
+            return make_refusal(ended.failure())
         return messages.Done()
 
-    def _admitted(
+    def _run_admitted(
         self,
         message: Any,
         caller: CallerIdentity,
         work: Callable[[PipelineRequest], Result[Any, Failure]],
     ) -> Result[Any, Failure]:
-        parts = self._parts
-        req = PipelineRequest(caller.tenant, message, parts.clock.now())
-        prepared = parts.prepare.run(req)
+        components = self._components
+        req = PipelineRequest(caller.tenant, message, components.clock.now())
+        prepared = components.prepare.run(req)
         if not isinstance(prepared, Success):
             return prepared
         try:
             result = work(prepared.unwrap())
         finally:
-            parts.admit.finish(caller.tenant)
-        self._record(prepared.unwrap(), result)
+            components.admit.finish(caller.tenant)
+        self._record_outcome(prepared.unwrap(), result)
         return result
 
-    def _record(
+    def _record_outcome(
         self, req: PipelineRequest, result: Result[Any, Failure]
     ) -> None:
-        now = self._parts.clock.now()
+        now = self._components.clock.now()
         name = req.work_class.name
         if isinstance(result, Success):
             elapsed_s = now - req.arrived_at
-            self._parts.targets.record(name, elapsed_s, now)
+            self._components.targets.record(name, elapsed_s, now)
         elif isinstance(result.failure(), NotRun):
-            self._parts.targets.record_refusal(name, now)
+            self._components.targets.record_refusal(name, now)
 
-    def _answer(self, result: Result[PipelineRequest, Failure]) -> Any:
+    def _make_answer(self, result: Result[PipelineRequest, Failure]) -> Any:
         if not isinstance(result, Success):
-            return refuse(result.failure())
-        return self._parts.answers.make(result.unwrap())
+            return make_refusal(result.failure())
+        return self._components.answers.make(result.unwrap())
 
 
-def refuse(failure: Failure) -> messages.Refusal:
-    """Return the wire form of a failure to a caller."""
+def make_refusal(failure: Failure) -> messages.Refusal:
+    """Return the refusal message for a failure."""
     return messages.Refusal(
         failure.code,
         str(failure.run_state),
--- a/packages/node/src/trefoilpulley_node/pipeline/confirm.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/confirm.py
@@ -1,4 +1,4 @@
-"""Settles writes whose answers were lost."""
+"""Finds out the outcome of writes whose answers were lost."""
 
 from __future__ import annotations
 
@@ -19,33 +19,34 @@
     from collections.abc import Callable
 
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_node.entry.views import Views
+    from trefoilpulley_node.entry.views import DatabaseViews
     from trefoilpulley_node.pipeline.execute import Executor
-    from trefoilpulley_node.pipeline.request import Delivered
+    from trefoilpulley_node.pipeline.request import DeliveredResult
     from trefoilpulley_node.pipeline.request import PipelineRequest
     from trefoilpulley_node.pipeline.route import Router
 
-PATIENCE_S = 8.0
-"""Time for which a lost outcome is looked up before it stays unknown."""
+OUTCOME_LOOKUP_TIMEOUT_S = 8.0
+"""Longest time for which a lost outcome is looked up, in seconds."""
 
-RETRY_S = 0.1
-"""Wait for a change of primary between look-ups."""
+LOOKUP_RETRY_INTERVAL_S = 0.1
+"""Longest wait for a change of primary between look-ups, in seconds."""
 
 
-class Confirm:
-    """Looks the outcome of a write up until it is certain.
+class OutcomeResolver:
+    """Looks up the outcome of a write until the outcome is known.
 
     Parameters
     ----------
     router : Router
-        Finds the primary.
+        Finds the primary of the database.
     executor : Executor
-        Sends the look-ups.
-    views : Views
-        Tells of a change of primary.
+        Sends the look-ups to the primary.
+    views : DatabaseViews
+        Reports changes of primary.
     is_cut_off : Callable[[], bool]
-        Whether this host's zone reaches no other; another host of the
-        caller's choice can then look the outcome up sooner.
+        Returns whether this host's zone is cut off from all other zones.
+        If so, the look-up ends early, because the caller can look up the
+        outcome sooner through a host of another zone.
     clock : Clock
         Monotonic time.
     """
@@ -54,7 +55,7 @@
         self,
         router: Router,
         executor: Executor,
-        views: Views,
+        views: DatabaseViews,
         is_cut_off: Callable[[], bool],
         clock: Clock,
     ) -> None:
@@ -64,25 +65,25 @@
         self._is_cut_off = is_cut_off
         self._clock = clock
 
-    def settle(
+    def resolve_outcome(
         self, req: PipelineRequest, refusal: Failure
-    ) -> Result[Delivered, Failure]:
-        """Return the kept outcome, or a true refusal.
+    ) -> Result[DeliveredResult, Failure]:
+        """Return the outcome of a write, or a refusal if it will never run.
 
         Parameters
         ----------
         req : PipelineRequest
-            Request whose outcome is uncertain.
+            Request whose outcome is unknown.
         refusal : Failure
-            What to say once the key is abandoned.
+            Failure to return once the outcome key is abandoned.
 
         Returns
         -------
         Result[Delivered, Failure]
-            The outcome; the refusal where the request will never run;
-            `OutcomeUnknown` where that could not be found out.
+            The outcome, the refusal if the request will never run, or
+            `OutcomeUnknown` if neither could be determined.
         """
-        until = self._clock.now() + PATIENCE_S
+        until = self._clock.now() + OUTCOME_LOOKUP_TIMEOUT_S
         while self._clock.now() < until:
             result = self._look_up(req, until - self._clock.now())
             if isinstance(result, Success):
@@ -94,15 +95,19 @@
                 return result
             if self._is_cut_off():
                 break
-            self._views.wait_for_change(req.database, RETRY_S)
+            self._views.wait_for_primary_change(
+                req.database, LOOKUP_RETRY_INTERVAL_S
+            )
         events.OUTCOME_UNKNOWN.log(
             tenant=req.tenant, request=req.key.request_id
         )
-        return Failed(OutcomeUnknown('the primary could not be asked'))
+        return Failed(
+            OutcomeUnknown('no primary reported the outcome in time')
+        )
 
     def _look_up(
         self, req: PipelineRequest, left_s: float
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         route = self._router.choose_primary(req)
         if not isinstance(route, Success):
             return route
@@ -112,4 +117,4 @@
 def _as_not_run(refusal: Failure) -> Failure:
     if refusal.run_state is RunState.NOT_RUN:
         return refusal
-    return NotRun('abandoned; use a new request id')
+    return NotRun('request id was abandoned; use a new one')
--- a/packages/node/src/trefoilpulley_node/pipeline/execute.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/execute.py
@@ -1,4 +1,4 @@
-"""Step that runs one attempt of a request at a member."""
+"""Pipeline step that runs one attempt of a request at a member."""
 
 from __future__ import annotations
 
@@ -23,63 +23,70 @@
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.upstream import Statement
 from trefoilpulley_node.peers import read_failure
-from trefoilpulley_node.pipeline.request import Delivered
+from trefoilpulley_node.pipeline.request import DeliveredResult
 
 if TYPE_CHECKING:
     from gevent.event import Event
 
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.routing import Route
-    from trefoilpulley_node.entry.views import Views
+    from trefoilpulley_node.entry.views import DatabaseViews
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_node.pipeline.request import PipelineRequest
 
 ANSWER_MARGIN_S = 1.5
-"""Wait for the outcome of a write beyond the time left to it."""
+"""Wait for the answer to a write beyond its remaining time, in seconds."""
 
-READ_SHARE = 0.5
-"""Share of the time left that one attempt of a read may take."""
+READ_TIMEOUT_FACTOR = 0.5
+"""Fraction of the remaining time that one attempt of a read may take."""
 
-LEAST_READ_S = 0.02
-"""Shortest time for one attempt of a read."""
+MIN_READ_TIMEOUT_S = 0.02
+"""Shortest timeout of one attempt of a read, in seconds."""
 
 
 class Executor:
-    """Sends requests to the poolers of members.
+    """Runs requests at members by way of the members' poolers.
 
     Parameters
     ----------
     peers : Peers
-        Reaches the poolers.
-    views : Views
-        Takes the digests that come with the answers.
+        Sends requests to poolers.
+    views : DatabaseViews
+        Stores the digests that answers contain.
     clock : Clock
         Monotonic time.
     """
 
-    def __init__(self, peers: Peers, views: Views, clock: Clock) -> None:
+    def __init__(
+        self, peers: Peers, views: DatabaseViews, clock: Clock
+    ) -> None:
         self._peers = peers
         self._views = views
         self._clock = clock
 
     def execute(
         self, req: PipelineRequest, route: Route
-    ) -> Result[Delivered, Failure]:
-        """Run one attempt at the chosen member."""
+    ) -> Result[DeliveredResult, Failure]:
+        """Run one attempt of a request at the chosen member.
+
+        A change of primary ends the wait for the answer to a write.
+        """
         scope = self._scope(req, route)
         if req.work_class.work is WorkKind.WRITE:
             message = _make_write(req, scope)
-            abort = self._views.changed_event(req.database.name)
-            return self._ask(
+            abort = self._views.primary_change_event(req.database.name)
+            return self._send_request(
                 route.member, message, scope, req.database.name, abort
             )
         message = _make_read(req, route, scope)
-        return self._ask(route.member, message, scope, req.database.name)
+        return self._send_request(
+            route.member, message, scope, req.database.name
+        )
 
     def resolve(
         self, req: PipelineRequest, route: Route, remaining_s: float
-    ) -> Result[Delivered, Failure]:
-        """Look the outcome of a request up, or abandon its key."""
+    ) -> Result[DeliveredResult, Failure]:
+        """Look up the outcome of a request, or abandon its key."""
         scope = WorkScope(
             route.member,
             req.tenant,
@@ -87,12 +94,14 @@
             max(1, round(1000 * remaining_s)),
         )
         message = PooledResolve(scope, req.key, req.copies)
-        return self._ask(route.member, message, scope, req.database.name)
+        return self._send_request(
+            route.member, message, scope, req.database.name
+        )
 
     def _scope(self, req: PipelineRequest, route: Route) -> WorkScope:
-        # The pooler's answer still has its way back before it.
-        way_back_s = route.round_trip_ms / 2000
-        left_s = req.deadline - way_back_s - self._clock.now()
+        # The answer needs half a round trip to return from the pooler.
+        return_delay_s = route.round_trip_ms / 2000
+        left_s = req.deadline - return_delay_s - self._clock.now()
         return WorkScope(
             route.member,
             req.tenant,
@@ -100,46 +109,48 @@
             max(1, round(1000 * left_s)),
         )
 
-    def _ask(
+    def _send_request(
         self,
         member: str,
         message: Any,
         scope: WorkScope,
         database: str,
         abort: Event | None = None,
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         host = self._peers.find_pooler(member)
         if host is None:
             return Failed(NoUpstream('no host pools the member'))
         sent_at = self._clock.now()
         timeout_s = _timeout_s(message, scope)
-        work = self._views.begin_work(database)
+        work = self._views.begin_request(database)
         try:
-            reply = self._peers.ask_host(host, message, timeout_s, abort)
+            reply = self._peers.call_host_raw(host, message, timeout_s, abort)
         finally:
-            self._views.end_work(work)
+            self._views.end_request(work)
         if not isinstance(reply, Success):
             self._views.on_unreachable(member)
             return reply
-        return self._take(member, reply.unwrap(), sent_at)
+        return self._handle_reply(member, reply.unwrap(), sent_at)
 
-    def _take(
+    def _handle_reply(
         self, member: str, reply: Any, sent_at: float
-    ) -> Result[Delivered, Failure]:
+    ) -> Result[DeliveredResult, Failure]:
         if not isinstance(reply, PooledResult | PooledFailure):
-            return Failed(PeerUnreachable('reply has an unexpected type'))
+            return Failed(
+                PeerUnreachable('pooler sent a reply of an unexpected type')
+            )
         if reply.digest is not None:
             self._views.on_digest(reply.digest, sent_at)
         if isinstance(reply, PooledFailure):
             return Failed(read_failure(reply))
         age_ms = reply.digest.age_ms if reply.digest else None
-        return Success(Delivered(reply.result, member, age_ms or 0))
+        return Success(DeliveredResult(reply.result, member, age_ms or 0))
 
 
 def _timeout_s(message: Any, scope: WorkScope) -> float:
     left_s = scope.remaining_ms / 1000
     if isinstance(message, PooledRead):
-        return max(LEAST_READ_S, READ_SHARE * left_s)
+        return max(MIN_READ_TIMEOUT_S, READ_TIMEOUT_FACTOR * left_s)
     return left_s + ANSWER_MARGIN_S
 
 
--- a/packages/node/src/trefoilpulley_node/pipeline/request.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/request.py
@@ -1,4 +1,4 @@
-"""Request as it passes through the filters."""
+"""Request that the pipeline processes, and the filter interface."""
 
 from __future__ import annotations
 
@@ -23,66 +23,69 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Delivered:
-    """Result of a request and the member that gave it."""
+class DeliveredResult:
+    """Result of a request and the member that served it."""
 
     result: StatementResult
-    """Whole result."""
+    """Result of the statement."""
 
     member: str
     """Member that served the request."""
 
     age_ms: int
-    """Greatest age of the data, in milliseconds."""
+    """Highest possible age of the data, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class PipelineRequest:
-    """Request of an authenticated caller; each filter adds to it."""
+    """Request of an authenticated caller, extended by each filter."""
 
     tenant: str
     """Tenant of the caller."""
 
     message: Execute | Begin | Commit | LookUp
-    """Message as it came."""
+    """Message of the caller."""
 
     arrived_at: float
     """Monotonic time of arrival, in seconds."""
 
     work_class: WorkClass | None = None
-    """Class of work; set by ``Classify``."""
+    """Class of work; set by `ClassificationFilter`."""
 
     database: DatabaseEntry | None = None
-    """Database; set by ``Classify``."""
+    """Database; set by `ClassificationFilter`."""
 
     deadline: float = 0.0
-    """Monotonic time at which the answer is due; set by ``Classify``."""
+    """Monotonic time in seconds at which the answer is due.
+
+    The time is set by `ClassificationFilter`.
+    """
 
     token: SessionToken | None = None
-    """Session of the caller; set by ``SessionFloor``."""
+    """Session token of the caller; set by `SessionFloorFilter`."""
 
     floor: Position | None = None
-    """Floor, ``None`` where unknown; set by ``SessionFloor``."""
+    """Floor of the database, if known; set by `SessionFloorFilter`."""
 
     key: OutcomeKey | None = None
-    """Key of a write's outcome; set by ``Admit``."""
+    """Key of the write's outcome; set by `AdmissionFilter`."""
 
-    delivered: Delivered | None = None
-    """Result; set by ``Execute`` or ``Confirm``."""
+    delivered: DeliveredResult | None = None
+    """Result of the request; set by `DeliveryFilter` or by a commit."""
 
     @property
     def copies(self) -> int:
-        """Members that must hold a write before its answer.
+        """Number of members that must hold a write before it is answered.
 
-        Never less than a majority, whatever the size of the group, so
-        that a primary cut off with a minority acknowledges nothing.
+        At least a majority of the group, so that a primary that is cut
+        off with a minority of the members acknowledges no write.
         """
         return max(self.work_class.safety.copies, self.database.majority)
 
 
 class Filter(abc.ABC):
-    """One step of the request pipeline."""
+    """One filter of the request pipeline."""
 
     @abc.abstractmethod
     def apply(self, req: PipelineRequest) -> Result[PipelineRequest, Failure]:
-        """Return the request with what this step adds, or a failure."""
+        """Return the request with the fields that the filter adds."""
--- a/packages/node/src/trefoilpulley_node/pipeline/route.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/route.py
@@ -1,4 +1,4 @@
-"""Step that chooses the member for one attempt of a request."""
+"""Pipeline step that chooses the member for one attempt."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.routing import RoutingPolicy
-    from trefoilpulley_node.entry.views import Views
+    from trefoilpulley_node.entry.views import DatabaseViews
     from trefoilpulley_node.pipeline.request import PipelineRequest
 
 
 class Router:
-    """Asks the routing policy with what the host knows.
+    """Chooses members by the routing policy and the known digests.
 
     Parameters
     ----------
     policy : RoutingPolicy
-        Way to choose.
-    views : Views
-        Digests of the members.
+        Policy that chooses a member.
+    views : DatabaseViews
+        Newest digests of the members.
     zone : str
-        Availability zone of the host.
+        Availability zone of this host.
     clock : Clock
         Monotonic time.
     """
@@ -39,7 +39,7 @@
     def __init__(
         self,
         policy: RoutingPolicy,
-        views: Views,
+        views: DatabaseViews,
         zone: str,
         clock: Clock,
     ) -> None:
@@ -52,15 +52,15 @@
         self, req: PipelineRequest, excluded: frozenset[str]
     ) -> Result[Route, Failure]:
         """Return the member for the next attempt."""
-        wanted = RouteRequest(
+        route_request = RouteRequest(
             req.work_class, req.floor, self._zone, req.deadline, excluded
         )
         view = self._views.view(req.database)
-        return self._policy.choose(view, wanted, self._clock.now())
+        return self._policy.choose(view, route_request, self._clock.now())
 
     def choose_primary(self, req: PipelineRequest) -> Result[Route, Failure]:
-        """Return the primary, which alone keeps outcomes."""
+        """Return the route to the primary, which alone looks up outcomes."""
         primary = find_primary(self._views.view(req.database))
         if primary is None:
-            return Failed(NoUpstream('database has no known primary'))
+            return Failed(NoUpstream('primary of the database is unknown'))
         return Success(Route(primary.member, is_primary=True))
--- a/packages/node/src/trefoilpulley_node/tls.py
+++ b/packages/node/src/trefoilpulley_node/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts of the process, from the standard library on gevent."""
+"""TLS contexts of the process, made with gevent's ``ssl`` module."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
     if cfg is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    _harden(context, cfg)
+    _configure(context, cfg)
     return context
 
 
 def make_peer_server_context(
     cfg: TlsSettings | None,
 ) -> ssl.SSLContext | None:
-    """Return the server context for hosts, which must show certificates."""
+    """Return the server context for other hosts, or ``None`` without TLS.
+
+    The context requires a certificate from each connecting host.
+    """
     if cfg is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    _harden(context, cfg)
+    _configure(context, cfg)
     context.verify_mode = ssl.CERT_REQUIRED
     context.load_verify_locations(cfg.authorities)
     return context
@@ -35,15 +38,15 @@
 def make_peer_client_context(
     cfg: TlsSettings | None,
 ) -> ssl.SSLContext | None:
-    """Return the client context for the connections to other hosts."""
+    """Return the client context for other hosts, or ``None`` without TLS."""
     if cfg is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    _harden(context, cfg)
+    _configure(context, cfg)
     context.load_verify_locations(cfg.authorities)
     return context
 
 
-def _harden(context: ssl.SSLContext, cfg: TlsSettings) -> None:
+def _configure(context: ssl.SSLContext, cfg: TlsSettings) -> None:
     context.minimum_version = ssl.TLSVersion.TLSv1_3
     context.load_cert_chain(cfg.certificate, cfg.key)
