--- a/features/steps/platform_adapter_codec_steps.py
+++ b/features/steps/platform_adapter_codec_steps.py
@@ -19,7 +19,7 @@
 from trefoilpulley_platform.documents import KvDocuments
 from trefoilpulley_platform.line_codec import ENCODING
 from trefoilpulley_platform.line_codec import format_failure
-from trefoilpulley_platform.line_codec import LineFault
+from trefoilpulley_platform.line_codec import LineProtocolError
 from trefoilpulley_platform.line_codec import parse_command
 from trefoilpulley_platform.line_codec import parse_reply
 from trefoilpulley_platform.platform_settings import parse_settings
@@ -138,7 +138,7 @@
             data = [x.encode(ENCODING, 'replace') for x in lines]
             try:
                 reply = parse_reply(call, data)
-            except LineFault:
+            except LineProtocolError:
                 return
             assert reply.failure or data[-2].startswith(b'DONE')
 
