--- a/packages/wire/src/trefoilpulley_wire/__init__.py
+++ b/packages/wire/src/trefoilpulley_wire/__init__.py
@@ -1,1 +1,1 @@
-"""WebSocket and CBOR transport between processes."""
+"""Transport of CBOR messages between processes over WebSocket."""
--- a/packages/wire/src/trefoilpulley_wire/caller_codec.py
+++ b/packages/wire/src/trefoilpulley_wire/caller_codec.py
@@ -1,4 +1,4 @@
-"""Codec of the connections between callers and hosts."""
+"""Codec of the connections between callers and entry hosts."""
 
 from __future__ import annotations
 
@@ -22,4 +22,4 @@
         caller.Welcome,
     )
 )
-"""Codec of the connections between callers and an entry host."""
+"""Codec for the messages of `trefoilpulley_core.caller`."""
--- a/packages/wire/src/trefoilpulley_wire/channel.py
+++ b/packages/wire/src/trefoilpulley_wire/channel.py
@@ -1,4 +1,4 @@
-"""Multiplexed request and reply over one WebSocket connection."""
+"""Concurrent requests and replies over one WebSocket connection."""
 
 from __future__ import annotations
 
@@ -29,46 +29,57 @@
     from trefoilpulley_wire.codec import Codec
 
 RECEIVE_BYTES = 65536
-"""Bytes read from a socket at once."""
+"""Maximum number of bytes that one call reads from a socket."""
 
 MESSAGE_LIMIT_BYTES = 1 << 20
-"""Greatest message that is decoded, request or reply."""
+"""Maximum size of a request or reply that is decoded."""
 
 HARD_LIMIT_BYTES = 16 << 20
-"""Greatest message that is read; a greater one closes the connection."""
+"""Maximum size of a message that is received.
+
+A larger message closes the connection. A message between
+`MESSAGE_LIMIT_BYTES` and this size is rejected, and the connection stays open.
+"""
 
 
 class Handler(abc.ABC):
-    """Serves the requests that come in on a channel."""
+    """Handles the messages that a channel receives."""
 
     @abc.abstractmethod
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Return the reply to a request; runs in a greenlet of its own."""
+        """Return the reply to a request.
+
+        The channel calls this method in a separate greenlet per request.
+        """
 
     @abc.abstractmethod
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
-        """Return the reply to a message that could not be decoded."""
+        """Return the reply to a request that was too large or malformed."""
 
     def on_notice(self, channel: Channel, message: Any) -> None:
-        """Take a one-way message."""
+        """Handle a one-way message, which gets no reply."""
 
     def on_close(self, channel: Channel) -> None:
-        """Release what the channel's peer held."""
+        """Release the resources that belong to the closed channel."""
 
 
 class Channel:
-    """One connection, on either side.
+    """WebSocket connection that carries requests in both directions.
+
+    The client and the server of a connection use the same class. Replies are
+    matched to requests by sequence number and may arrive in any order.
 
     Parameters
     ----------
     sock : socket.socket
-        Connected socket, after the handshake.
+        Connected socket on which the WebSocket handshake is complete.
     protocol : Protocol
-        WebSocket state of the connection.
+        WebSocket protocol state of the connection.
     codec : Codec
-        Message types of the connection.
+        Codec for the message types of the connection.
     handler : Handler, optional
-        Serves requests of the other side.
+        Handles the requests of the peer; without a handler, requests are
+        ignored.
     """
 
     def __init__(
@@ -88,14 +99,14 @@
         self._fragments: list[bytes] = []
         self._running = 0
         self.is_open = True
-        """Whether requests can be sent."""
+        """Whether the connection is open, so that requests can be sent."""
 
         self.context: Any = None
-        """State that the handler keeps for the connection."""
+        """State that the handler attaches to the connection."""
 
     @property
     def running_requests(self) -> int:
-        """Number of the other side's requests that are being served."""
+        """Number of requests of the peer that are being handled."""
         return self._running
 
     def call(
@@ -109,16 +120,17 @@
         Parameters
         ----------
         message : Any
-            Typed request.
+            Request to send.
         timeout_s : float, optional
-            Longest wait in seconds.
+            Maximum time to wait for the reply, in seconds.
         abort : Event, optional
-            Ends the wait early when it is set.
+            Event that ends the wait early when it is set.
 
         Returns
         -------
         Result[Any, Failure]
-            The reply, or `PeerUnreachable` where none came.
+            The reply; `PeerUnreachable` if no reply arrived; `ResultTooLarge`
+            or the decoding failure if the reply was rejected.
         """
         if not self.is_open:
             return Failed(PeerUnreachable('connection is closed'))
@@ -137,14 +149,18 @@
             self._waiting.pop(sequence, None)
 
     def notify(self, message: Any) -> None:
-        """Send a one-way message; a broken connection drops it."""
+        """Send a one-way message.
+
+        If the connection is broken, the message is lost and the channel
+        closes.
+        """
         try:
             self._send(0, message)
         except OSError:
             self.close()
 
     def run(self) -> None:
-        """Read until the connection ends."""
+        """Receive and dispatch messages until the connection ends."""
         try:
             self._take_events()
             while self.is_open:
@@ -159,7 +175,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close the connection and fail the calls that wait."""
+        """Close the connection and fail every call that waits for a reply."""
         if not self.is_open:
             return
         self.is_open = False
@@ -167,14 +183,14 @@
             self._sock.close()
         except OSError:
             pass
-        failed = Failed(PeerUnreachable('connection broke'))
+        failed = Failed(PeerUnreachable('connection was lost'))
         for waiter in list(self._waiting.values()):
             waiter.set(failed)
         if self._handler:
             self._handler.on_close(self)
 
     def close_gracefully(self) -> None:
-        """Send a close frame, then close."""
+        """Send a WebSocket close frame, then close the connection."""
         if not self.is_open:
             return
         try:
@@ -238,7 +254,8 @@
             self._handler.on_notice(self, message)
 
     def _on_too_large(self, sequence: int) -> None:
-        # Decoding it would hold up everybody else on this process.
+        # Decoding such a message would block the other greenlets of this
+        # process for too long.
         detail = f'limit is {MESSAGE_LIMIT_BYTES}'
         if sequence < 0:
             self._on_reply(-sequence, Failed(ResultTooLarge(detail)))
--- a/packages/wire/src/trefoilpulley_wire/codec.py
+++ b/packages/wire/src/trefoilpulley_wire/codec.py
@@ -1,9 +1,9 @@
-"""CBOR form of the typed messages.
+"""CBOR encoding of the typed messages.
 
-A frame is a sequence of three CBOR items: the sequence number, the tag
-of the message's type and the message's fields. A request has a positive
-sequence number, its reply the same number negated, and a one-way
-message 0.
+A frame consists of three CBOR items: the sequence number, the tag (the class
+name of the message) and the fields of the message. A request has a positive
+sequence number, its reply has the negated number of the request, and a
+one-way message has the number 0.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
     from collections.abc import Mapping
 
 HEADER_BYTES = 64
-"""Bytes that always hold a frame's sequence number and tag."""
+"""Length of a frame's prefix that holds the sequence number and the tag."""
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One decoded message."""
+    """Decoded frame."""
 
     sequence: int
-    """Sequence number; negative on a reply, 0 on a one-way message."""
+    """Sequence number; negative for a reply, 0 for a one-way message."""
 
     message: Any
-    """Typed message."""
+    """Decoded message."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,15 +57,16 @@
 
 
 class Codec:
-    """Encodes and decodes one set of message types.
+    """Encoder and decoder for one set of message types.
 
     Parameters
     ----------
     types : Iterable[type]
-        Frozen data classes; the class name is the tag on the wire.
+        Message types, which are frozen data classes. The class name of a
+        message type is its tag on the wire.
     unions : Mapping[type, Any], optional
-        Union of data classes in a field of a message, by the message.
-        Its values are told apart by their class names.
+        Maps a message type to the union of data classes that one of its
+        fields holds. The encoded value carries its class name as a tag.
     """
 
     def __init__(
@@ -81,23 +82,23 @@
         self._encoders: dict[type, _Encoder] = {}
         self._structure: dict[str, _Structure] = {}
         self.traffic = Traffic()
-        """Frames of every channel that uses this codec."""
+        """Traffic counters of all channels that use this codec."""
 
     def encode(self, sequence: int, message: Any) -> bytes:
-        """Return the frame of a message."""
+        """Return the encoded frame of a message."""
         encoder = self._encoder_of(type(message))
         fields = cbor2.dumps(encoder.unstructure(message))
         return cbor2.dumps(sequence) + encoder.tag + fields
 
     def decode(self, data: bytes) -> Result[Frame, Failure]:
-        """Decode a frame, or say why it is malformed."""
+        """Decode a frame; returns `MalformedMessage` for invalid input."""
         try:
             return self._decode(data)
-        except Exception as exc:  # noqa: H201 - any fault of the sender's
+        except Exception as exc:  # noqa: H201 - any malformed input
             return Failed(MalformedMessage(type(exc).__name__))
 
     def decode_sequence(self, data: bytes) -> int:
-        """Return a frame's sequence number, or 0 where it has none."""
+        """Return the sequence number of a frame, or 0 if it is malformed."""
         try:
             sequence = cbor2.load(io.BytesIO(data[:HEADER_BYTES]))
         except (cbor2.CBORError, ValueError):
@@ -111,15 +112,17 @@
         tag = decoder.decode()
         fields = decoder.decode()
         if not isinstance(sequence, int):
-            return Failed(MalformedMessage('sequence is not a number'))
+            return Failed(
+                MalformedMessage('sequence number is not an integer')
+            )
         kind = self._kinds.get(tag) if isinstance(tag, str) else None
         if kind is None:
-            return Failed(MalformedMessage('unknown type of message'))
+            return Failed(MalformedMessage('unknown message type'))
         known = self._structure_of(kind)
         return Success(Frame(sequence, known.structure(fields, known.kind)))
 
-    # Hooks are made on first use: making all of them takes longer than the
-    # rest of a host's start.
+    # cattrs hooks are created on first use, because creating the hooks of all
+    # message types takes longer than the rest of a host's startup.
 
     def _encoder_of(self, kind: type) -> _Encoder:
         encoder = self._encoders.get(kind)
@@ -141,7 +144,7 @@
         return known
 
     def _prepare(self, kind: type) -> None:
-        """Make the hooks of the union that a message holds."""
+        """Create the hooks of the union in a field of the message type."""
         union = self._unions.pop(kind, None)
         if union is not None:
             configure_tagged_union(union, self._converter)
--- a/packages/wire/src/trefoilpulley_wire/dial.py
+++ b/packages/wire/src/trefoilpulley_wire/dial.py
@@ -1,4 +1,4 @@
-"""Opens channels to other processes."""
+"""Client side of channels between processes."""
 
 from __future__ import annotations
 
@@ -34,20 +34,20 @@
     timeout_s: float = 1.0,
     tls: ssl.SSLContext | None = None,
 ) -> Result[Channel, Failure]:
-    """Open a channel and start to read from it.
+    """Open a channel and start a greenlet that receives its messages.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Address of the listening process.
+        Address to connect to.
     codec : Codec
-        Message types of the connection.
+        Codec for the message types of the connection.
     handler : Handler, optional
-        Serves requests of the other side.
+        Handles the requests of the peer.
     timeout_s : float
-        Longest time for connection and handshake, in seconds.
+        Maximum time to connect and complete the handshakes, in seconds.
     tls : ssl.SSLContext, optional
-        Client context; plain TCP without it.
+        TLS client context; plain TCP if omitted.
 
     Returns
     -------
--- a/packages/wire/src/trefoilpulley_wire/listener.py
+++ b/packages/wire/src/trefoilpulley_wire/listener.py
@@ -1,4 +1,4 @@
-"""Accepts channels from other processes."""
+"""Server side of channels between processes."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
     from trefoilpulley_wire.codec import Codec
 
 HANDSHAKE_TIMEOUT_S = 5.0
-"""Longest time for the handshakes of a new connection."""
+"""Maximum time for the TLS and WebSocket handshakes, in seconds."""
 
 _BACKLOG = 1024
 
 
 class Listener:
-    """Server side of the channels of one address.
+    """Server that accepts channels on one address.
 
     Parameters
     ----------
     endpoint : Endpoint
         Address to listen on.
     codec : Codec
-        Message types of the connections.
+        Codec for the message types of the connections.
     handler : Handler
-        Serves the requests.
+        Handles the requests of all channels.
     tls : ssl.SSLContext, optional
-        Server context; plain TCP without it.
+        TLS server context; plain TCP if omitted.
     """
 
     def __init__(
@@ -63,28 +63,28 @@
 
     @property
     def port(self) -> int:
-        """TCP port in use."""
+        """TCP port that the server listens on."""
         return self._server.server_port
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         self._server.start()
 
     def stop_accepting(self) -> None:
-        """Take no new connection; those open go on."""
+        """Stop accepting new connections; open channels are kept."""
         self._server.close()
 
     def stop(self) -> None:
-        """Close the listener and every channel."""
+        """Stop listening and close all channels gracefully."""
         self._server.stop(timeout=0)
         for channel in list(self.channels):
             channel.close_gracefully()
 
     def admit(self) -> bool:
-        """Decide on a new connection before its handshake.
+        """Return whether to accept a new connection, before its handshake.
 
-        A subclass may limit or pace connections here; false closes the
-        new one.
+        A subclass can override this method to limit the number or the rate
+        of connections. A connection that is not admitted is closed.
         """
         return True
 
--- a/packages/wire/src/trefoilpulley_wire/member_codec.py
+++ b/packages/wire/src/trefoilpulley_wire/member_codec.py
@@ -1,4 +1,4 @@
-"""Messages of the stand-in member's protocol."""
+"""Messages of the protocol between hosts and stand-in members."""
 
 from __future__ import annotations
 
@@ -14,96 +14,100 @@
 
 @dataclass(frozen=True, slots=True)
 class Status:
-    """Asks for the member's status."""
+    """Request for the status of the member."""
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """Runs a read in a snapshot that holds the floor."""
+    """Request to run a read in a snapshot that includes ``floor``."""
 
     statement: Statement
-    """Statement."""
+    """Statement to run."""
 
     floor: Position
-    """Position that the member must hold."""
+    """Minimum position that the member must have applied."""
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Runs a write and keeps its outcome."""
+    """Request to run a write and store its outcome."""
 
     statement: Statement
-    """Statement."""
+    """Statement to run."""
 
     term: int
-    """Term that the member must lead."""
+    """Term in which the member must be primary."""
 
     key: OutcomeKey | None
-    """Key of the outcome."""
+    """Key under which the outcome is stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class BeginTransaction:
-    """Begins a transaction on this connection."""
+    """Request to begin a transaction on this connection."""
 
     term: int
-    """Term that the member must lead."""
+    """Term in which the member must be primary."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunStatement:
-    """Runs a statement in the open transaction."""
+    """Request to run a statement in the open transaction."""
 
     statement: Statement
-    """Statement."""
+    """Statement to run."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommitTransaction:
-    """Commits the open transaction with its outcome."""
+    """Request to commit the open transaction together with its outcome."""
 
     key: OutcomeKey | None
-    """Key of the outcome."""
+    """Key under which the outcome is stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class RollbackTransaction:
-    """Rolls the open transaction back."""
+    """Request to roll back the open transaction."""
 
 
 @dataclass(frozen=True, slots=True)
 class Resolve:
-    """Returns the outcome of a key, or abandons the key."""
+    """Request for the outcome of a key.
+
+    If no outcome is stored, the member abandons the key, so that a request
+    with this key cannot run later.
+    """
 
     key: OutcomeKey
-    """Key of the outcome."""
+    """Key under which the outcome is stored."""
 
     term: int
-    """Term that the member must lead."""
+    """Term in which the member must be primary."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    """Makes the member refuse lower terms."""
+    """Request to reject requests of lower terms from now on."""
 
     term: int
-    """Lowest term accepted from now on."""
+    """Lowest term that the member still accepts."""
 
 
 @dataclass(frozen=True, slots=True)
 class Promote:
-    """Makes the member the primary of a term."""
+    """Request to become the primary of a term."""
 
     term: int
-    """Term to lead."""
+    """Term in which the member becomes primary."""
 
 
 @dataclass(frozen=True, slots=True)
 class Follow:
-    """Makes the member a replica."""
+    """Request to become a replica of a primary."""
 
     term: int
-    """Term to follow."""
+    """Term of the primary."""
 
     primary: str
     """Name of the primary."""
@@ -111,47 +115,52 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberResult:
-    """Answer to a statement."""
+    """Reply to a statement."""
 
     result: StatementResult
-    """Whole result."""
+    """Result of the statement."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberReport:
-    """Answer to the control messages; also sent unasked on progress."""
+    """Status of the member.
+
+    The member sends this message as the reply to status and role requests,
+    and as a one-way message to connections that have sent `WatchProgress`.
+    """
 
     status: MemberStatus
-    """Status of the member."""
+    """Current status."""
 
 
 @dataclass(frozen=True, slots=True)
 class StillAlive:
-    """Sent unasked where the last `MemberReport` still holds."""
+    """One-way message that the last `MemberReport` is still current."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberDone:
-    """Answer without a result."""
+    """Reply of a request that succeeded without a result."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberFailure:
-    """Typed failure."""
+    """Reply of a request that failed."""
 
     code: str
-    """Code of the failure in the catalogue."""
+    """Failure code from the catalogue in `trefoilpulley_core.failure`."""
 
     detail: str = ''
-    """Facts for a person."""
+    """Human-readable detail."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchProgress:
-    """Asks for a `MemberReport` whenever the member's progress changes.
+    """Request for a `MemberReport` whenever the member's progress changes.
 
-    Reports come as one-way messages, joined over a short time; where
-    nothing has changed, `StillAlive` takes their place.
+    The reports are one-way messages. Changes within a short interval are
+    combined into one report. If nothing has changed, the member sends
+    `StillAlive` instead.
     """
 
 
@@ -176,4 +185,4 @@
         WatchProgress,
     )
 )
-"""Codec of the connections to a member."""
+"""Codec of the connections between hosts and stand-in members."""
--- a/packages/wire/src/trefoilpulley_wire/peer_codec.py
+++ b/packages/wire/src/trefoilpulley_wire/peer_codec.py
@@ -57,4 +57,4 @@
     ),
     unions={relay_messages.RelayedCalls: Call},
 )
-"""Codec of the connections between hosts."""
+"""Codec for every message that hosts exchange with each other."""
--- a/packages/wire/src/trefoilpulley_wire/traffic.py
+++ b/packages/wire/src/trefoilpulley_wire/traffic.py
@@ -1,4 +1,4 @@
-"""Counts messages and bytes by type of message."""
+"""Counters of messages and bytes per message type."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficCount:
-    """Traffic of one type of message, both ways."""
+    """Traffic of one message type in both directions."""
 
     message: str
-    """Name of the type."""
+    """Name of the message type."""
 
     messages: int
-    """Messages sent and received."""
+    """Number of messages sent and received."""
 
     size_bytes: int
-    """Bytes of their frames, without those of WebSocket and TCP."""
+    """Total size of the frames, excluding WebSocket and TCP overhead."""
 
 
 class Traffic:
-    """Running counts of the frames of some channels."""
+    """Counters for the frames of all channels that share a codec."""
 
     def __init__(self) -> None:
         self._messages: Counter[str] = Counter()
@@ -33,7 +33,7 @@
         self._bytes[message] += size_bytes
 
     def snapshot(self) -> tuple[TrafficCount, ...]:
-        """Return the counts by type of message."""
+        """Return the counters of each message type, sorted by name."""
         return tuple(
             TrafficCount(name, self._messages[name], self._bytes[name])
             for name in sorted(self._messages)
