--- a/features/steps/channel_steps.py
+++ b/features/steps/channel_steps.py
@@ -22,7 +22,7 @@
 from trefoilpulley_wire.caller_codec import CALLER_CODEC
 from trefoilpulley_wire.channel import Channel
 from trefoilpulley_wire.channel import Handler
-from trefoilpulley_wire.channel import MESSAGE_LIMIT_BYTES
+from trefoilpulley_wire.channel import MAX_MESSAGE_BYTES
 from trefoilpulley_wire.dial import dial
 from trefoilpulley_wire.listener import Listener
 
@@ -62,7 +62,7 @@
 
     def on_request(self, channel: Channel, message: Any) -> Any:
         """Answer with one large row."""
-        return Answer(rows=(('x' * (MESSAGE_LIMIT_BYTES + 1),),))
+        return Answer(rows=(('x' * (MAX_MESSAGE_BYTES + 1),),))
 
 
 class ClosingHandler(EchoHandler):
@@ -131,7 +131,7 @@
     @when('a request over the size limit is sent over the channel')
     def send_large(context: Any) -> None:
         """Send one request that is too large."""
-        sql = 'x' * (MESSAGE_LIMIT_BYTES + 1)
+        sql = 'x' * (MAX_MESSAGE_BYTES + 1)
         context.reply = context.channel.call(_execute('1', sql))
 
     @staticmethod
@@ -139,7 +139,7 @@
     def send_raw(context: Any, data: str) -> None:
         """Send bytes that are no message."""
         channel = context.channel
-        waiter = channel._waiting[RAW_SEQUENCE] = AsyncResult()
+        waiter = channel._waiters[RAW_SEQUENCE] = AsyncResult()
         channel._protocol.send_binary(bytes.fromhex(data))
         channel._flush()
         context.reply = waiter.get()
--- a/packages/wire/src/trefoilpulley_wire/channel.py
+++ b/packages/wire/src/trefoilpulley_wire/channel.py
@@ -23,22 +23,22 @@
 
 if TYPE_CHECKING:
     from gevent.event import Event
-    from websockets.frames import Frame as SocketFrame
+    from websockets.frames import Frame as WebSocketFrame
     from websockets.protocol import Protocol
 
     from trefoilpulley_wire.codec import Codec
 
-RECEIVE_BYTES = 65536
+RECEIVE_BUFFER_BYTES = 65536
 """Maximum number of bytes that one call reads from a socket."""
 
-MESSAGE_LIMIT_BYTES = 1 << 20
+MAX_MESSAGE_BYTES = 1 << 20
 """Maximum size of a request or reply that is decoded."""
 
-HARD_LIMIT_BYTES = 16 << 20
+MAX_RECEIVED_BYTES = 16 << 20
 """Maximum size of a message that is received.
 
 A larger message closes the connection. A message between
-`MESSAGE_LIMIT_BYTES` and this size is rejected, and the connection stays open.
+`MAX_MESSAGE_BYTES` and this size is rejected, and the connection stays open.
 """
 
 
@@ -95,9 +95,9 @@
         self._handler = handler
         self._send_lock = Semaphore()
         self._next_sequence = 1
-        self._waiting: dict[int, AsyncResult] = {}
+        self._waiters: dict[int, AsyncResult] = {}
         self._fragments: list[bytes] = []
-        self._running = 0
+        self._active_request_count = 0
         self.is_open = True
         """Whether the connection is open, so that requests can be sent."""
 
@@ -105,9 +105,9 @@
         """State that the handler attaches to the connection."""
 
     @property
-    def running_requests(self) -> int:
+    def active_request_count(self) -> int:
         """Number of requests of the peer that are being handled."""
-        return self._running
+        return self._active_request_count
 
     def call(
         self,
@@ -136,7 +136,7 @@
             return Failed(PeerUnreachable('connection is closed'))
         sequence = self._next_sequence
         self._next_sequence += 1
-        waiter = self._waiting[sequence] = AsyncResult()
+        waiter = self._waiters[sequence] = AsyncResult()
         try:
             self._send(sequence, message)
             if abort is not None:
@@ -146,7 +146,7 @@
         except (OSError, gevent.Timeout) as exc:
             return Failed(PeerUnreachable(type(exc).__name__))
         finally:
-            self._waiting.pop(sequence, None)
+            self._waiters.pop(sequence, None)
 
     def notify(self, message: Any) -> None:
         """Send a one-way message.
@@ -162,13 +162,13 @@
     def run(self) -> None:
         """Receive and dispatch messages until the connection ends."""
         try:
-            self._take_events()
+            self._process_events()
             while self.is_open:
-                data = self._sock.recv(RECEIVE_BYTES)
+                data = self._sock.recv(RECEIVE_BUFFER_BYTES)
                 if not data:
                     break
                 self._protocol.receive_data(data)
-                self._take_events()
+                self._process_events()
         except OSError:
             pass
         finally:
@@ -184,7 +184,7 @@
         except OSError:
             pass
         failed = Failed(PeerUnreachable('connection was lost'))
-        for waiter in list(self._waiting.values()):
+        for waiter in list(self._waiters.values()):
             waiter.set(failed)
         if self._handler:
             self._handler.on_close(self)
@@ -215,15 +215,15 @@
         if pending:
             self._sock.sendall(pending)
 
-    def _take_events(self) -> None:
+    def _process_events(self) -> None:
         for event in self._protocol.events_received():
-            self._on_socket_frame(event)
+            self._on_websocket_frame(event)
         with self._send_lock:
             self._flush()
         if self._protocol.state is not State.OPEN:
             self.close()
 
-    def _on_socket_frame(self, frame: SocketFrame) -> None:
+    def _on_websocket_frame(self, frame: WebSocketFrame) -> None:
         if frame.opcode not in (Opcode.BINARY, Opcode.TEXT, Opcode.CONT):
             return
         self._fragments.append(bytes(frame.data))
@@ -231,10 +231,10 @@
             return
         data = b''.join(self._fragments)
         self._fragments.clear()
-        self._on_data(data)
+        self._on_message(data)
 
-    def _on_data(self, data: bytes) -> None:
-        if len(data) > MESSAGE_LIMIT_BYTES:
+    def _on_message(self, data: bytes) -> None:
+        if len(data) > MAX_MESSAGE_BYTES:
             self._on_too_large(self._codec.decode_sequence(data))
             return
         decoded = self._codec.decode(data)
@@ -248,32 +248,32 @@
         if frame.sequence < 0:
             self._on_reply(-frame.sequence, Success(message))
         elif frame.sequence > 0:
-            self._running += 1
-            gevent.spawn(self._serve, frame.sequence, message)
+            self._active_request_count += 1
+            gevent.spawn(self._serve_request, frame.sequence, message)
         elif self._handler:
             self._handler.on_notice(self, message)
 
     def _on_too_large(self, sequence: int) -> None:
         # Decoding such a message would block the other greenlets of this
         # process for too long.
-        detail = f'limit is {MESSAGE_LIMIT_BYTES}'
+        detail = f'limit is {MAX_MESSAGE_BYTES}'
         if sequence < 0:
             self._on_reply(-sequence, Failed(ResultTooLarge(detail)))
         else:
-            self._refuse(sequence, MessageTooLarge(detail))
+            self._reject_message(sequence, MessageTooLarge(detail))
 
     def _on_undecodable(self, sequence: int, failure: Failure) -> None:
         if sequence < 0:
             self._on_reply(-sequence, Failed(failure))
         else:
-            self._refuse(sequence, failure)
+            self._reject_message(sequence, failure)
 
     def _on_reply(self, sequence: int, reply: Result[Any, Failure]) -> None:
-        waiter = self._waiting.get(sequence)
+        waiter = self._waiters.get(sequence)
         if waiter is not None:
             waiter.set(reply)
 
-    def _refuse(self, sequence: int, failure: Failure) -> None:
+    def _reject_message(self, sequence: int, failure: Failure) -> None:
         if not self._handler:
             return
         reply = self._handler.on_malformed(self, failure)
@@ -282,7 +282,7 @@
         except OSError:
             self.close()
 
-    def _serve(self, sequence: int, message: Any) -> None:
+    def _serve_request(self, sequence: int, message: Any) -> None:
         try:
             if self._handler is None:
                 return
@@ -291,4 +291,4 @@
         except OSError:
             self.close()
         finally:
-            self._running -= 1
+            self._active_request_count -= 1
--- a/packages/wire/src/trefoilpulley_wire/codec.py
+++ b/packages/wire/src/trefoilpulley_wire/codec.py
@@ -29,7 +29,7 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-HEADER_BYTES = 64
+FRAME_PREFIX_BYTES = 64
 """Length of a frame's prefix that holds the sequence number and the tag."""
 
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Structure:
+class _Decoder:
     kind: type
     structure: Callable[[Any, type], Any]
 
@@ -78,9 +78,11 @@
         self._converter = make_converter(
             omit_if_default=True, detailed_validation=False
         )
-        self._kinds = {kind.__name__: kind for kind in types}
+        self._types_by_tag = {
+            message_type.__name__: message_type for message_type in types
+        }
         self._encoders: dict[type, _Encoder] = {}
-        self._structure: dict[str, _Structure] = {}
+        self._decoders: dict[str, _Decoder] = {}
         self.traffic = Traffic()
         """Traffic counters of all channels that use this codec."""
 
@@ -100,7 +102,7 @@
     def decode_sequence(self, data: bytes) -> int:
         """Return the sequence number of a frame, or 0 if it is malformed."""
         try:
-            sequence = cbor2.load(io.BytesIO(data[:HEADER_BYTES]))
+            sequence = cbor2.load(io.BytesIO(data[:FRAME_PREFIX_BYTES]))
         except (cbor2.CBORError, ValueError):
             return 0
         return sequence if isinstance(sequence, int) else 0
@@ -115,41 +117,48 @@
             return Failed(
                 MalformedMessage('sequence number is not an integer')
             )
-        kind = self._kinds.get(tag) if isinstance(tag, str) else None
-        if kind is None:
+        message_type = (
+            self._types_by_tag.get(tag) if isinstance(tag, str) else None
+        )
+        if message_type is None:
             return Failed(MalformedMessage('unknown message type'))
-        known = self._structure_of(kind)
-        return Success(Frame(sequence, known.structure(fields, known.kind)))
+        message_decoder = self._decoder_of(message_type)
+        return Success(
+            Frame(
+                sequence,
+                message_decoder.structure(fields, message_decoder.kind),
+            )
+        )
 
     # cattrs hooks are created on first use, because creating the hooks of all
     # message types takes longer than the rest of a host's startup.
 
-    def _encoder_of(self, kind: type) -> _Encoder:
-        encoder = self._encoders.get(kind)
+    def _encoder_of(self, message_type: type) -> _Encoder:
+        encoder = self._encoders.get(message_type)
         if encoder is None:
-            self._prepare(kind)
-            tag = cbor2.dumps(self._tag_of(kind))
-            unstructure = self._converter.get_unstructure_hook(kind)
-            encoder = self._encoders[kind] = _Encoder(tag, unstructure)
+            self._configure_union(message_type)
+            tag = cbor2.dumps(self._tag_of(message_type))
+            unstructure = self._converter.get_unstructure_hook(message_type)
+            encoder = self._encoders[message_type] = _Encoder(tag, unstructure)
         return encoder
 
-    def _structure_of(self, kind: type) -> _Structure:
-        known = self._structure.get(kind.__name__)
-        if known is None:
-            self._prepare(kind)
-            structure = self._converter.get_structure_hook(kind)
-            known = self._structure[kind.__name__] = _Structure(
-                kind, structure
+    def _decoder_of(self, message_type: type) -> _Decoder:
+        message_decoder = self._decoders.get(message_type.__name__)
+        if message_decoder is None:
+            self._configure_union(message_type)
+            structure = self._converter.get_structure_hook(message_type)
+            message_decoder = self._decoders[message_type.__name__] = _Decoder(
+                message_type, structure
             )
-        return known
+        return message_decoder
 
-    def _prepare(self, kind: type) -> None:
+    def _configure_union(self, message_type: type) -> None:
         """Create the hooks of the union in a field of the message type."""
-        union = self._unions.pop(kind, None)
+        union = self._unions.pop(message_type, None)
         if union is not None:
             configure_tagged_union(union, self._converter)
 
-    def _tag_of(self, kind: type) -> str:
-        if self._kinds.get(kind.__name__) is not kind:
-            raise KeyError(kind)
-        return kind.__name__
+    def _tag_of(self, message_type: type) -> str:
+        if self._types_by_tag.get(message_type.__name__) is not message_type:
+            raise KeyError(message_type)
+        return message_type.__name__
--- a/packages/wire/src/trefoilpulley_wire/dial.py
+++ b/packages/wire/src/trefoilpulley_wire/dial.py
@@ -16,8 +16,8 @@
 from trefoilpulley_core.failure import Failure
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_wire.channel import Channel
-from trefoilpulley_wire.channel import HARD_LIMIT_BYTES
-from trefoilpulley_wire.channel import RECEIVE_BYTES
+from trefoilpulley_wire.channel import MAX_RECEIVED_BYTES
+from trefoilpulley_wire.channel import RECEIVE_BUFFER_BYTES
 
 if TYPE_CHECKING:
     import ssl
@@ -60,7 +60,7 @@
             sock = socket.create_connection((endpoint.address, endpoint.port))
             if tls is not None:
                 sock = tls.wrap_socket(sock, server_hostname=endpoint.address)
-            protocol = _shake_hands(sock, endpoint)
+            protocol = _perform_handshake(sock, endpoint)
     except (OSError, TimeoutError) as exc:
         if sock is not None:
             sock.close()
@@ -70,14 +70,16 @@
     return Success(channel)
 
 
-def _shake_hands(sock: socket.socket, endpoint: Endpoint) -> ClientProtocol:
+def _perform_handshake(
+    sock: socket.socket, endpoint: Endpoint
+) -> ClientProtocol:
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     uri = parse_uri(f'ws://{endpoint.address}:{endpoint.port}/')
-    protocol = ClientProtocol(uri, max_size=HARD_LIMIT_BYTES)
+    protocol = ClientProtocol(uri, max_size=MAX_RECEIVED_BYTES)
     protocol.send_request(protocol.connect())
     sock.sendall(b''.join(protocol.data_to_send()))
     while protocol.state is State.CONNECTING:
-        data = sock.recv(RECEIVE_BYTES)
+        data = sock.recv(RECEIVE_BUFFER_BYTES)
         if not data:
             raise ConnectionError()
         protocol.receive_data(data)
--- a/packages/wire/src/trefoilpulley_wire/listener.py
+++ b/packages/wire/src/trefoilpulley_wire/listener.py
@@ -12,8 +12,8 @@
 from websockets.server import ServerProtocol
 
 from trefoilpulley_wire.channel import Channel
-from trefoilpulley_wire.channel import HARD_LIMIT_BYTES
-from trefoilpulley_wire.channel import RECEIVE_BYTES
+from trefoilpulley_wire.channel import MAX_RECEIVED_BYTES
+from trefoilpulley_wire.channel import RECEIVE_BUFFER_BYTES
 
 if TYPE_CHECKING:
     import ssl
@@ -25,7 +25,7 @@
 HANDSHAKE_TIMEOUT_S = 5.0
 """Maximum time for the TLS and WebSocket handshakes, in seconds."""
 
-_BACKLOG = 1024
+_ACCEPT_BACKLOG = 1024
 
 
 class Listener:
@@ -56,7 +56,7 @@
         self._server = StreamServer(
             (endpoint.address, endpoint.port),
             self._accept,
-            backlog=_BACKLOG,
+            backlog=_ACCEPT_BACKLOG,
         )
         self.channels: set[Channel] = set()
         """Open channels."""
@@ -93,14 +93,14 @@
             sock.close()
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        protocol = ServerProtocol(max_size=HARD_LIMIT_BYTES)
+        protocol = ServerProtocol(max_size=MAX_RECEIVED_BYTES)
         try:
             with gevent.Timeout(HANDSHAKE_TIMEOUT_S, TimeoutError):
-                sock = self._wrap(sock)
-                is_ready = self._shake_hands(sock, protocol)
+                sock = self._wrap_tls(sock)
+                is_handshake_done = self._perform_handshake(sock, protocol)
         except OSError:
-            is_ready = False
-        if not is_ready:
+            is_handshake_done = False
+        if not is_handshake_done:
             sock.close()
             return
         channel = Channel(sock, protocol, self._codec, self._handler)
@@ -110,16 +110,16 @@
         finally:
             self.channels.discard(channel)
 
-    def _wrap(self, sock: socket.socket) -> socket.socket:
+    def _wrap_tls(self, sock: socket.socket) -> socket.socket:
         if self._tls is None:
             return sock
         return self._tls.wrap_socket(sock, server_side=True)
 
-    def _shake_hands(
+    def _perform_handshake(
         self, sock: socket.socket, protocol: ServerProtocol
     ) -> bool:
         while protocol.state is State.CONNECTING:
-            data = sock.recv(RECEIVE_BYTES)
+            data = sock.recv(RECEIVE_BUFFER_BYTES)
             if not data:
                 return False
             protocol.receive_data(data)
