--- a/packages/client/src/trefoilpulley_client/__init__.py
+++ b/packages/client/src/trefoilpulley_client/__init__.py
@@ -1,4 +1,4 @@
-"""PEP 249 client of the proxy."""
+"""Database client for the proxy that implements PEP 249 (DB-API 2.0)."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 from trefoilpulley_client.type_objects import TimestampFromTicks
 
 apilevel = '2.0'
-"""Version of PEP 249's interface."""
+"""Supported version of the DB-API, as PEP 249 requires."""
 
 threadsafety = 1
-"""Threads may share the module, but not connections."""
+"""Threads may share the module but not connections (PEP 249, level 1)."""
 
 paramstyle = 'qmark'
-"""Each ``?`` of a statement stands for one parameter."""
+"""Parameter style: each ``?`` in a statement marks one parameter."""
 
 __all__ = [
     'BINARY',
--- a/packages/client/src/trefoilpulley_client/connection.py
+++ b/packages/client/src/trefoilpulley_client/connection.py
@@ -1,4 +1,4 @@
-"""Connections of PEP 249."""
+"""Connections as defined by PEP 249."""
 
 from __future__ import annotations
 
@@ -38,22 +38,22 @@
 
 
 class Connection:
-    """One session of a tenant through any of the entry hosts.
+    """Session of a tenant, served by any of the entry hosts.
 
-    Made by `connect`. Threads may not share it.
+    Use `connect` to create a connection. Threads may not share a connection.
 
     Parameters
     ----------
     link : EntryLink
-        Way to the entry hosts.
+        Network connection to an entry host.
     requester : Requester
-        Sends the requests.
+        Sends the requests and retries them.
     target : Target
-        Class of work and database where a cursor names no other.
+        Default class of work and database of cursors.
     token : bytes
-        Token of a session to go on with; empty for a new one.
+        Token of an existing session to continue; empty for a new session.
     autocommit : bool
-        Whether each statement is a request of its own.
+        Whether each statement runs on its own instead of in a transaction.
     """
 
     Warning = errors.Warning
@@ -85,10 +85,10 @@
 
     @property
     def token(self) -> bytes:
-        """Newest token of the session; another connection may go on with it.
+        """Latest token of the session.
 
-        Empty until the first answer where the session is new and no
-        host has been reached.
+        Another connection can continue the session with this token. The
+        token of a new session is empty until a host has been reached.
         """
         return self._token or self._link.welcome_token
 
@@ -99,7 +99,10 @@
 
     @property
     def autocommit(self) -> bool:
-        """Whether each statement is a request of its own."""
+        """Whether each statement runs on its own instead of in a transaction.
+
+        The value cannot change while a transaction is open.
+        """
         return self._autocommit
 
     @autocommit.setter
@@ -109,18 +112,18 @@
 
     @property
     def host(self) -> str:
-        """Name of the entry host of the latest connection."""
+        """Name of the entry host that was connected to last."""
         return self._link.host
 
     def cursor(self, work_class: str = '', database: str = '') -> Cursor:
-        """Return a cursor.
+        """Return a new cursor.
 
         Parameters
         ----------
         work_class : str
-            Class of work; the connection's where it is empty.
+            Class of work; empty for the default of the connection.
         database : str
-            Database; the connection's where it is empty.
+            Database; empty for the default of the connection.
         """
         self._require_open()
         target = Target(
@@ -136,23 +139,41 @@
         parameters: tuple[Parameter, ...],
         request_id: str = '',
     ) -> Answer:
-        """Run a statement for a cursor."""
+        """Run a statement on behalf of a cursor.
+
+        Parameters
+        ----------
+        target : Target
+            Class of work and database of the statement.
+        sql : str
+            Statement with ``?`` for each parameter.
+        parameters : tuple[Parameter, ...]
+            Values of the parameters.
+        request_id : str
+            Request id chosen by the program; only allowed with autocommit.
+
+        Returns
+        -------
+        Answer
+            Answer of the host.
+        """
         self._require_open()
         if self._autocommit:
             return self._run_single(target, sql, parameters, request_id)
         if request_id:
             raise errors.ProgrammingError(
-                'a statement of a transaction has no request id of its own'
+                'a statement in a transaction cannot have its own request id'
             )
         return self._run_in_transaction(target, sql, parameters)
 
     def commit(self, request_id: str = '') -> None:
-        """Commit the open transaction.
+        """Commit the open transaction, if there is one.
 
         Parameters
         ----------
         request_id : str
-            Identifier of the outcome, where the program keeps its own.
+            Request id under which the outcome can be looked up; a new one is
+            generated if it is empty.
         """
         self._require_open()
         if self._transaction is None:
@@ -163,7 +184,7 @@
         self._take(transaction.commit(request_id))
 
     def rollback(self) -> None:
-        """Roll the open transaction back."""
+        """Roll back the open transaction, if there is one."""
         self._require_open()
         self._roll_back()
 
@@ -172,8 +193,23 @@
     ) -> Answer:
         """Return the outcome of an earlier request.
 
-        A request without an outcome is abandoned and never runs;
-        `NotRunError` tells so.
+        If the request has no outcome, it is abandoned: it will never run, and
+        `NotRunError` is raised.
+
+        Parameters
+        ----------
+        request_id : str
+            Identifier of the earlier request.
+        work_class : str
+            Class of work of the request; empty for the default of the
+            connection.
+        database : str
+            Database of the request; empty for the default of the connection.
+
+        Returns
+        -------
+        Answer
+            Answer that the request had or would have had.
         """
         self._require_open()
         req = LookUp(
@@ -185,7 +221,7 @@
         return self._take(self._requester.look_up(req))
 
     def close(self) -> None:
-        """Roll back what is open and close."""
+        """Roll back the open transaction, if any, and close the connection."""
         if self._is_closed:
             return
         self._roll_back()
@@ -231,7 +267,7 @@
         self._require_alive(self._transaction)
         if self._transaction.target != target:
             raise errors.ProgrammingError(
-                'the open transaction has another class or database'
+                'the open transaction has another class of work or database'
             )
         return self._take(self._transaction.run(sql, parameters))
 
@@ -254,13 +290,13 @@
         self._require_open()
         if self._transaction is not None:
             raise errors.ProgrammingError(
-                f'{subject} is not changed inside a transaction'
+                f'{subject} cannot change inside a transaction'
             )
 
     def _require_alive(self, transaction: Transaction) -> None:
         if transaction.is_lost:
             raise errors.TransactionLostError(
-                'roll back before going on', code='transaction-lost'
+                'roll back before the next statement', code='transaction-lost'
             )
 
 
@@ -286,33 +322,40 @@
     hosts : Sequence[str]
         Addresses of entry hosts as ``IP:PORT``; tried in random order.
     tenant : str
-        Tenant of the caller.
+        Tenant that the caller belongs to.
     secret : str
         Secret of the tenant.
     database : str
-        Database of the statements, unless a cursor names another.
+        Default database of cursors.
     work_class : str
-        Class of work of the statements, unless a cursor names another.
+        Default class of work of cursors.
     token : bytes
-        Token of a session to go on with.
+        Token of an existing session to continue; empty for a new session.
     autocommit : bool
-        Whether each statement is a request of its own instead of part
-        of a transaction.
+        Whether each statement runs on its own instead of in a transaction.
     retry : RetryPolicy, optional
-        Bounds of the retries.
+        Limits of the retries.
     tls : ssl.SSLContext, optional
-        Client context; plain TCP without it.
+        TLS client context; plain TCP if omitted.
     dialer : Dialer, optional
-        Opens connections in another way.
+        Replaces the WebSocket transport.
     timer : Timer, optional
-        Another source of time.
+        Replaces the system clock.
     rng : random.Random, optional
-        Another source of request ids, pauses and the hosts' order.
+        Replaces the random source of request ids, retry delays and the order
+        of the hosts.
 
     Returns
     -------
     Connection
         Open connection.
+
+    Raises
+    ------
+    InterfaceError
+        If an address is invalid or no address is given.
+    Error
+        If no host accepts the connection.
     """
     rng = rng or random.SystemRandom()
     link = EntryLink(
@@ -334,7 +377,7 @@
     except ValueError as exc:
         raise errors.InterfaceError(str(exc)) from exc
     if not endpoints:
-        raise errors.InterfaceError('no entry host is given')
+        raise errors.InterfaceError('no entry host address was given')
     rng.shuffle(endpoints)
     return endpoints
 
--- a/packages/client/src/trefoilpulley_client/cursor.py
+++ b/packages/client/src/trefoilpulley_client/cursor.py
@@ -1,4 +1,4 @@
-"""Cursors of PEP 249."""
+"""Cursors as defined by PEP 249."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 _NO_ANSWER = Answer()
 
 Description = tuple[tuple[Any, ...], ...]
-"""Seven items a column; only the name is known."""
+"""Column descriptions of seven items each; only the name is filled in."""
 
 
 class Cursor:
-    """Runs statements and holds the rows of the latest one.
+    """Run statements and fetch the rows of the latest one.
 
     Parameters
     ----------
     connection : Connection
-        Connection that made the cursor.
+        Connection that the cursor belongs to.
     target : Target
         Class of work and database of the statements.
     """
@@ -43,29 +43,29 @@
         self._next_row = 0
         self._is_closed = False
         self.connection = connection
-        """Connection that made the cursor."""
+        """Connection that the cursor belongs to."""
 
         self.arraysize = 1
-        """Rows that `fetchmany` returns by default."""
+        """Number of rows that `fetchmany` returns by default."""
 
         self.rowcount = -1
-        """Rows changed or returned; -1 where unknown."""
+        """Number of rows changed or returned; -1 if unknown."""
 
     @property
     def description(self) -> Description | None:
-        """Columns of the latest result, or ``None`` without one."""
+        """Columns of the latest result; ``None`` if there is no result."""
         if not self._has_rows:
             return None
         return tuple((n, *(None,) * 6) for n in self._answer.columns)
 
     @property
     def age_ms(self) -> int:
-        """Greatest age of the latest answer's data, in milliseconds."""
+        """Upper bound for the age of the latest result, in milliseconds."""
         return self._answer.age_ms
 
     @property
     def member(self) -> str:
-        """Member that gave the latest answer."""
+        """Name of the member that served the latest statement."""
         return self._answer.member
 
     def execute(
@@ -84,8 +84,13 @@
         parameters : Sequence[Any]
             Values: ``None``, int, float, str or bytes.
         request_id : str
-            Identifier of a single statement, where the program keeps
-            its own to repeat the request after its own restart.
+            Request id chosen by the program, so that the program can repeat
+            the request after a restart; only allowed with autocommit.
+
+        Returns
+        -------
+        Cursor
+            This cursor.
         """
         self._require_open()
         self._reset()
@@ -96,7 +101,10 @@
     def executemany(
         self, sql: str, parameter_sets: Iterable[Sequence[Any]]
     ) -> Cursor:
-        """Run a statement once for each set of parameters."""
+        """Run a statement once for each set of parameters.
+
+        `rowcount` is the total of all runs afterwards.
+        """
         self._require_open()
         self._reset()
         total = 0
@@ -108,28 +116,28 @@
         return self
 
     def fetchone(self) -> Row | None:
-        """Return the next row, or ``None``."""
+        """Return the next row, or ``None`` if no row is left."""
         rows = self._fetch(1)
         return rows[0] if rows else None
 
     def fetchmany(self, size: int | None = None) -> list[Row]:
-        """Return up to ``size`` rows."""
+        """Return up to ``size`` rows, or `arraysize` rows by default."""
         return self._fetch(self.arraysize if size is None else size)
 
     def fetchall(self) -> list[Row]:
-        """Return the rows that are left."""
+        """Return all remaining rows."""
         return self._fetch(len(self._answer.rows))
 
     def close(self) -> None:
-        """Drop the rows; the cursor is of no use any more."""
+        """Discard the rows and close the cursor."""
         self._reset()
         self._is_closed = True
 
     def setinputsizes(self, sizes: Sequence[Any]) -> None:
-        """Do nothing, as PEP 249 allows."""
+        """Do nothing; PEP 249 allows an implementation to ignore the call."""
 
     def setoutputsize(self, size: int, column: int | None = None) -> None:
-        """Do nothing, as PEP 249 allows."""
+        """Do nothing; PEP 249 allows an implementation to ignore the call."""
 
     def __enter__(self) -> Cursor:
         self._require_open()
@@ -155,7 +163,9 @@
     def _fetch(self, count: int) -> list[Row]:
         self._require_open()
         if not self._has_rows:
-            raise ProgrammingError('no statement has returned rows')
+            raise ProgrammingError(
+                'the latest statement has not returned rows'
+            )
         start = self._next_row
         rows = list(self._answer.rows[start : start + count])
         self._next_row += len(rows)
@@ -168,9 +178,9 @@
 
 def _check_parameters(parameters: Sequence[Any]) -> tuple[Any, ...]:
     if not isinstance(parameters, list | tuple):
-        raise ProgrammingError('parameters are given as a list or tuple')
+        raise ProgrammingError('parameters must be a list or a tuple')
     for value in parameters:
         if not isinstance(value, _PARAMETER_TYPES):
             kind = type(value).__name__
-            raise ProgrammingError(f'a parameter has the type {kind}')
+            raise ProgrammingError(f'unsupported parameter type {kind}')
     return tuple(parameters)
--- a/packages/client/src/trefoilpulley_client/endpoints.py
+++ b/packages/client/src/trefoilpulley_client/endpoints.py
@@ -1,32 +1,32 @@
-"""Text form of the entry hosts' addresses."""
+"""Conversion of entry host addresses from and to text."""
 
 from __future__ import annotations
 
 from trefoilpulley_core.catalog import Endpoint
 
 PORT_MOST = 65535
-"""Greatest TCP port."""
+"""Highest TCP port number."""
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Return the endpoint of ``IP:PORT`` or ``[IP]:PORT``.
+    """Parse an address of the form ``IP:PORT`` or ``[IP]:PORT``.
 
     Raises
     ------
     ValueError
-        Where the text has another form.
+        If the text has another form or the port is out of range.
     """
     address, separator, port = text.rpartition(':')
     address = address.removeprefix('[').removesuffix(']')
     if not separator or not address or not port.isdecimal():
-        raise ValueError(f'{text!r} is not of the form IP:PORT')
+        raise ValueError(f'{text!r} does not have the form IP:PORT')
     if not 0 < int(port) <= PORT_MOST:
-        raise ValueError(f'{text!r} has no valid port')
+        raise ValueError(f'{text!r} has an invalid port')
     return Endpoint(address, int(port))
 
 
 def format_endpoint(endpoint: Endpoint) -> str:
-    """Return the text form of an endpoint."""
+    """Return an endpoint as ``IP:PORT``, or ``[IP]:PORT`` for IPv6."""
     if ':' in endpoint.address:
         return f'[{endpoint.address}]:{endpoint.port}'
     return f'{endpoint.address}:{endpoint.port}'
--- a/packages/client/src/trefoilpulley_client/entry_link.py
+++ b/packages/client/src/trefoilpulley_client/entry_link.py
@@ -1,4 +1,4 @@
-"""The caller's way to the entry hosts: one connection at a time."""
+"""Connection of a caller to one entry host at a time, with failover."""
 
 from __future__ import annotations
 
@@ -36,16 +36,19 @@
 
 
 class EntryLink:
-    """Connection to one of several entry hosts, made anew when it breaks.
+    """Connection to one of several entry hosts.
+
+    When the connection fails or the host drains, the next request opens a
+    connection to the next host of the list.
 
     Parameters
     ----------
     endpoints : Sequence[Endpoint]
-        Addresses of the entry hosts in the order of their use.
+        Addresses of the entry hosts, in the order in which they are tried.
     hello : Hello
-        First message of each connection.
+        First message sent on each connection.
     dialer : Dialer
-        Opens connections.
+        Opens the connections.
     """
 
     def __init__(
@@ -57,22 +60,34 @@
         self._next = 0
         self._transport: Transport | None = None
         self.incarnation = 0
-        """Number of the connection; a transaction ends with it."""
+        """Number of connections opened so far.
+
+        It identifies the current connection. A transaction is bound to one
+        connection and ends with that connection.
+        """
 
         self.host = ''
-        """Name of the host that the connection leads to."""
+        """Name of the host that was connected to last."""
 
         self.welcome_token = b''
-        """Token of a new session, from the first connection."""
+        """Token of a new session, received on the first connection."""
 
     def call(self, message: Any, timeout_s: float) -> Result[Any, Refusal]:
-        """Send a request over the connection, which is opened if need be.
+        """Send a request, and open a connection first if none is open.
+
+        Parameters
+        ----------
+        message : Any
+            Request to send.
+        timeout_s : float
+            Maximum time for each of opening the connection, the Hello
+            exchange and the request, in seconds.
 
         Returns
         -------
         Result[Any, Refusal]
-            The reply, or a refusal. A refusal whose run state is
-            unknown says that the request may have been delivered.
+            The reply or a refusal. If the run state of the refusal is
+            unknown, the request may have been delivered.
         """
         opened = self.open(timeout_s)
         if not isinstance(opened, Success):
@@ -82,13 +97,42 @@
     def call_pinned(
         self, incarnation: int, message: Any, timeout_s: float
     ) -> Result[Any, Refusal]:
-        """Send a request over the connection of a transaction only."""
+        """Send a request of a transaction over the transaction's connection.
+
+        Parameters
+        ----------
+        incarnation : int
+            Number of the connection on which the transaction began.
+        message : Any
+            Request to send.
+        timeout_s : float
+            Maximum time to wait for the reply, in seconds.
+
+        Returns
+        -------
+        Result[Any, Refusal]
+            The reply or a refusal; a refusal with the code of
+            `TransactionLost` if that connection is no longer open.
+        """
         if self._transport is None or self.incarnation != incarnation:
-            return Failed(to_refusal(TransactionLost('connection broke')))
+            return Failed(to_refusal(TransactionLost('connection was lost')))
         return self._exchange(message, timeout_s)
 
     def open(self, timeout_s: float) -> Result[None, Refusal]:
-        """Connect to the next host unless a connection is open."""
+        """Connect to the current host of the list unless already connected.
+
+        Parameters
+        ----------
+        timeout_s : float
+            Maximum time to open the connection, and to wait for the host's
+            Welcome, in seconds.
+
+        Returns
+        -------
+        Result[None, Refusal]
+            A refusal if the host is unreachable or rejects the connection;
+            the next call then tries the next host.
+        """
         if self._transport is not None:
             return Success(None)
         endpoint = self._endpoints[self._next]
@@ -102,7 +146,7 @@
         return self._greet(timeout_s)
 
     def leave(self) -> None:
-        """Close the connection, if any; the next goes to another host."""
+        """Close the open connection, if any, and select the next host."""
         if self._transport is not None:
             self.close()
             self._choose_next()
@@ -129,7 +173,9 @@
     def _take_welcome(self, message: Any) -> Result[None, Refusal]:
         if not isinstance(message, Welcome):
             self.leave()
-            return Failed(to_refusal(HostUnreachable('no welcome came')))
+            return Failed(
+                to_refusal(HostUnreachable('host did not answer with Welcome'))
+            )
         self.host = message.host
         self.welcome_token = self.welcome_token or message.token
         return Success(None)
@@ -150,7 +196,7 @@
 
 
 def to_refusal(failure: Failure) -> Refusal:
-    """Return the refusal that tells of a failure."""
+    """Convert a failure to the refusal that describes it."""
     return Refusal(
         failure.code,
         failure.run_state.value,
--- a/packages/client/src/trefoilpulley_client/errors.py
+++ b/packages/client/src/trefoilpulley_client/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions of PEP 249, each with the code and run state of its failure."""
+"""Exceptions of PEP 249 with the code and run state of the failure."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class Warning(Exception):
-    """Important notice; PEP 249 asks for the name."""
+    """Warning that PEP 249 requires; the client never raises it."""
 
 
 class Error(Exception):
-    """Base of every error of the client.
+    """Base class of all errors of the client.
 
     Parameters
     ----------
     detail : str
-        Facts for a person.
+        Human-readable detail.
     code : str
-        Code of the failure in docs/ERRORS.md.
+        Failure code, as listed in docs/ERRORS.md.
     run_state : RunState
         Whether the request has run.
     is_repeatable : bool
         Whether the same request may be sent again.
     request_id : str
-        Identifier under which the outcome can be looked up.
+        Request id under which the outcome can be looked up.
     """
 
     def __init__(
@@ -42,10 +42,10 @@
     ) -> None:
         super().__init__(f'{code}: {detail}' if detail else code)
         self.detail = detail
-        """Facts for a person."""
+        """Human-readable detail."""
 
         self.code = code
-        """Code of the failure."""
+        """Failure code, as listed in docs/ERRORS.md."""
 
         self.run_state = run_state
         """Whether the request has run."""
@@ -54,39 +54,39 @@
         """Whether the same request may be sent again."""
 
         self.request_id = request_id
-        """Identifier of the request, or empty."""
+        """Request id under which the outcome can be looked up, or empty."""
 
 
 class InterfaceError(Error):
-    """The client was used wrongly, or did not understand an answer."""
+    """The client was used incorrectly or received an invalid answer."""
 
 
 class DatabaseError(Error):
-    """Error of the database or of the way to it."""
+    """Error of the database or of the connection to the database."""
 
 
 class DataError(DatabaseError):
-    """A value or a result can't be processed."""
+    """A value or a result cannot be processed."""
 
 
 class OperationalError(DatabaseError):
-    """Error of the operation of the database or the proxy."""
+    """Error in the operation of the database or of the proxy."""
 
 
 class IntegrityError(DatabaseError):
-    """A rule on the data's integrity was broken."""
+    """A data integrity rule was violated."""
 
 
 class InternalError(DatabaseError):
-    """The database is in an inner state that it can't work in."""
+    """The database has an internal error."""
 
 
 class ProgrammingError(DatabaseError):
-    """The program asked for what can't be done."""
+    """The program made an invalid request."""
 
 
 class NotSupportedError(DatabaseError):
-    """The database does not support the call."""
+    """The database does not support the requested operation."""
 
 
 class ClosedError(InterfaceError):
@@ -94,19 +94,19 @@
 
 
 class MalformedMessageError(InterfaceError):
-    """A message was not understood."""
+    """A message could not be decoded."""
 
 
 class MessageTooLargeError(DataError):
-    """The request is over the size limit."""
+    """The request exceeds the size limit."""
 
 
 class ResultTooLargeError(DataError):
-    """The result is over the size limit; the request has run."""
+    """The result exceeds the size limit; the request has run."""
 
 
 class StatementFailedError(ProgrammingError):
-    """The database refused the statement, which left no effect."""
+    """The database rejected the statement, which had no effect."""
 
 
 class NotAuthenticatedError(OperationalError):
@@ -118,19 +118,19 @@
 
 
 class UnknownClassError(ProgrammingError):
-    """No class of work has the requested name."""
+    """The requested class of work does not exist."""
 
 
 class UnknownDatabaseError(ProgrammingError):
-    """No database has the requested name."""
+    """The requested database does not exist."""
 
 
 class InvalidTokenError(OperationalError):
-    """The session token was refused."""
+    """The session token was rejected."""
 
 
 class RequestIdReusedError(IntegrityError):
-    """The request id was used before with other content."""
+    """The request id was already used for a different request."""
 
 
 class NotRunError(OperationalError):
@@ -138,7 +138,7 @@
 
 
 class OverloadedError(NotRunError):
-    """The request could not have been in time and was refused early."""
+    """The request was rejected early, as it would have missed its deadline."""
 
 
 class TransactionLostError(NotRunError):
@@ -148,7 +148,7 @@
 class OutcomeUnknownError(OperationalError):
     """The request may or may not have run.
 
-    `Connection.look_up` settles it by the request id.
+    `Connection.look_up` resolves the outcome by the request id.
     """
 
 
@@ -175,7 +175,11 @@
 
 
 def to_error(refusal: Refusal, request_id: str = '') -> Error:
-    """Return the exception of a typed refusal."""
+    """Return the exception for a refusal.
+
+    The class follows from the code, or from the run state if the code has no
+    class of its own.
+    """
     run_state = read_run_state(refusal)
     kind = _BY_CODE.get(refusal.code, _BY_RUN_STATE[run_state])
     return kind(
@@ -188,7 +192,10 @@
 
 
 def read_run_state(refusal: Refusal) -> RunState:
-    """Return a refusal's run state; unknown where it says no known one."""
+    """Return the run state of a refusal.
+
+    A value that this version does not know counts as an unknown run state.
+    """
     try:
         return RunState(refusal.run_state)
     except ValueError:
--- a/packages/client/src/trefoilpulley_client/requester.py
+++ b/packages/client/src/trefoilpulley_client/requester.py
@@ -1,4 +1,4 @@
-"""Sends requests, repeats what may be repeated, settles what is unknown."""
+"""Sending of requests with retries and resolution of unknown outcomes."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     from trefoilpulley_core.caller import Execute
 
 ATTEMPTS_BEFORE_MOVE = 4
-"""Refused attempts of a request after which another host is tried."""
+"""Number of attempts of a request before the client tries another host."""
 
 _SETTLING_CODES = frozenset(
     (
@@ -52,33 +52,33 @@
         StatementFailed.code,
     )
 )
-"""Refusals that tell what became of every attempt under a request id."""
+"""Refusals that settle the outcome of all attempts under a request id."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """Request that ended without an answer."""
+    """Request that failed after its last attempt."""
 
     refusal: Refusal
-    """Last word on the request."""
+    """Refusal that the request ended with."""
 
     request_id: str = ''
-    """Identifier of its last attempt."""
+    """Request id of the last attempt; empty if the request has none."""
 
 
 class Requester:
-    """Sends the requests of one connection.
+    """Send the requests of one connection and retry them.
 
     Parameters
     ----------
     link : EntryLink
-        Way to the entry hosts.
+        Network connection to an entry host.
     policy : RetryPolicy
-        Bounds of the retries.
+        Limits of the retries.
     timer : Timer
         Source of time.
     rng : random.Random
-        Source of request ids and of the pauses' spread.
+        Random source of request ids and retry delays.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Number of the connection in use."""
+        """Number of the network connection in use."""
         return self._link.incarnation
 
     def make_request_id(self) -> str:
@@ -103,7 +103,7 @@
         return f'{self._rng.getrandbits(128):032x}'
 
     def open(self) -> Result[None, Unanswered]:
-        """Connect to a host."""
+        """Connect to a host, with retries."""
         attempts = self._begin_attempts()
         while True:
             opened = self._link.open(attempts.timeout_s)
@@ -116,18 +116,26 @@
     def execute(
         self, req: Execute, keeps_id: bool = False
     ) -> Result[Answer, Unanswered]:
-        """Send a single statement; its effect comes at most once.
+        """Send a statement outside a transaction.
 
-        A repeat carries the same request id, so that a host returns the
-        kept outcome where an earlier attempt ran. Only an id that is
-        known to be abandoned is replaced.
+        The statement takes effect at most once. A retry carries the same
+        request id, so that the host returns the stored outcome if an earlier
+        attempt ran. A new request id is used only if the previous id is known
+        to be abandoned.
 
         Parameters
         ----------
         req : Execute
-            Statement outside of a transaction.
+            Statement outside a transaction.
         keeps_id : bool
-            Whether the request id is the program's and not replaced.
+            Whether the program chose the request id, which must then not be
+            replaced.
+
+        Returns
+        -------
+        Result[Answer, Unanswered]
+            The answer, or the final refusal, which is `OutcomeUnknown` if an
+            attempt may have run and its outcome could not be resolved.
         """
         attempts = self._begin_attempts()
         is_uncertain = False
@@ -147,7 +155,15 @@
                 req = replace(req, request_id=self.make_request_id())
 
     def look_up(self, req: LookUp) -> Result[Answer, Unanswered]:
-        """Return the outcome of an earlier request, or abandon it."""
+        """Return the outcome of an earlier request, or abandon the request.
+
+        Returns
+        -------
+        Result[Answer, Unanswered]
+            The answer; a refusal with the code of `NotRun` if the request is
+            abandoned and will never run; `OutcomeUnknown` if neither could
+            be established.
+        """
         attempts = self._begin_attempts()
         while True:
             reply = self._call(req, attempts, Answer)
@@ -161,7 +177,12 @@
                 return Failed(Unanswered(refusal, req.request_id))
 
     def begin(self, req: Begin) -> Result[Begun, Unanswered]:
-        """Begin a transaction; one that was begun in vain is rolled back."""
+        """Begin a transaction.
+
+        If the answer is lost, the connection is closed, so that the host
+        rolls back a transaction that it may have begun, and the request is
+        retried.
+        """
         attempts = self._begin_attempts()
         while True:
             reply = self._call(req, attempts, Begun)
@@ -174,7 +195,11 @@
     def run(
         self, incarnation: int, req: Execute
     ) -> Result[Answer, Unanswered]:
-        """Send a statement of a transaction, once."""
+        """Send a statement of a transaction, without retries.
+
+        If the outcome of the statement is unknown, the connection is closed,
+        which rolls the transaction back.
+        """
         reply = self._call_pinned(incarnation, req, Answer)
         if isinstance(reply, Success):
             return reply
@@ -184,7 +209,19 @@
     def commit(
         self, incarnation: int, req: Commit, look_up: LookUp
     ) -> Result[Answer, Unanswered]:
-        """Commit a transaction; an outcome that is lost is looked up."""
+        """Commit a transaction, without retries.
+
+        If the outcome of the commit is unknown, it is looked up.
+
+        Parameters
+        ----------
+        incarnation : int
+            Number of the connection on which the transaction began.
+        req : Commit
+            Commit request.
+        look_up : LookUp
+            Request that looks up the outcome of the commit.
+        """
         reply = self._call_pinned(incarnation, req, Answer)
         if isinstance(reply, Success):
             return reply
@@ -194,7 +231,11 @@
         return Failed(Unanswered(refusal, req.request_id))
 
     def roll_back(self, incarnation: int, transaction: str) -> None:
-        """Roll a transaction back, by closing its connection if need be."""
+        """Roll back a transaction.
+
+        If the host does not confirm the rollback, the connection is closed,
+        which also rolls the transaction back.
+        """
         if incarnation != self._link.incarnation:
             return
         req = Rollback(transaction)
@@ -208,7 +249,8 @@
         reply = self._call(req, attempts, Answer)
         if not is_uncertain or not _has_code(reply, NotRun.code):
             return reply
-        # The refusal may be of this attempt alone.
+        # The refusal may refer to this attempt only. Look up the request id,
+        # because an earlier attempt may have run.
         return self._call(make_look_up(req), attempts, Answer)
 
     def _call(
@@ -231,7 +273,9 @@
         if not isinstance(reply, Success) or isinstance(reply.unwrap(), kind):
             return reply
         self._link.leave()
-        return Failed(to_refusal(PeerUnreachable('unexpected answer')))
+        return Failed(
+            to_refusal(PeerUnreachable('answer has an unexpected type'))
+        )
 
     def _abort_unknown(self, refusal: Refusal) -> Refusal:
         if not _is_unknown(refusal):
@@ -253,7 +297,7 @@
 
 
 def make_look_up(req: Execute) -> LookUp:
-    """Return the question for the outcome of a statement."""
+    """Return the request that looks up the outcome of a statement."""
     return LookUp(req.request_id, req.work_class, req.database, req.token)
 
 
--- a/packages/client/src/trefoilpulley_client/retry.py
+++ b/packages/client/src/trefoilpulley_client/retry.py
@@ -1,4 +1,4 @@
-"""Bounds of the client's retries."""
+"""Limits and delays of the client's retries."""
 
 from __future__ import annotations
 
@@ -13,35 +13,39 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """How long and how often a request is tried."""
+    """Limits of the time and number of attempts of a request."""
 
     deadline_s: float = 10.0
-    """Longest time from the call to its answer or error, in seconds."""
+    """Maximum time from a call to its answer or error, in seconds."""
 
     attempts: int = 16
-    """Most attempts of one request."""
+    """Maximum number of attempts of one request."""
 
     attempt_timeout_s: float = 4.0
-    """Longest wait for the answer of one attempt, in seconds."""
+    """Maximum time to wait for the answer to one attempt, in seconds."""
 
     first_backoff_s: float = 0.05
-    """Longest pause before the second attempt, in seconds."""
+    """Maximum delay before the second attempt, in seconds.
+
+    The maximum doubles with each further attempt.
+    """
 
     longest_backoff_s: float = 1.0
-    """Longest pause between two attempts, in seconds."""
+    """Maximum delay before any attempt, in seconds."""
 
 
 class Attempts:
-    """Attempts of one request.
+    """Attempts of one request, with exponential backoff and jitter.
 
     Parameters
     ----------
     policy : RetryPolicy
-        Bounds.
+        Limits of the attempts.
     timer : Timer
         Source of time.
     rng : random.Random
-        Spreads the pauses of callers that fail together.
+        Random source of the jitter, which keeps callers that fail together
+        from retrying together.
     """
 
     def __init__(
@@ -52,16 +56,28 @@
         self._rng = rng
         self._ends_at = timer.now() + policy.deadline_s
         self.made = 1
-        """Attempts so far."""
+        """Number of attempts so far, including the current one."""
 
     @property
     def timeout_s(self) -> float:
-        """Longest wait for the answer of this attempt, in seconds."""
+        """Maximum time to wait for the current attempt, in seconds."""
         left = self._ends_at - self._timer.now()
         return max(0.0, min(left, self._policy.attempt_timeout_s))
 
     def begin_next(self, pauses: bool = True) -> bool:
-        """Pause for another attempt, or return that none is left."""
+        """Wait until the next attempt may start.
+
+        Parameters
+        ----------
+        pauses : bool
+            Whether to wait before the attempt.
+
+        Returns
+        -------
+        bool
+            Whether another attempt may be made; false if the number of
+            attempts or the deadline is exhausted.
+        """
         if self.made >= self._policy.attempts:
             return False
         pause_s = self._draw_pause() if pauses else 0.0
--- a/packages/client/src/trefoilpulley_client/target.py
+++ b/packages/client/src/trefoilpulley_client/target.py
@@ -1,4 +1,4 @@
-"""What a statement is sent to."""
+"""Class of work and database that a statement addresses."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Class of work and database of a statement."""
+    """Class of work and database that a statement addresses."""
 
     work_class: str
-    """Class of work."""
+    """Name of the class of work."""
 
     database: str
-    """Database."""
+    """Name of the database."""
--- a/packages/client/src/trefoilpulley_client/timer.py
+++ b/packages/client/src/trefoilpulley_client/timer.py
@@ -1,4 +1,4 @@
-"""Time as the client sees it."""
+"""Clock and sleep function of the client."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class Timer(Clock):
-    """Monotonic time that can be waited for."""
+    """Monotonic clock that can also sleep."""
 
     @abc.abstractmethod
     def sleep(self, seconds: float) -> None:
-        """Wait."""
+        """Block the calling thread for a number of seconds."""
 
 
 class SystemTimer(Timer):
-    """Time of the system."""
+    """Timer that uses the system's monotonic clock."""
 
     def now(self) -> float:
-        """Return monotonic time in seconds."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
     def sleep(self, seconds: float) -> None:
-        """Wait."""
+        """Block the calling thread for a number of seconds."""
         time.sleep(seconds)
--- a/packages/client/src/trefoilpulley_client/transaction.py
+++ b/packages/client/src/trefoilpulley_client/transaction.py
@@ -1,4 +1,4 @@
-"""One open transaction, bound to the connection that began it."""
+"""Open transaction, bound to the network connection on which it began."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 _SURVIVED_CODES = frozenset(
     (MessageTooLarge.code, ResultTooLarge.code, StatementFailed.code)
 )
-"""Refusals of a statement after which its transaction goes on."""
+"""Refusals of a statement that leave its transaction open."""
 
 
 class Transaction:
-    """One open transaction.
+    """Open transaction.
 
     Parameters
     ----------
     requester : Requester
         Sends the requests.
     target : Target
-        Class of work and database.
+        Class of work and database of all statements.
     token : bytes
-        Token of the session at the beginning.
+        Session token at the start of the transaction.
     transaction_id : str
-        Identifier that the host gave.
+        Identifier that the host assigned to the transaction.
     """
 
     def __init__(
@@ -56,15 +56,18 @@
         self._id = transaction_id
         self._incarnation = requester.incarnation
         self.target = target
-        """Class of work and database of every statement."""
+        """Class of work and database of all statements."""
 
         self.is_lost = False
-        """Whether it was rolled back and only waits to be told so."""
+        """Whether the transaction was rolled back by a failure.
+
+        The program has to call `rollback` before it can start another one.
+        """
 
     def run(
         self, sql: str, parameters: tuple[Parameter, ...]
     ) -> Result[Answer, Unanswered]:
-        """Run a statement."""
+        """Run a statement in the transaction."""
         req = Execute(
             self._requester.make_request_id(),
             self.target.work_class,
@@ -80,7 +83,7 @@
         return reply
 
     def commit(self, request_id: str) -> Result[Answer, Unanswered]:
-        """Commit under a request id."""
+        """Commit; the outcome can be looked up under the request id."""
         req = Commit(self._id, request_id, self._token)
         look_up = LookUp(
             request_id,
@@ -94,7 +97,7 @@
         return reply
 
     def roll_back(self) -> None:
-        """Roll back."""
+        """Roll back, unless the transaction was already lost."""
         if not self.is_lost:
             self._requester.roll_back(self._incarnation, self._id)
 
@@ -109,7 +112,7 @@
 def begin_transaction(
     requester: Requester, target: Target, token: bytes
 ) -> Result[Transaction, Unanswered]:
-    """Begin a transaction at a host."""
+    """Begin a transaction on the current host."""
     req = Begin(target.work_class, target.database, token)
     begun = requester.begin(req)
     return begun.map(
--- a/packages/client/src/trefoilpulley_client/transport.py
+++ b/packages/client/src/trefoilpulley_client/transport.py
@@ -1,4 +1,4 @@
-"""Interface to one connection to an entry host."""
+"""Interface of network connections to entry hosts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Transport(abc.ABC):
-    """One open connection; one request at a time."""
+    """Open connection that handles one request at a time."""
 
     @abc.abstractmethod
     def call(self, message: Any, timeout_s: float) -> Result[Any, Failure]:
@@ -23,15 +23,15 @@
         Parameters
         ----------
         message : Any
-            Typed request of `trefoilpulley_core.caller`.
+            Request defined in `trefoilpulley_core.caller`.
         timeout_s : float
-            Longest wait in seconds.
+            Maximum time to wait for the reply, in seconds.
 
         Returns
         -------
         Result[Any, Failure]
-            The reply, or `PeerUnreachable` where none came; the
-            connection is closed then.
+            The reply, or `PeerUnreachable` if no valid reply arrived; in that
+            case the connection is closed.
         """
 
     @abc.abstractmethod
@@ -40,10 +40,23 @@
 
 
 class Dialer(abc.ABC):
-    """Opens connections to entry hosts."""
+    """Open connections to entry hosts."""
 
     @abc.abstractmethod
     def dial(
         self, endpoint: Endpoint, timeout_s: float
     ) -> Result[Transport, Failure]:
-        """Open a connection, or fail with `PeerUnreachable`."""
+        """Open a connection.
+
+        Parameters
+        ----------
+        endpoint : Endpoint
+            Address of the entry host.
+        timeout_s : float
+            Maximum time to connect, in seconds.
+
+        Returns
+        -------
+        Result[Transport, Failure]
+            The open connection, or `PeerUnreachable`.
+        """
--- a/packages/client/src/trefoilpulley_client/type_objects.py
+++ b/packages/client/src/trefoilpulley_client/type_objects.py
@@ -6,7 +6,11 @@
 
 
 class TypeObject:
-    """Type of columns; the database tells none, so that none is equal."""
+    """Type object for comparison with the type code of a column.
+
+    The database reports no column types, so that no type object is equal to
+    the type code of any column.
+    """
 
 
 STRING = TypeObject()
@@ -19,35 +23,35 @@
 
 
 def Date(year: int, month: int, day: int) -> str:
-    """Return a date in ISO form."""
+    """Return a date in ISO 8601 format."""
     return datetime.date(year, month, day).isoformat()
 
 
 def Time(hour: int, minute: int, second: int) -> str:
-    """Return a time of day in ISO form."""
+    """Return a time of day in ISO 8601 format."""
     return datetime.time(hour, minute, second).isoformat()
 
 
 def Timestamp(
     year: int, month: int, day: int, hour: int, minute: int, second: int
 ) -> str:
-    """Return a point in time in ISO form."""
+    """Return a date and time in ISO 8601 format."""
     return datetime.datetime(year, month, day, hour, minute, second).isoformat(
         ' '
     )
 
 
 def DateFromTicks(ticks: float) -> str:
-    """Return the local date of a Unix time in ISO form."""
+    """Return the local date of a Unix timestamp in ISO 8601 format."""
     return datetime.date.fromtimestamp(ticks).isoformat()
 
 
 def TimeFromTicks(ticks: float) -> str:
-    """Return the local time of day of a Unix time in ISO form."""
+    """Return the local time of day of a Unix timestamp in ISO 8601 format."""
     moment = datetime.datetime.fromtimestamp(int(ticks))
     return moment.time().isoformat()
 
 
 def TimestampFromTicks(ticks: float) -> str:
-    """Return a Unix time as local time in ISO form."""
+    """Return the local date and time of a Unix timestamp in ISO 8601."""
     return datetime.datetime.fromtimestamp(int(ticks)).isoformat(' ')
--- a/packages/client/src/trefoilpulley_client/websocket_transport.py
+++ b/packages/client/src/trefoilpulley_client/websocket_transport.py
@@ -1,4 +1,4 @@
-"""Connection to an entry host over WebSocket and CBOR."""
+"""Connections to entry hosts that carry CBOR messages over WebSocket."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
     from trefoilpulley_core.catalog import Endpoint
 
 ANSWER_LIMIT_BYTES = 16 << 20
-"""Greatest answer that is read."""
+"""Maximum size of an answer; a larger answer closes the connection."""
 
 CLOSE_TIMEOUT_S = 0.2
-"""Longest wait for the closing handshake, in seconds."""
+"""Maximum time to wait for the closing handshake, in seconds."""
 
 
 class WebSocketDialer(Dialer):
-    """Opens WebSocket connections.
+    """Open WebSocket connections.
 
     Parameters
     ----------
     tls : ssl.SSLContext, optional
-        Client context; plain TCP without it.
+        TLS client context; plain TCP if omitted.
     """
 
     def __init__(self, tls: ssl.SSLContext | None = None) -> None:
@@ -47,7 +47,7 @@
     def dial(
         self, endpoint: Endpoint, timeout_s: float
     ) -> Result[Transport, Failure]:
-        """Open a connection, or fail with `PeerUnreachable`."""
+        """Open a connection; returns `PeerUnreachable` if that fails."""
         scheme = 'wss' if self._tls else 'ws'
         try:
             conn = connect_websocket(
@@ -66,12 +66,12 @@
 
 
 class WebSocketTransport(Transport):
-    """One open WebSocket connection.
+    """Open WebSocket connection.
 
     Parameters
     ----------
     conn : ClientConnection
-        Connection after the handshake.
+        Connection on which the handshake is complete.
     """
 
     def __init__(self, conn: ClientConnection) -> None:
@@ -95,10 +95,12 @@
     def _take(self, data: bytes) -> Result[Any, Failure]:
         decoded = CALLER_CODEC.decode(data)
         if not isinstance(decoded, Success):
-            return self._fail(PeerUnreachable('answer is malformed'))
+            return self._fail(PeerUnreachable('answer could not be decoded'))
         frame = decoded.unwrap()
         if frame.sequence != -self._last_sequence:
-            return self._fail(PeerUnreachable('answer to another request'))
+            return self._fail(
+                PeerUnreachable('answer belongs to another request')
+            )
         return Success(frame.message)
 
     def _fail(self, failure: Failure) -> Result[Any, Failure]:
