--- a/packages/client/src/trefoilpulley_client/connection.py
+++ b/packages/client/src/trefoilpulley_client/connection.py
@@ -29,7 +29,7 @@
     from collections.abc import Sequence
     import ssl
 
-    from trefoilpulley_client.requester import Unanswered
+    from trefoilpulley_client.requester import FailedRequest
     from trefoilpulley_client.timer import Timer
     from trefoilpulley_client.transport import Dialer
     from trefoilpulley_core.caller import Answer
@@ -94,7 +94,7 @@
 
     @token.setter
     def token(self, token: bytes) -> None:
-        self._require_idle('the token')
+        self._require_no_transaction('the token')
         self._token = token
 
     @property
@@ -107,7 +107,7 @@
 
     @autocommit.setter
     def autocommit(self, autocommit: bool) -> None:
-        self._require_idle('autocommit')
+        self._require_no_transaction('autocommit')
         self._autocommit = autocommit
 
     @property
@@ -159,7 +159,7 @@
         """
         self._require_open()
         if self._autocommit:
-            return self._run_single(target, sql, parameters, request_id)
+            return self._run_autocommitted(target, sql, parameters, request_id)
         if request_id:
             raise errors.ProgrammingError(
                 'a statement in a transaction cannot have its own request id'
@@ -178,10 +178,10 @@
         self._require_open()
         if self._transaction is None:
             return
-        self._require_alive(self._transaction)
+        self._require_not_lost(self._transaction)
         transaction, self._transaction = self._transaction, None
         request_id = request_id or self._requester.make_request_id()
-        self._take(transaction.commit(request_id))
+        self._accept_answer(transaction.commit(request_id))
 
     def rollback(self) -> None:
         """Roll back the open transaction, if there is one."""
@@ -218,7 +218,7 @@
             database or self._target.database,
             self.token,
         )
-        return self._take(self._requester.look_up(req))
+        return self._accept_answer(self._requester.look_up(req))
 
     def close(self) -> None:
         """Roll back the open transaction, if any, and close the connection."""
@@ -239,7 +239,7 @@
         finally:
             self.close()
 
-    def _run_single(
+    def _run_autocommitted(
         self,
         target: Target,
         sql: str,
@@ -254,8 +254,8 @@
             parameters,
             self.token,
         )
-        keeps_id = bool(request_id)
-        return self._take(self._requester.execute(req, keeps_id))
+        is_id_fixed = bool(request_id)
+        return self._accept_answer(self._requester.execute(req, is_id_fixed))
 
     def _run_in_transaction(
         self, target: Target, sql: str, parameters: tuple[Parameter, ...]
@@ -264,14 +264,14 @@
             self._transaction = _unwrap(
                 begin_transaction(self._requester, target, self.token)
             )
-        self._require_alive(self._transaction)
+        self._require_not_lost(self._transaction)
         if self._transaction.target != target:
             raise errors.ProgrammingError(
                 'the open transaction has another class of work or database'
             )
-        return self._take(self._transaction.run(sql, parameters))
+        return self._accept_answer(self._transaction.run(sql, parameters))
 
-    def _take(self, reply: Result[Answer, Unanswered]) -> Answer:
+    def _accept_answer(self, reply: Result[Answer, FailedRequest]) -> Answer:
         answer = _unwrap(reply)
         if answer.token:
             self._token = answer.token
@@ -286,14 +286,14 @@
         if self._is_closed:
             raise errors.ClosedError('the connection', code='closed')
 
-    def _require_idle(self, subject: str) -> None:
+    def _require_no_transaction(self, subject: str) -> None:
         self._require_open()
         if self._transaction is not None:
             raise errors.ProgrammingError(
                 f'{subject} cannot change inside a transaction'
             )
 
-    def _require_alive(self, transaction: Transaction) -> None:
+    def _require_not_lost(self, transaction: Transaction) -> None:
         if transaction.is_lost:
             raise errors.TransactionLostError(
                 'roll back before the next statement', code='transaction-lost'
@@ -382,8 +382,8 @@
     return endpoints
 
 
-def _unwrap(reply: Result[Any, Unanswered]) -> Any:
+def _unwrap(reply: Result[Any, FailedRequest]) -> Any:
     if isinstance(reply, Success):
         return reply.unwrap()
-    unanswered = reply.failure()
-    raise to_error(unanswered.refusal, unanswered.request_id)
+    failed_request = reply.failure()
+    raise to_error(failed_request.refusal, failed_request.request_id)
--- a/packages/client/src/trefoilpulley_client/cursor.py
+++ b/packages/client/src/trefoilpulley_client/cursor.py
@@ -95,7 +95,9 @@
         self._require_open()
         self._reset()
         values = _check_parameters(parameters)
-        self._take(self.connection.run(self._target, sql, values, request_id))
+        self._store_answer(
+            self.connection.run(self._target, sql, values, request_id)
+        )
         return self
 
     def executemany(
@@ -149,7 +151,7 @@
     def __iter__(self) -> Iterator[Row]:
         return iter(self.fetchone, None)
 
-    def _take(self, answer: Answer) -> None:
+    def _store_answer(self, answer: Answer) -> None:
         self._answer = answer
         self._has_rows = bool(answer.columns)
         self.rowcount = answer.row_count
--- a/packages/client/src/trefoilpulley_client/endpoints.py
+++ b/packages/client/src/trefoilpulley_client/endpoints.py
@@ -4,7 +4,7 @@
 
 from trefoilpulley_core.catalog import Endpoint
 
-PORT_MOST = 65535
+MAX_PORT = 65535
 """Highest TCP port number."""
 
 
@@ -20,7 +20,7 @@
     address = address.removeprefix('[').removesuffix(']')
     if not separator or not address or not port.isdecimal():
         raise ValueError(f'{text!r} does not have the form IP:PORT')
-    if not 0 < int(port) <= PORT_MOST:
+    if not 0 < int(port) <= MAX_PORT:
         raise ValueError(f'{text!r} has an invalid port')
     return Endpoint(address, int(port))
 
--- a/packages/client/src/trefoilpulley_client/entry_link.py
+++ b/packages/client/src/trefoilpulley_client/entry_link.py
@@ -57,7 +57,7 @@
         self._endpoints = tuple(endpoints)
         self._hello = hello
         self._dialer = dialer
-        self._next = 0
+        self._endpoint_index = 0
         self._transport: Transport | None = None
         self.incarnation = 0
         """Number of connections opened so far.
@@ -135,21 +135,21 @@
         """
         if self._transport is not None:
             return Success(None)
-        endpoint = self._endpoints[self._next]
+        endpoint = self._endpoints[self._endpoint_index]
         dialled = self._dialer.dial(endpoint, timeout_s)
         if not isinstance(dialled, Success):
-            self._choose_next()
+            self._advance_endpoint()
             detail = dialled.failure().detail
             return Failed(to_refusal(HostUnreachable(detail)))
         self._transport = dialled.unwrap()
         self.incarnation += 1
-        return self._greet(timeout_s)
+        return self._send_hello(timeout_s)
 
-    def leave(self) -> None:
+    def switch_host(self) -> None:
         """Close the open connection, if any, and select the next host."""
         if self._transport is not None:
             self.close()
-            self._choose_next()
+            self._advance_endpoint()
 
     def close(self) -> None:
         """Close the connection."""
@@ -157,22 +157,24 @@
         if transport is not None:
             transport.close()
 
-    def _choose_next(self) -> None:
-        self._next = (self._next + 1) % len(self._endpoints)
+    def _advance_endpoint(self) -> None:
+        self._endpoint_index = (self._endpoint_index + 1) % len(
+            self._endpoints
+        )
 
-    def _greet(self, timeout_s: float) -> Result[None, Refusal]:
+    def _send_hello(self, timeout_s: float) -> Result[None, Refusal]:
         reply = self._exchange(self._hello, timeout_s)
         if isinstance(reply, Success):
-            return self._take_welcome(reply.unwrap())
+            return self._accept_welcome(reply.unwrap())
         refusal = reply.failure()
-        self.leave()
+        self.switch_host()
         if refusal.code == PeerUnreachable.code:
             return Failed(to_refusal(HostUnreachable(refusal.detail)))
         return Failed(refusal)
 
-    def _take_welcome(self, message: Any) -> Result[None, Refusal]:
+    def _accept_welcome(self, message: Any) -> Result[None, Refusal]:
         if not isinstance(message, Welcome):
-            self.leave()
+            self.switch_host()
             return Failed(
                 to_refusal(HostUnreachable('host did not answer with Welcome'))
             )
@@ -185,13 +187,13 @@
     ) -> Result[Any, Refusal]:
         reply = self._transport.call(message, timeout_s)
         if not isinstance(reply, Success):
-            self.leave()
+            self.switch_host()
             return Failed(to_refusal(reply.failure()))
         if not isinstance(reply.unwrap(), Refusal):
             return reply
         refusal = reply.unwrap()
         if refusal.code == Draining.code:
-            self.leave()
+            self.switch_host()
         return Failed(refusal)
 
 
--- a/packages/client/src/trefoilpulley_client/errors.py
+++ b/packages/client/src/trefoilpulley_client/errors.py
@@ -152,7 +152,7 @@
     """
 
 
-_BY_CODE: dict[str, type[Error]] = {
+_ERRORS_BY_CODE: dict[str, type[Error]] = {
     'invalid-token': InvalidTokenError,
     'malformed-message': MalformedMessageError,
     'message-too-large': MessageTooLargeError,
@@ -167,7 +167,7 @@
     'unknown-database': UnknownDatabaseError,
 }
 
-_BY_RUN_STATE: dict[RunState, type[Error]] = {
+_ERRORS_BY_RUN_STATE: dict[RunState, type[Error]] = {
     RunState.NOT_RUN: NotRunError,
     RunState.RUN: DatabaseError,
     RunState.UNKNOWN: OutcomeUnknownError,
@@ -180,9 +180,11 @@
     The class follows from the code, or from the run state if the code has no
     class of its own.
     """
-    run_state = read_run_state(refusal)
-    kind = _BY_CODE.get(refusal.code, _BY_RUN_STATE[run_state])
-    return kind(
+    run_state = parse_run_state(refusal)
+    error_class = _ERRORS_BY_CODE.get(
+        refusal.code, _ERRORS_BY_RUN_STATE[run_state]
+    )
+    return error_class(
         refusal.detail,
         code=refusal.code,
         run_state=run_state,
@@ -191,7 +193,7 @@
     )
 
 
-def read_run_state(refusal: Refusal) -> RunState:
+def parse_run_state(refusal: Refusal) -> RunState:
     """Return the run state of a refusal.
 
     A value that this version does not know counts as an unknown run state.
--- a/packages/client/src/trefoilpulley_client/requester.py
+++ b/packages/client/src/trefoilpulley_client/requester.py
@@ -12,7 +12,7 @@
 from returns.result import Success
 
 from trefoilpulley_client.entry_link import to_refusal
-from trefoilpulley_client.errors import read_run_state
+from trefoilpulley_client.errors import parse_run_state
 from trefoilpulley_client.retry import Attempts
 from trefoilpulley_core.caller import Answer
 from trefoilpulley_core.caller import Begun
@@ -41,10 +41,10 @@
     from trefoilpulley_core.caller import Commit
     from trefoilpulley_core.caller import Execute
 
-ATTEMPTS_BEFORE_MOVE = 4
+MAX_ATTEMPTS_PER_HOST = 4
 """Number of attempts of a request before the client tries another host."""
 
-_SETTLING_CODES = frozenset(
+_CONCLUSIVE_CODES = frozenset(
     (
         NotRun.code,
         RequestIdReused.code,
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unanswered:
+class FailedRequest:
     """Request that failed after its last attempt."""
 
     refusal: Refusal
@@ -102,20 +102,20 @@
         """Return a new request id."""
         return f'{self._rng.getrandbits(128):032x}'
 
-    def open(self) -> Result[None, Unanswered]:
+    def open(self) -> Result[None, FailedRequest]:
         """Connect to a host, with retries."""
-        attempts = self._begin_attempts()
+        attempts = self._make_attempts()
         while True:
             opened = self._link.open(attempts.timeout_s)
             if isinstance(opened, Success):
                 return opened
             refusal = opened.failure()
-            if not self._begin_repeat(refusal, False, attempts):
-                return Failed(Unanswered(refusal))
+            if not self._begin_retry(refusal, False, attempts):
+                return Failed(FailedRequest(refusal))
 
     def execute(
-        self, req: Execute, keeps_id: bool = False
-    ) -> Result[Answer, Unanswered]:
+        self, req: Execute, is_id_fixed: bool = False
+    ) -> Result[Answer, FailedRequest]:
         """Send a statement outside a transaction.
 
         The statement takes effect at most once. A retry carries the same
@@ -127,7 +127,7 @@
         ----------
         req : Execute
             Statement outside a transaction.
-        keeps_id : bool
+        is_id_fixed : bool
             Whether the program chose the request id, which must then not be
             replaced.
 
@@ -137,24 +137,24 @@
             The answer, or the final refusal, which is `OutcomeUnknown` if an
             attempt may have run and its outcome could not be resolved.
         """
-        attempts = self._begin_attempts()
+        attempts = self._make_attempts()
         is_uncertain = False
         while True:
-            reply = self._attempt(req, is_uncertain, attempts)
+            reply = self._execute_once(req, is_uncertain, attempts)
             if isinstance(reply, Success):
                 return reply
             refusal = reply.failure()
-            is_uncertain = _is_uncertain(refusal, is_uncertain)
+            is_uncertain = _is_still_uncertain(refusal, is_uncertain)
             is_abandoned = refusal.code == NotRun.code
-            if (is_abandoned and keeps_id) or not self._begin_repeat(
+            if (is_abandoned and is_id_fixed) or not self._begin_retry(
                 refusal, is_uncertain, attempts
             ):
-                refusal = _tell_truly(refusal, is_uncertain)
-                return Failed(Unanswered(refusal, req.request_id))
+                refusal = _final_refusal(refusal, is_uncertain)
+                return Failed(FailedRequest(refusal, req.request_id))
             if is_abandoned:
                 req = replace(req, request_id=self.make_request_id())
 
-    def look_up(self, req: LookUp) -> Result[Answer, Unanswered]:
+    def look_up(self, req: LookUp) -> Result[Answer, FailedRequest]:
         """Return the outcome of an earlier request, or abandon the request.
 
         Returns
@@ -164,37 +164,37 @@
             abandoned and will never run; `OutcomeUnknown` if neither could
             be established.
         """
-        attempts = self._begin_attempts()
+        attempts = self._make_attempts()
         while True:
             reply = self._call(req, attempts, Answer)
             if isinstance(reply, Success):
                 return reply
             refusal = reply.failure()
             if refusal.code == NotRun.code:
-                return Failed(Unanswered(refusal, req.request_id))
-            if not self._begin_repeat(refusal, True, attempts):
-                refusal = _tell_truly(refusal, True)
-                return Failed(Unanswered(refusal, req.request_id))
+                return Failed(FailedRequest(refusal, req.request_id))
+            if not self._begin_retry(refusal, True, attempts):
+                refusal = _final_refusal(refusal, True)
+                return Failed(FailedRequest(refusal, req.request_id))
 
-    def begin(self, req: Begin) -> Result[Begun, Unanswered]:
+    def begin(self, req: Begin) -> Result[Begun, FailedRequest]:
         """Begin a transaction.
 
         If the answer is lost, the connection is closed, so that the host
         rolls back a transaction that it may have begun, and the request is
         retried.
         """
-        attempts = self._begin_attempts()
+        attempts = self._make_attempts()
         while True:
             reply = self._call(req, attempts, Begun)
             if isinstance(reply, Success):
                 return reply
-            refusal = self._abort_unknown(reply.failure())
-            if not self._begin_repeat(refusal, False, attempts):
-                return Failed(Unanswered(refusal))
+            refusal = self._abort_if_unknown(reply.failure())
+            if not self._begin_retry(refusal, False, attempts):
+                return Failed(FailedRequest(refusal))
 
     def run(
         self, incarnation: int, req: Execute
-    ) -> Result[Answer, Unanswered]:
+    ) -> Result[Answer, FailedRequest]:
         """Send a statement of a transaction, without retries.
 
         If the outcome of the statement is unknown, the connection is closed,
@@ -203,12 +203,12 @@
         reply = self._call_pinned(incarnation, req, Answer)
         if isinstance(reply, Success):
             return reply
-        refusal = self._abort_unknown(reply.failure())
-        return Failed(Unanswered(refusal, req.request_id))
+        refusal = self._abort_if_unknown(reply.failure())
+        return Failed(FailedRequest(refusal, req.request_id))
 
     def commit(
         self, incarnation: int, req: Commit, look_up: LookUp
-    ) -> Result[Answer, Unanswered]:
+    ) -> Result[Answer, FailedRequest]:
         """Commit a transaction, without retries.
 
         If the outcome of the commit is unknown, it is looked up.
@@ -226,9 +226,9 @@
         if isinstance(reply, Success):
             return reply
         refusal = reply.failure()
-        if _is_unknown(refusal):
+        if _is_outcome_unknown(refusal):
             return self.look_up(look_up)
-        return Failed(Unanswered(refusal, req.request_id))
+        return Failed(FailedRequest(refusal, req.request_id))
 
     def roll_back(self, incarnation: int, transaction: str) -> None:
         """Roll back a transaction.
@@ -241,9 +241,9 @@
         req = Rollback(transaction)
         reply = self._call_pinned(incarnation, req, Done)
         if not isinstance(reply, Success):
-            self._link.leave()
+            self._link.switch_host()
 
-    def _attempt(
+    def _execute_once(
         self, req: Execute, is_uncertain: bool, attempts: Attempts
     ) -> Result[Answer, Refusal]:
         reply = self._call(req, attempts, Answer)
@@ -254,45 +254,49 @@
         return self._call(make_look_up(req), attempts, Answer)
 
     def _call(
-        self, message: Any, attempts: Attempts, kind: type
+        self, message: Any, attempts: Attempts, reply_type: type
     ) -> Result[Any, Refusal]:
         reply = self._link.call(message, attempts.timeout_s)
-        return self._expect(reply, kind)
+        return self._check_reply(reply, reply_type)
 
     def _call_pinned(
-        self, incarnation: int, message: Any, kind: type
+        self, incarnation: int, message: Any, reply_type: type
     ) -> Result[Any, Refusal]:
         reply = self._link.call_pinned(
             incarnation, message, self._policy.attempt_timeout_s
         )
-        return self._expect(reply, kind)
+        return self._check_reply(reply, reply_type)
 
-    def _expect(
-        self, reply: Result[Any, Refusal], kind: type
+    def _check_reply(
+        self, reply: Result[Any, Refusal], reply_type: type
     ) -> Result[Any, Refusal]:
-        if not isinstance(reply, Success) or isinstance(reply.unwrap(), kind):
+        if not isinstance(reply, Success) or isinstance(
+            reply.unwrap(), reply_type
+        ):
             return reply
-        self._link.leave()
+        self._link.switch_host()
         return Failed(
             to_refusal(PeerUnreachable('answer has an unexpected type'))
         )
 
-    def _abort_unknown(self, refusal: Refusal) -> Refusal:
-        if not _is_unknown(refusal):
+    def _abort_if_unknown(self, refusal: Refusal) -> Refusal:
+        if not _is_outcome_unknown(refusal):
             return refusal
-        self._link.leave()
+        self._link.switch_host()
         return to_refusal(TransactionLost(refusal.code))
 
-    def _begin_repeat(
+    def _begin_retry(
         self, refusal: Refusal, is_uncertain: bool, attempts: Attempts
     ) -> bool:
-        if not _may_repeat(refusal, is_uncertain):
+        if not _is_retryable(refusal, is_uncertain):
             return False
-        if attempts.made % ATTEMPTS_BEFORE_MOVE == 0:
-            self._link.leave()
-        return attempts.begin_next(pauses=refusal.code != Draining.code)
+        if attempts.attempt_count % MAX_ATTEMPTS_PER_HOST == 0:
+            self._link.switch_host()
+        return attempts.wait_for_next(
+            has_backoff=refusal.code != Draining.code
+        )
 
-    def _begin_attempts(self) -> Attempts:
+    def _make_attempts(self) -> Attempts:
         return Attempts(self._policy, self._timer, self._rng)
 
 
@@ -301,29 +305,29 @@
     return LookUp(req.request_id, req.work_class, req.database, req.token)
 
 
-def _may_repeat(refusal: Refusal, is_uncertain: bool) -> bool:
-    if _is_unknown(refusal):
+def _is_retryable(refusal: Refusal, is_uncertain: bool) -> bool:
+    if _is_outcome_unknown(refusal):
         return True
     if refusal.code == Overloaded.code:
         return is_uncertain
     return refusal.is_repeatable
 
 
-def _is_uncertain(refusal: Refusal, was_uncertain: bool) -> bool:
-    if _is_unknown(refusal):
+def _is_still_uncertain(refusal: Refusal, was_uncertain: bool) -> bool:
+    if _is_outcome_unknown(refusal):
         return True
-    return was_uncertain and refusal.code not in _SETTLING_CODES
+    return was_uncertain and refusal.code not in _CONCLUSIVE_CODES
 
 
-def _is_unknown(refusal: Refusal) -> bool:
-    return read_run_state(refusal) is RunState.UNKNOWN
+def _is_outcome_unknown(refusal: Refusal) -> bool:
+    return parse_run_state(refusal) is RunState.UNKNOWN
 
 
 def _has_code(reply: Result[Any, Refusal], code: str) -> bool:
     return not isinstance(reply, Success) and reply.failure().code == code
 
 
-def _tell_truly(refusal: Refusal, is_uncertain: bool) -> Refusal:
+def _final_refusal(refusal: Refusal, is_uncertain: bool) -> Refusal:
     if not is_uncertain or refusal.code == OutcomeUnknown.code:
         return refusal
     return to_refusal(OutcomeUnknown(f'last refusal: {refusal.code}'))
--- a/packages/client/src/trefoilpulley_client/retry.py
+++ b/packages/client/src/trefoilpulley_client/retry.py
@@ -54,22 +54,22 @@
         self._policy = policy
         self._timer = timer
         self._rng = rng
-        self._ends_at = timer.now() + policy.deadline_s
-        self.made = 1
+        self._deadline = timer.now() + policy.deadline_s
+        self.attempt_count = 1
         """Number of attempts so far, including the current one."""
 
     @property
     def timeout_s(self) -> float:
         """Maximum time to wait for the current attempt, in seconds."""
-        left = self._ends_at - self._timer.now()
-        return max(0.0, min(left, self._policy.attempt_timeout_s))
+        remaining_s = self._deadline - self._timer.now()
+        return max(0.0, min(remaining_s, self._policy.attempt_timeout_s))
 
-    def begin_next(self, pauses: bool = True) -> bool:
+    def wait_for_next(self, has_backoff: bool = True) -> bool:
         """Wait until the next attempt may start.
 
         Parameters
         ----------
-        pauses : bool
+        has_backoff : bool
             Whether to wait before the attempt.
 
         Returns
@@ -78,19 +78,19 @@
             Whether another attempt may be made; false if the number of
             attempts or the deadline is exhausted.
         """
-        if self.made >= self._policy.attempts:
+        if self.attempt_count >= self._policy.attempts:
             return False
-        pause_s = self._draw_pause() if pauses else 0.0
-        if self._timer.now() + pause_s >= self._ends_at:
+        backoff_s = self._draw_backoff_s() if has_backoff else 0.0
+        if self._timer.now() + backoff_s >= self._deadline:
             return False
-        self.made += 1
-        if pause_s:
-            self._timer.sleep(pause_s)
+        self.attempt_count += 1
+        if backoff_s:
+            self._timer.sleep(backoff_s)
         return True
 
-    def _draw_pause(self) -> float:
-        longest = min(
-            self._policy.first_backoff_s * 2 ** (self.made - 1),
+    def _draw_backoff_s(self) -> float:
+        max_backoff_s = min(
+            self._policy.first_backoff_s * 2 ** (self.attempt_count - 1),
             self._policy.longest_backoff_s,
         )
-        return longest * self._rng.uniform(0.5, 1.0)
+        return max_backoff_s * self._rng.uniform(0.5, 1.0)
--- a/packages/client/src/trefoilpulley_client/transaction.py
+++ b/packages/client/src/trefoilpulley_client/transaction.py
@@ -17,13 +17,13 @@
 from trefoilpulley_core.failure import TransactionLost
 
 if TYPE_CHECKING:
+    from trefoilpulley_client.requester import FailedRequest
     from trefoilpulley_client.requester import Requester
-    from trefoilpulley_client.requester import Unanswered
     from trefoilpulley_client.target import Target
     from trefoilpulley_core.caller import Answer
     from trefoilpulley_core.upstream import Parameter
 
-_SURVIVED_CODES = frozenset(
+_NON_FATAL_CODES = frozenset(
     (MessageTooLarge.code, ResultTooLarge.code, StatementFailed.code)
 )
 """Refusals of a statement that leave its transaction open."""
@@ -66,7 +66,7 @@
 
     def run(
         self, sql: str, parameters: tuple[Parameter, ...]
-    ) -> Result[Answer, Unanswered]:
+    ) -> Result[Answer, FailedRequest]:
         """Run a statement in the transaction."""
         req = Execute(
             self._requester.make_request_id(),
@@ -79,10 +79,10 @@
         )
         reply = self._requester.run(self._incarnation, req)
         if not isinstance(reply, Success):
-            self._on_refused(reply.failure().refusal.code, _SURVIVED_CODES)
+            self._on_refused(reply.failure().refusal.code, _NON_FATAL_CODES)
         return reply
 
-    def commit(self, request_id: str) -> Result[Answer, Unanswered]:
+    def commit(self, request_id: str) -> Result[Answer, FailedRequest]:
         """Commit; the outcome can be looked up under the request id."""
         req = Commit(self._id, request_id, self._token)
         look_up = LookUp(
@@ -101,8 +101,8 @@
         if not self.is_lost:
             self._requester.roll_back(self._incarnation, self._id)
 
-    def _on_refused(self, code: str, survived: frozenset[str]) -> None:
-        if code in survived:
+    def _on_refused(self, code: str, non_fatal_codes: frozenset[str]) -> None:
+        if code in non_fatal_codes:
             return
         if code != TransactionLost.code:
             self.roll_back()
@@ -111,7 +111,7 @@
 
 def begin_transaction(
     requester: Requester, target: Target, token: bytes
-) -> Result[Transaction, Unanswered]:
+) -> Result[Transaction, FailedRequest]:
     """Begin a transaction on the current host."""
     req = Begin(target.work_class, target.database, token)
     begun = requester.begin(req)
--- a/packages/client/src/trefoilpulley_client/type_objects.py
+++ b/packages/client/src/trefoilpulley_client/type_objects.py
@@ -48,8 +48,8 @@
 
 def TimeFromTicks(ticks: float) -> str:
     """Return the local time of day of a Unix timestamp in ISO 8601 format."""
-    moment = datetime.datetime.fromtimestamp(int(ticks))
-    return moment.time().isoformat()
+    local_time = datetime.datetime.fromtimestamp(int(ticks))
+    return local_time.time().isoformat()
 
 
 def TimestampFromTicks(ticks: float) -> str:
--- a/packages/client/src/trefoilpulley_client/websocket_transport.py
+++ b/packages/client/src/trefoilpulley_client/websocket_transport.py
@@ -25,7 +25,7 @@
 
     from trefoilpulley_core.catalog import Endpoint
 
-ANSWER_LIMIT_BYTES = 16 << 20
+MAX_ANSWER_BYTES = 16 << 20
 """Maximum size of an answer; a larger answer closes the connection."""
 
 CLOSE_TIMEOUT_S = 0.2
@@ -57,7 +57,7 @@
                 close_timeout=CLOSE_TIMEOUT_S,
                 ping_interval=None,
                 compression=None,
-                max_size=ANSWER_LIMIT_BYTES,
+                max_size=MAX_ANSWER_BYTES,
                 proxy=None,
             )
         except (OSError, WebSocketException) as exc:
@@ -86,13 +86,13 @@
             data = self._conn.recv(timeout=timeout_s, decode=False)
         except (OSError, WebSocketException) as exc:
             return self._fail(PeerUnreachable(type(exc).__name__))
-        return self._take(data)
+        return self._decode_answer(data)
 
     def close(self) -> None:
         """Close the connection."""
         self._conn.close()
 
-    def _take(self, data: bytes) -> Result[Any, Failure]:
+    def _decode_answer(self, data: bytes) -> Result[Any, Failure]:
         decoded = CALLER_CODEC.decode(data)
         if not isinstance(decoded, Success):
             return self._fail(PeerUnreachable('answer could not be decoded'))
