--- a/packages/cli/src/trefoilpulley_cli/__init__.py
+++ b/packages/cli/src/trefoilpulley_cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line of the proxy."""
+"""Command line interface of trefoilpulley."""
--- a/packages/cli/src/trefoilpulley_cli/apply.py
+++ b/packages/cli/src/trefoilpulley_cli/apply.py
@@ -1,4 +1,4 @@
-"""Command ``apply``."""
+"""Command ``apply``, which replaces the declarations."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 @click.option(
     '--expect-revision',
     type=click.IntRange(min=0),
-    help='Refuse where another revision is in force.',
+    help='Refuse the change unless this revision is in force.',
 )
 @change_id_option
 @json_option
@@ -44,7 +44,7 @@
 ) -> None:
     """Put the declarations in the file PATH in force.
 
-    A file without "stops" leaves the planned stops as they are.
+    A file without the key "stops" leaves the planned stops unchanged.
     """
     reporter = Reporter(is_json)
     text = read_text(path)
--- a/packages/cli/src/trefoilpulley_cli/change.py
+++ b/packages/cli/src/trefoilpulley_cli/change.py
@@ -1,4 +1,4 @@
-"""Changes the declarations and tells truly what became of the change."""
+"""Changes of the declarations, with a reliable report of the outcome."""
 
 from __future__ import annotations
 
@@ -34,22 +34,22 @@
 change_id_option = click.option(
     '--change-id',
     default='',
-    help='Identifier of a change whose outcome stayed unknown.',
+    help='Identifier of an earlier change whose outcome is unknown.',
 )
-"""Option of every command that changes the declarations."""
+"""Option ``--change-id`` of the commands that change the declarations."""
 
 
 class DeclarationsChange:
-    """One change of the declarations.
+    """Change of the declarations.
 
     Parameters
     ----------
     invocation : Invocation
-        What the command was started with.
+        Settings and services of the command.
     reporter : Reporter
         Prints the outcome.
     change_id : str
-        Identifier of an earlier attempt; empty for a new change.
+        Identifier of an earlier attempt to repeat; empty for a new change.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._reporter = reporter
         rng = invocation.outside.make_rng()
         self.is_resubmitted = bool(change_id)
-        """Whether an earlier attempt may have taken effect."""
+        """Whether the change repeats an attempt that may have succeeded."""
 
         self._change_id = change_id or f'{rng.getrandbits(128):032x}'
 
@@ -69,15 +69,15 @@
         edit: Callable[[Declarations], Declarations],
         expected_revision: int | None = None,
     ) -> None:
-        """Edit the declarations in force and put the result in force.
+        """Edit the declarations in force and submit the result.
 
         Parameters
         ----------
         edit : Callable[[Declarations], Declarations]
-            Returns the new declarations.
+            Function from the current to the new declarations.
         expected_revision : int, optional
-            Revision that the change must replace; the one that the edit
-            has seen where left out.
+            Revision that the change must replace; by default the revision
+            that ``edit`` was applied to.
         """
         stored = self._read().configuration
         edited = edit(stored.declarations)
@@ -126,7 +126,9 @@
     def _is_unknown(self, failure: Failure) -> bool:
         if isinstance(failure, ChangeUnknown):
             return True
-        # Only what the service answered settles an earlier attempt.
+        # After an earlier attempt, only a conflict that the platform reports
+        # proves that the change is not in force. Any other failure concerns
+        # this attempt alone.
         return self.is_resubmitted and not isinstance(failure, ChangeConflict)
 
     def _describe(self, outcome: str) -> dict[str, Any]:
@@ -134,7 +136,13 @@
 
 
 def read_ledgers(platform: Platform) -> frozenset[str] | None:
-    """Return the ledgers and databases of the platform, or ``None``."""
+    """Return the names of all ledgers and databases on the platform.
+
+    Returns
+    -------
+    frozenset[str] or None
+        The names, or ``None`` if they cannot be read.
+    """
     found = platform.get(CATALOG_DATABASES_KEY).value_or(None)
     if found is None:
         return None
--- a/packages/cli/src/trefoilpulley_cli/check.py
+++ b/packages/cli/src/trefoilpulley_cli/check.py
@@ -1,4 +1,4 @@
-"""Command ``check``."""
+"""Command ``check``, which validates a file of declarations."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def read_text(path: Path) -> str:
-    """Return the text of a file, or end the command."""
+    """Return the text of a file, or exit with a usage error."""
     try:
         return path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
--- a/packages/cli/src/trefoilpulley_cli/execute.py
+++ b/packages/cli/src/trefoilpulley_cli/execute.py
@@ -1,4 +1,4 @@
-"""Command ``exec``."""
+"""Command ``exec``, which runs one statement."""
 
 from __future__ import annotations
 
@@ -28,18 +28,20 @@
 @click.command('exec')
 @click.argument('sql')
 @click.option('--class', 'work_class', required=True, help='Class of work.')
-@click.option('--database', default='', help="Database; the settings' if not.")
+@click.option(
+    '--database', default='', help='Database; default from the settings.'
+)
 @click.option(
     '--parameters', default='[]', help='JSON list of the parameters.'
 )
 @click.option(
-    '--request-id', default='', help='Identifier to repeat a request by.'
+    '--request-id', default='', help='Identifier to repeat a request with.'
 )
 @click.option(
     '--session',
     'session_path',
     type=click.Path(dir_okay=False, path_type=Path),
-    help='File that keeps the session token from one call to the next.',
+    help='File that keeps the session token between two calls.',
 )
 @json_option
 @pass_invocation
@@ -53,7 +55,7 @@
     session_path: Path | None,
     is_json: bool,
 ) -> None:
-    """Run the statement SQL on its own."""
+    """Run the statement SQL outside a transaction."""
     reporter = Reporter(is_json)
     values = _read_parameters(parameters)
     cfg = invocation.load_settings()
@@ -99,7 +101,7 @@
     except ValueError as exc:
         raise click.UsageError(f'--parameters: {exc}') from exc
     if not isinstance(values, list):
-        raise click.UsageError('--parameters: a JSON list is expected')
+        raise click.UsageError('--parameters: expected a JSON list')
     return values
 
 
@@ -107,7 +109,7 @@
     if path is None:
         return b''
     if not path.parent.is_dir():
-        raise click.UsageError(f'--session: {path.parent} is no directory')
+        raise click.UsageError(f'--session: {path.parent} is not a directory')
     if not path.exists():
         return b''
     return path.read_bytes()
--- a/packages/cli/src/trefoilpulley_cli/explain.py
+++ b/packages/cli/src/trefoilpulley_cli/explain.py
@@ -1,4 +1,4 @@
-"""Command ``explain``."""
+"""Command ``explain``, which traces one request in log files."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 @click.argument('files', nargs=-1, required=True, type=click.File('r'))
 @json_option
 def explain(request: str, files: tuple[TextIO, ...], is_json: bool) -> None:
-    """Tell what became of REQUEST from the hosts' log FILES."""
+    """Show what happened to REQUEST according to the hosts' log FILES."""
     records = [
         record
         for file in files
--- a/packages/cli/src/trefoilpulley_cli/in_force.py
+++ b/packages/cli/src/trefoilpulley_cli/in_force.py
@@ -1,4 +1,4 @@
-"""Reads the declarations in force."""
+"""Reading of the declarations in force."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_in_force(invocation: Invocation, reporter: Reporter) -> Configuration:
-    """Return the configuration in force, or end the command."""
+    """Return the configuration in force, or exit with the failure."""
     read = read_configuration(invocation.open_platform())
     if not isinstance(read, Success):
         reporter.refuse_failure(read.failure())
--- a/packages/cli/src/trefoilpulley_cli/invocation.py
+++ b/packages/cli/src/trefoilpulley_cli/invocation.py
@@ -1,4 +1,4 @@
-"""What the command was started with."""
+"""Settings and services of a command."""
 
 from __future__ import annotations
 
@@ -20,20 +20,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Invocation:
-    """One start of the command."""
+    """Settings file and services of one run of the command line."""
 
     outside: Outside
-    """Ways to the platform's service and the entry hosts."""
+    """Factory of the clients for the platform and the entry hosts."""
 
     settings_path: Path | None
-    """Settings file, where one is named."""
+    """Path of the settings file, or ``None`` if none was given."""
 
     def load_settings(self) -> OperatorSettings:
-        """Return the settings, or end the command with their faults."""
+        """Return the settings, or exit with their faults as a usage error."""
         if self.settings_path is None:
             raise click.UsageError(
-                'name a settings file with --settings or '
-                'TREFOILPULLEY_SETTINGS'
+                'set a settings file with --settings or TREFOILPULLEY_SETTINGS'
             )
         loaded = load_settings(self.settings_path)
         if isinstance(loaded, Success):
@@ -43,14 +42,14 @@
         raise click.UsageError('settings: ' + '; '.join(faults))
 
     def open_platform(self) -> Platform:
-        """Return a client of the platform's service."""
+        """Return a client of the platform's key-value service."""
         cfg = self.load_settings()
         if cfg.platform is None:
             raise click.UsageError('settings: $.platform is required')
         return self.outside.open_platform(cfg.platform)
 
     def make_dialer(self, cfg: OperatorSettings) -> Dialer:
-        """Return a dialer of entry hosts."""
+        """Return a dialer for entry hosts."""
         if not cfg.hosts:
             raise click.UsageError('settings: $.hosts is required')
         try:
@@ -60,9 +59,9 @@
 
 
 pass_invocation = click.make_pass_decorator(Invocation)
-"""Gives a command its `Invocation`."""
+"""Decorator that passes the `Invocation` to a command."""
 
 json_option = click.option(
     '--json', 'is_json', is_flag=True, help='Print JSON.'
 )
-"""Option of every command that prints."""
+"""Option ``--json`` of the commands that print a report."""
--- a/packages/cli/src/trefoilpulley_cli/main.py
+++ b/packages/cli/src/trefoilpulley_cli/main.py
@@ -1,4 +1,4 @@
-"""Command ``trefoilpulley``: the operators' and callers' command line."""
+"""Command ``trefoilpulley`` for operators and callers."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 )
 @click.pass_context
 def main(ctx: click.Context, path: Path | None) -> None:
-    """Declare targets, plan stops, look at hosts and run statements.
+    """Declare targets, plan stops, inspect hosts and run statements.
 
-    Exit codes: 0 done, 1 refused or failed, 2 wrong usage or settings.
+    Exit codes: 0 success, 1 refused or failed, 2 invalid usage or settings.
     """
     ctx.obj = Invocation(ctx.obj or Network(), path)
 
--- a/packages/cli/src/trefoilpulley_cli/outside.py
+++ b/packages/cli/src/trefoilpulley_cli/outside.py
@@ -1,4 +1,4 @@
-"""What the commands reach outside of their process."""
+"""Services outside the process that the commands use."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class Outside(abc.ABC):
-    """Ways to the platform's service and the entry hosts."""
+    """Factory of clients for external services, replaceable in tests."""
 
     @abc.abstractmethod
     def open_platform(self, endpoint: Endpoint) -> Platform:
-        """Return a client of the platform's service."""
+        """Return a client of the platform's key-value service."""
 
     @abc.abstractmethod
     def make_dialer(self, cfg: OperatorSettings) -> Dialer:
-        """Return a dialer of entry hosts."""
+        """Return a dialer for entry hosts."""
 
     @abc.abstractmethod
     def make_timer(self) -> Timer:
@@ -37,25 +37,25 @@
 
     @abc.abstractmethod
     def make_rng(self) -> random.Random:
-        """Return a source of identifiers and of the pauses' spread."""
+        """Return the random source of identifiers and retry delays."""
 
 
 class Network(Outside):
-    """The network that the process runs in."""
+    """Real services, reached over the network."""
 
     def open_platform(self, endpoint: Endpoint) -> Platform:
-        """Return a client over etcd's JSON gateway."""
+        """Return a client that uses the JSON gateway of etcd."""
         url = f'http://{endpoint.address}:{endpoint.port}'
         return EtcdPlatform(EtcdGateway(url))
 
     def make_dialer(self, cfg: OperatorSettings) -> Dialer:
-        """Return a dialer of WebSocket connections."""
+        """Return a dialer for WebSocket connections."""
         return WebSocketDialer(make_tls_context(cfg.tls))
 
     def make_timer(self) -> Timer:
-        """Return the system's time."""
+        """Return the system clock."""
         return SystemTimer()
 
     def make_rng(self) -> random.Random:
-        """Return the system's source of randomness."""
+        """Return the operating system's random source."""
         return random.SystemRandom()
--- a/packages/cli/src/trefoilpulley_cli/report.py
+++ b/packages/cli/src/trefoilpulley_cli/report.py
@@ -1,4 +1,4 @@
-"""Prints what commands found, for people or for programs."""
+"""Output of the commands as text or JSON."""
 
 from __future__ import annotations
 
@@ -19,32 +19,40 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes of the command."""
+    """Exit codes of the command line."""
 
     DONE = 0
-    """Done."""
+    """The command succeeded."""
 
     REFUSED = 1
-    """Refused or failed."""
+    """The command was refused or failed."""
 
     USAGE = 2
-    """Wrong usage or settings."""
+    """The usage or the settings are invalid."""
 
 
 class Reporter:
-    """Prints the report of one command.
+    """Print the report of one command.
 
     Parameters
     ----------
     is_json : bool
-        Whether a program reads the report.
+        Whether to print JSON instead of text.
     """
 
     def __init__(self, is_json: bool) -> None:
         self._is_json = is_json
 
     def print(self, document: Any, lines: Iterable[str]) -> None:
-        """Print a document, or its lines for a person."""
+        """Print the result of a command.
+
+        Parameters
+        ----------
+        document : Any
+            Result, printed as JSON.
+        lines : Iterable[str]
+            Result as text, printed otherwise.
+        """
         if self._is_json:
             click.echo(json.dumps(document, indent=2, default=_encode))
             return
@@ -52,7 +60,15 @@
             click.echo(line)
 
     def refuse(self, document: Any, lines: Iterable[str]) -> NoReturn:
-        """Print why a command was refused or failed, and end it."""
+        """Print the error of a command and exit with `ExitCode.REFUSED`.
+
+        Parameters
+        ----------
+        document : Any
+            Error, printed as JSON to standard output.
+        lines : Iterable[str]
+            Error as text, printed to standard error otherwise.
+        """
         if self._is_json:
             click.echo(json.dumps(document, indent=2, default=_encode))
         else:
@@ -61,12 +77,12 @@
         sys.exit(ExitCode.REFUSED)
 
     def refuse_failure(self, failure: Failure) -> NoReturn:
-        """Print a typed failure, and end the command."""
+        """Print a failure and exit."""
         document = describe_failure(failure)
         self.refuse({'failure': document}, [format_failure(failure)])
 
     def refuse_faults(self, faults: tuple[Fault, ...]) -> NoReturn:
-        """Print the faults of declarations, and end the command."""
+        """Print the faults of declarations and exit."""
         document = [
             {'path': f.path, 'code': f.code.value, 'detail': f.detail}
             for f in faults
@@ -76,7 +92,7 @@
 
 
 def describe_failure(failure: Failure) -> dict[str, Any]:
-    """Return the JSON object of a failure."""
+    """Return a failure as a JSON object."""
     return {
         'code': failure.code,
         'run_state': failure.run_state.value,
@@ -86,7 +102,7 @@
 
 
 def format_failure(failure: Failure) -> str:
-    """Return the line of a failure."""
+    """Return a failure as one line of text."""
     detail = f': {failure.detail}' if failure.detail else ''
     return f'{failure.code} ({failure.run_state.value}){detail}'
 
--- a/packages/cli/src/trefoilpulley_cli/settings.py
+++ b/packages/cli/src/trefoilpulley_cli/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an operator or caller at the command line."""
+"""Settings of the command line."""
 
 from __future__ import annotations
 
@@ -19,62 +19,68 @@
 
 @dataclass(frozen=True, slots=True)
 class HostAddress:
-    """Entry host and its address for callers."""
+    """Name and address of an entry host."""
 
     name: str
     """Name of the host."""
 
     endpoint: Endpoint
-    """Address for callers."""
+    """Address on which the host accepts callers."""
 
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """Certificates towards the entry hosts."""
+    """Certificate files of the TLS connections to entry hosts."""
 
     authorities: str
-    """Path of the authorities that sign the hosts' certificates, PEM."""
+    """Path of the CA certificates in PEM format that verify the hosts."""
 
     certificate: str = ''
-    """Path of the own certificate chain, PEM; empty for none."""
+    """Path of the client's certificate chain in PEM format; empty for none."""
 
     key: str = ''
-    """Path of the own private key, PEM; empty for none."""
+    """Path of the client's private key in PEM format; empty for none."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """Where the deployment is, and by which secrets it is used."""
+    """Addresses of a deployment and the secrets to use it."""
 
     platform: Endpoint | None = None
     """Address of the platform's key-value service."""
 
     hosts: tuple[HostAddress, ...] = ()
-    """Entry hosts."""
+    """Entry hosts of the deployment."""
 
     operator_secret: str = ''
-    """Secret of the operators, for state dumps."""
+    """Secret of the operators, required for state dumps."""
 
     tenant: str = ''
-    """Tenant whose statements are run."""
+    """Tenant on whose behalf statements run."""
 
     secret: str = ''
     """Secret of the tenant."""
 
     database: str = ''
-    """Database of the statements."""
+    """Default database of statements."""
 
     tls: TlsFiles | None = None
-    """Certificates; plain TCP without them."""
+    """Certificate files; plain TCP if omitted."""
 
 
 def load_settings(path: Path) -> Result[OperatorSettings, Failure]:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     return read_settings(path, OperatorSettings)
 
 
 def make_tls_context(tls: TlsFiles | None) -> ssl.SSLContext | None:
-    """Return the client context of the certificates, if there are any."""
+    """Return a TLS client context, or ``None`` without certificate files.
+
+    Raises
+    ------
+    OSError
+        If a file cannot be read or is invalid.
+    """
     if tls is None:
         return None
     context = ssl.create_default_context(cafile=tls.authorities)
--- a/packages/cli/src/trefoilpulley_cli/show.py
+++ b/packages/cli/src/trefoilpulley_cli/show.py
@@ -1,4 +1,4 @@
-"""Command ``show``."""
+"""Command ``show``, which prints the declarations in force."""
 
 from __future__ import annotations
 
--- a/packages/cli/src/trefoilpulley_cli/state.py
+++ b/packages/cli/src/trefoilpulley_cli/state.py
@@ -1,4 +1,4 @@
-"""Command ``state``."""
+"""Command ``state``, which prints the state dumps of hosts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     from trefoilpulley_client.transport import Dialer
 
 TIMEOUT_S = 3.0
-"""Longest wait for a connection, and for its answer, in seconds."""
+"""Maximum time to connect, and to wait for the state dump, in seconds."""
 
 
 @click.command()
@@ -35,7 +35,7 @@
 @json_option
 @pass_invocation
 def state(invocation: Invocation, host: str | None, is_json: bool) -> None:
-    """Show the state of HOST, or of every host of the settings."""
+    """Show the state of HOST, or of all hosts in the settings."""
     cfg = invocation.load_settings()
     dialer = invocation.make_dialer(cfg)
     chosen = _choose_hosts(cfg, host)
@@ -54,7 +54,7 @@
 ) -> tuple[HostAddress, ...]:
     chosen = tuple(h for h in cfg.hosts if name in (None, h.name))
     if not chosen:
-        raise click.UsageError('the settings have no such host')
+        raise click.UsageError('the settings contain no such host')
     return chosen
 
 
@@ -77,7 +77,7 @@
         return Success(message.state)
     if isinstance(message, Refusal):
         return Failed(message)
-    return Failed(to_refusal(MalformedMessage('not a state dump')))
+    return Failed(to_refusal(MalformedMessage('answer is not a state dump')))
 
 
 def _describe(reply: Result[dict[str, Any], Refusal]) -> dict[str, Any]:
--- a/packages/cli/src/trefoilpulley_cli/stop.py
+++ b/packages/cli/src/trefoilpulley_cli/stop.py
@@ -1,4 +1,8 @@
-"""Commands ``stop plan``, ``stop list`` and ``stop cancel``."""
+"""Commands ``stop plan``, ``stop list`` and ``stop cancel``.
+
+A planned stop takes the members of one ledger in one availability zone out of
+use, without interrupting requests.
+"""
 
 from __future__ import annotations
 
@@ -42,13 +46,19 @@
 
 @click.group()
 def stop() -> None:
-    """Plan stops of the upstreams of an availability zone."""
+    """Plan stops of the upstreams in an availability zone."""
 
 
 @stop.command('plan')
 @click.argument('name')
-@click.option('--ledger', required=True, help='Ledger whose members stop.')
-@click.option('--zone', required=True, help='Availability zone that stops.')
+@click.option(
+    '--ledger', required=True, help='Ledger whose members are stopped.'
+)
+@click.option(
+    '--zone',
+    required=True,
+    help='Availability zone in which members are stopped.',
+)
 @change_id_option
 @json_option
 @pass_invocation
@@ -60,7 +70,7 @@
     change_id: str,
     is_json: bool,
 ) -> None:
-    """Plan the stop NAME; work moves away and no request is cut."""
+    """Plan the stop NAME; work moves to other members without interruption."""
     reporter = Reporter(is_json)
     planned = PlannedStop(name, ledger, zone)
 
@@ -77,7 +87,7 @@
 @json_option
 @pass_invocation
 def list_stops(invocation: Invocation, is_json: bool) -> None:
-    """Show the planned stops in force."""
+    """List the planned stops."""
     reporter = Reporter(is_json)
     configuration = read_in_force(invocation, reporter)
     stops = configuration.declarations.stops
@@ -98,13 +108,14 @@
 def cancel_stop(
     invocation: Invocation, name: str, change_id: str, is_json: bool
 ) -> None:
-    """Cancel the stop NAME; its upstreams take work again."""
+    """Cancel the stop NAME; its upstreams receive work again."""
     reporter = Reporter(is_json)
     change = DeclarationsChange(invocation, reporter, change_id)
 
     def edit(current: Declarations) -> Declarations:
         others = tuple(s for s in current.stops if s.name != name)
-        # An earlier attempt may have cancelled the stop already.
+        # An unknown name is no error if an earlier attempt of this change may
+        # already have cancelled the stop.
         if len(others) == len(current.stops) and not change.is_resubmitted:
             reporter.refuse_failure(UnknownStop(name))
         return replace(current, stops=others)
--- a/packages/cli/src/trefoilpulley_cli/story.py
+++ b/packages/cli/src/trefoilpulley_cli/story.py
@@ -1,4 +1,4 @@
-"""Story of one request from the log files of the hosts."""
+"""Reconstruction of one request from the log files of the hosts."""
 
 from __future__ import annotations
 
@@ -11,10 +11,13 @@
     from collections.abc import Iterable
 
 BEFORE_S = 3.0
-"""Time before a request in which changes may have caused its end."""
+"""Time before a request whose events may explain its outcome, in seconds."""
 
 AFTER_S = 1.0
-"""Time after a request in which its cause may have been logged."""
+"""Time after a request whose events may explain its outcome, in seconds.
+
+A host may log the cause of an outcome after the outcome itself.
+"""
 
 GROUP_EVENTS = frozenset(
     (
@@ -29,7 +32,7 @@
         'promotion-ordered',
     )
 )
-"""Events that change what a host believes of a group."""
+"""Events that change a host's view of the members of a group."""
 
 HOST_EVENTS = frozenset(
     (
@@ -42,7 +45,7 @@
         'routes-in-force',
     )
 )
-"""Events that change what a host can do."""
+"""Events that change what requests a host can serve."""
 
 _LEFT_OUT = frozenset(
     ('event', 'host', 'message_type', 'task_level', 'task_uuid', 'timestamp')
@@ -51,47 +54,52 @@
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One line of a log."""
+    """Event from one line of a log."""
 
     at: float
-    """Time of day on the host, in seconds."""
+    """Wall-clock time on the host, in seconds since the epoch."""
 
     host: str
-    """Host that wrote the line."""
+    """Name of the host that logged the event."""
 
     event: str
     """Name of the event."""
 
     fields: dict[str, Any]
-    """Its fields."""
+    """Fields of the event, except those of the log format."""
 
     @property
     def request(self) -> str:
-        """Identifier of the request, empty where it touches none."""
+        """Identifier of the request, or empty if the event concerns none."""
         return str(self.fields.get('request', ''))
 
     @property
     def group(self) -> str:
-        """Group that the line speaks of, empty where of none."""
+        """Name of the group, or empty if the event concerns none."""
         return str(self.fields.get('group') or '')
 
 
 @dataclass(frozen=True, slots=True)
 class Story:
-    """Lines that tell what became of a request, in their order."""
+    """Log records that explain the outcome of a request."""
 
     request: str
     """Identifier of the request."""
 
     records: tuple[LogRecord, ...]
-    """Lines of the request, and what its hosts believed."""
+    """Records of the request and of its context, sorted by time."""
 
 
 def read_record(line: str) -> LogRecord | None:
-    """Return the record in a line, or ``None`` where it has none.
+    """Parse one line of a log.
+
+    Text before the first brace is skipped, so that lines with a prefix of a
+    log collector can be read too.
 
-    What stands before the first brace is passed over, so that lines with
-    a collector's prefix can be read too.
+    Returns
+    -------
+    LogRecord or None
+        The record, or ``None`` if the line holds no event.
     """
     start = line.find('{')
     if start < 0:
@@ -109,10 +117,19 @@
 
 
 def tell_story(records: Iterable[LogRecord], request: str) -> Story:
-    """Return the lines on a request and on what decided its end.
-
-    Times of day of different hosts may differ; lines of one host are in
-    their true order.
+    """Select the records that explain the outcome of a request.
+
+    The selection contains the records of the request itself and the records
+    around that time, on the same hosts, of events that may explain the
+    outcome. The clocks of different hosts may differ, so that only the order
+    of records of the same host is reliable.
+
+    Parameters
+    ----------
+    records : Iterable[LogRecord]
+        Records of all hosts in any order.
+    request : str
+        Identifier of the request.
     """
     known = sorted(records, key=lambda r: r.at)
     own = [r for r in known if r.request == request]
--- a/packages/cli/src/trefoilpulley_cli/targets.py
+++ b/packages/cli/src/trefoilpulley_cli/targets.py
@@ -33,7 +33,7 @@
 
 @click.group()
 def targets() -> None:
-    """Look at the targets of classes of work, or change them."""
+    """Show or change the targets of classes of work."""
 
 
 @targets.command('get')
@@ -60,15 +60,19 @@
 
 @targets.command('set')
 @click.argument('name', metavar='CLASS')
-@click.option('--age-ms', type=int, help='Greatest age of the answers.')
+@click.option('--age-ms', type=int, help='Maximum age of the data in answers.')
 @click.option(
     '--freshness',
     type=click.Choice(_FRESHNESS_WORDS),
-    help="The session's own writes, or the primary's present.",
+    help="The session's own writes, or the primary's present state.",
+)
+@click.option('--within-ms', type=int, help='Time limit of an answer.')
+@click.option(
+    '--share', type=float, help='Share of answers within the time limit.'
+)
+@click.option(
+    '--copies', type=int, help='Number of members that hold a write.'
 )
-@click.option('--within-ms', type=int, help='Time until an answer is due.')
-@click.option('--share', type=float, help='Share of answers in time.')
-@click.option('--copies', type=int, help='Members that hold a write.')
 @click.option(
     '--repeatable/--not-repeatable',
     'is_repeatable',
@@ -85,7 +89,7 @@
     is_json: bool,
     **given: Any,
 ) -> None:
-    """Change targets of CLASS; those not given stay as they are."""
+    """Change targets of CLASS; targets that are not given are unchanged."""
     if all(value is None for value in given.values()):
         raise click.UsageError('name at least one target')
     if given['age_ms'] is not None and given['freshness'] is not None:
