--- a/packages/cli/src/trefoilpulley_cli/apply.py
+++ b/packages/cli/src/trefoilpulley_cli/apply.py
@@ -50,7 +50,7 @@
     text = read_text(path)
     checked = check_declarations(text)
     if not isinstance(checked, Success):
-        reporter.refuse_faults(checked.failure())
+        reporter.exit_with_faults(checked.failure())
     declared = checked.unwrap()
     keeps_stops = 'stops' not in json.loads(text)
 
--- a/packages/cli/src/trefoilpulley_cli/change.py
+++ b/packages/cli/src/trefoilpulley_cli/change.py
@@ -56,9 +56,9 @@
         self, invocation: Invocation, reporter: Reporter, change_id: str
     ) -> None:
         self._platform = invocation.open_platform()
-        self._timer = invocation.outside.make_timer()
+        self._timer = invocation.services.make_timer()
         self._reporter = reporter
-        rng = invocation.outside.make_rng()
+        rng = invocation.services.make_rng()
         self.is_resubmitted = bool(change_id)
         """Whether the change repeats an attempt that may have succeeded."""
 
@@ -79,12 +79,12 @@
             Revision that the change must replace; by default the revision
             that ``edit`` was applied to.
         """
-        stored = self._read().configuration
+        stored = self._read_stored().configuration
         edited = edit(stored.declarations)
-        ledgers = read_ledgers(self._platform)
+        ledgers = read_ledger_names(self._platform)
         checked = check_declarations(format_declarations(edited), ledgers)
         if not isinstance(checked, Success):
-            self._reporter.refuse_faults(checked.failure())
+            self._reporter.exit_with_faults(checked.failure())
         if expected_revision is None:
             expected_revision = stored.revision
         outcome = submit_change(
@@ -95,30 +95,30 @@
             self._timer.sleep,
         )
         if not isinstance(outcome, Success):
-            self._refuse(outcome.failure())
-        self._tell_applied(outcome.unwrap())
+            self._exit_with_failure(outcome.failure())
+        self._report_applied(outcome.unwrap())
 
-    def _read(self) -> StoredConfiguration:
+    def _read_stored(self) -> StoredConfiguration:
         found = read_configuration(self._platform)
         if isinstance(found, Success):
             return found.unwrap()
-        self._refuse(found.failure())
+        self._exit_with_failure(found.failure())
 
-    def _tell_applied(self, applied: Applied) -> None:
+    def _report_applied(self, applied: Applied) -> None:
         document = self._describe('applied')
         self._reporter.print(
             {**document, 'revision': applied.revision},
             [f'applied: revision {applied.revision}'],
         )
 
-    def _refuse(self, failure: Failure) -> NoReturn:
+    def _exit_with_failure(self, failure: Failure) -> NoReturn:
         is_unknown = self._is_unknown(failure)
         outcome = 'unknown' if is_unknown else 'not-applied'
         line = f'{outcome}: {format_failure(failure)}'
         if is_unknown:
             line += f'; ask again with --change-id {self._change_id}'
         document = self._describe(outcome)
-        self._reporter.refuse(
+        self._reporter.exit_with_error(
             {**document, 'failure': describe_failure(failure)},
             [line],
         )
@@ -135,7 +135,7 @@
         return {'outcome': outcome, 'change_id': self._change_id}
 
 
-def read_ledgers(platform: Platform) -> frozenset[str] | None:
+def read_ledger_names(platform: Platform) -> frozenset[str] | None:
     """Return the names of all ledgers and databases on the platform.
 
     Returns
--- a/packages/cli/src/trefoilpulley_cli/check.py
+++ b/packages/cli/src/trefoilpulley_cli/check.py
@@ -22,7 +22,7 @@
     reporter = Reporter(is_json)
     checked = check_declarations(read_text(path))
     if not isinstance(checked, Success):
-        reporter.refuse_faults(checked.failure())
+        reporter.exit_with_faults(checked.failure())
     declarations = checked.unwrap()
     counts = {
         'classes': len(declarations.classes),
--- a/packages/cli/src/trefoilpulley_cli/execute.py
+++ b/packages/cli/src/trefoilpulley_cli/execute.py
@@ -66,11 +66,11 @@
         ) as connection:
             cursor = connection.cursor()
             cursor.execute(sql, values, request_id=request_id)
-            _keep_token(session_path, connection.token)
+            _save_token(session_path, connection.token)
             document = _describe(cursor)
-            reporter.print(document, _format(document))
+            reporter.print(document, _format_lines(document))
     except Error as exc:
-        _refuse(reporter, exc)
+        _exit_with_error(reporter, exc)
 
 
 def _connect(
@@ -80,7 +80,7 @@
     database: str,
     token: bytes,
 ) -> Connection:
-    outside = invocation.outside
+    services = invocation.services
     return connect(
         [format_endpoint(h.endpoint) for h in cfg.hosts],
         cfg.tenant,
@@ -90,8 +90,8 @@
         token=token,
         autocommit=True,
         dialer=invocation.make_dialer(cfg),
-        timer=outside.make_timer(),
-        rng=outside.make_rng(),
+        timer=services.make_timer(),
+        rng=services.make_rng(),
     )
 
 
@@ -115,7 +115,7 @@
     return path.read_bytes()
 
 
-def _keep_token(path: Path | None, token: bytes) -> None:
+def _save_token(path: Path | None, token: bytes) -> None:
     if path is not None:
         path.write_bytes(token)
 
@@ -130,7 +130,7 @@
     }
 
 
-def _format(document: dict[str, Any]) -> Iterable[str]:
+def _format_lines(document: dict[str, Any]) -> Iterable[str]:
     if document['columns']:
         yield '\t'.join(document['columns'])
     for row in document['rows']:
@@ -141,7 +141,7 @@
     )
 
 
-def _refuse(reporter: Reporter, exc: Error) -> None:
+def _exit_with_error(reporter: Reporter, exc: Error) -> None:
     document = {
         'code': exc.code,
         'run_state': exc.run_state.value,
@@ -152,4 +152,4 @@
     line = f'{exc.code} ({exc.run_state.value}): {exc.detail}'
     if exc.request_id:
         line += f' [request id {exc.request_id}]'
-    reporter.refuse({'failure': document}, [line])
+    reporter.exit_with_error({'failure': document}, [line])
--- a/packages/cli/src/trefoilpulley_cli/explain.py
+++ b/packages/cli/src/trefoilpulley_cli/explain.py
@@ -10,8 +10,8 @@
 
 from trefoilpulley_cli.invocation import json_option
 from trefoilpulley_cli.report import Reporter
-from trefoilpulley_cli.story import read_record
-from trefoilpulley_cli.story import tell_story
+from trefoilpulley_cli.story import build_story
+from trefoilpulley_cli.story import parse_record
 
 if TYPE_CHECKING:
     from typing import TextIO
@@ -29,24 +29,28 @@
         record
         for file in files
         for line in file
-        if (record := read_record(line)) is not None
+        if (record := parse_record(line)) is not None
     ]
-    story = tell_story(records, request)
+    story = build_story(records, request)
     reporter = Reporter(is_json)
     document = asdict(story)
     if not story.records:
-        reporter.refuse(document, [f'no line names the request {request}'])
-    reporter.print(document, [_format(r, request) for r in story.records])
+        reporter.exit_with_error(
+            document, [f'no line names the request {request}']
+        )
+    reporter.print(
+        document, [_format_record(r, request) for r in story.records]
+    )
 
 
-def _format(record: LogRecord, request: str) -> str:
-    mark = '*' if record.request == request else ' '
+def _format_record(record: LogRecord, request: str) -> str:
+    marker = '*' if record.request == request else ' '
     fields = ' '.join(
         f'{name}={_format_value(value)}'
         for name, value in record.fields.items()
         if name != 'request' and value is not None
     )
-    return f'{mark} {record.at:.3f} {record.host} {record.event} {fields}'
+    return f'{marker} {record.at:.3f} {record.host} {record.event} {fields}'
 
 
 def _format_value(value: Any) -> str:
--- a/packages/cli/src/trefoilpulley_cli/in_force.py
+++ b/packages/cli/src/trefoilpulley_cli/in_force.py
@@ -18,5 +18,5 @@
     """Return the configuration in force, or exit with the failure."""
     read = read_configuration(invocation.open_platform())
     if not isinstance(read, Success):
-        reporter.refuse_failure(read.failure())
+        reporter.exit_with_failure(read.failure())
     return read.unwrap().configuration
--- a/packages/cli/src/trefoilpulley_cli/invocation.py
+++ b/packages/cli/src/trefoilpulley_cli/invocation.py
@@ -9,7 +9,7 @@
 import click
 from returns.result import Success
 
-from trefoilpulley_cli.outside import Outside
+from trefoilpulley_cli.outside import ServiceFactory
 from trefoilpulley_cli.settings import load_settings
 from trefoilpulley_cli.settings import OperatorSettings
 
@@ -22,7 +22,7 @@
 class Invocation:
     """Settings file and services of one run of the command line."""
 
-    outside: Outside
+    services: ServiceFactory
     """Factory of the clients for the platform and the entry hosts."""
 
     settings_path: Path | None
@@ -32,7 +32,8 @@
         """Return the settings, or exit with their faults as a usage error."""
         if self.settings_path is None:
             raise click.UsageError(
-                'set a settings file with --settings or TREFOILPULLEY_SETTINGS'
+                'specify a settings file with --settings or '
+                'TREFOILPULLEY_SETTINGS'
             )
         loaded = load_settings(self.settings_path)
         if isinstance(loaded, Success):
@@ -46,14 +47,14 @@
         cfg = self.load_settings()
         if cfg.platform is None:
             raise click.UsageError('settings: $.platform is required')
-        return self.outside.open_platform(cfg.platform)
+        return self.services.open_platform(cfg.platform)
 
     def make_dialer(self, cfg: OperatorSettings) -> Dialer:
         """Return a dialer for entry hosts."""
         if not cfg.hosts:
             raise click.UsageError('settings: $.hosts is required')
         try:
-            return self.outside.make_dialer(cfg)
+            return self.services.make_dialer(cfg)
         except OSError as exc:
             raise click.UsageError(f'settings: $.tls: {exc}') from exc
 
--- a/packages/cli/src/trefoilpulley_cli/main.py
+++ b/packages/cli/src/trefoilpulley_cli/main.py
@@ -11,7 +11,7 @@
 from trefoilpulley_cli.execute import execute
 from trefoilpulley_cli.explain import explain
 from trefoilpulley_cli.invocation import Invocation
-from trefoilpulley_cli.outside import Network
+from trefoilpulley_cli.outside import NetworkServiceFactory
 from trefoilpulley_cli.show import show
 from trefoilpulley_cli.state import state
 from trefoilpulley_cli.stop import stop
@@ -32,7 +32,7 @@
 
     Exit codes: 0 success, 1 refused or failed, 2 invalid usage or settings.
     """
-    ctx.obj = Invocation(ctx.obj or Network(), path)
+    ctx.obj = Invocation(ctx.obj or NetworkServiceFactory(), path)
 
 
 for command in (apply, check, execute, explain, show, state, stop, targets):
--- a/packages/cli/src/trefoilpulley_cli/outside.py
+++ b/packages/cli/src/trefoilpulley_cli/outside.py
@@ -20,7 +20,7 @@
     from trefoilpulley_core.platform import Platform
 
 
-class Outside(abc.ABC):
+class ServiceFactory(abc.ABC):
     """Factory of clients for external services, replaceable in tests."""
 
     @abc.abstractmethod
@@ -40,7 +40,7 @@
         """Return the random source of identifiers and retry delays."""
 
 
-class Network(Outside):
+class NetworkServiceFactory(ServiceFactory):
     """Real services, reached over the network."""
 
     def open_platform(self, endpoint: Endpoint) -> Platform:
--- a/packages/cli/src/trefoilpulley_cli/report.py
+++ b/packages/cli/src/trefoilpulley_cli/report.py
@@ -59,7 +59,7 @@
         for line in lines:
             click.echo(line)
 
-    def refuse(self, document: Any, lines: Iterable[str]) -> NoReturn:
+    def exit_with_error(self, document: Any, lines: Iterable[str]) -> NoReturn:
         """Print the error of a command and exit with `ExitCode.REFUSED`.
 
         Parameters
@@ -76,19 +76,19 @@
                 click.echo(line, err=True)
         sys.exit(ExitCode.REFUSED)
 
-    def refuse_failure(self, failure: Failure) -> NoReturn:
+    def exit_with_failure(self, failure: Failure) -> NoReturn:
         """Print a failure and exit."""
         document = describe_failure(failure)
-        self.refuse({'failure': document}, [format_failure(failure)])
+        self.exit_with_error({'failure': document}, [format_failure(failure)])
 
-    def refuse_faults(self, faults: tuple[Fault, ...]) -> NoReturn:
+    def exit_with_faults(self, faults: tuple[Fault, ...]) -> NoReturn:
         """Print the faults of declarations and exit."""
         document = [
             {'path': f.path, 'code': f.code.value, 'detail': f.detail}
             for f in faults
         ]
         lines = [f'{f.path}: {f.code.value}: {f.detail}' for f in faults]
-        self.refuse({'faults': document}, lines)
+        self.exit_with_error({'faults': document}, lines)
 
 
 def describe_failure(failure: Failure) -> dict[str, Any]:
--- a/packages/cli/src/trefoilpulley_cli/state.py
+++ b/packages/cli/src/trefoilpulley_cli/state.py
@@ -26,7 +26,7 @@
     from trefoilpulley_cli.settings import OperatorSettings
     from trefoilpulley_client.transport import Dialer
 
-TIMEOUT_S = 3.0
+STATE_TIMEOUT_S = 3.0
 """Maximum time to connect, and to wait for the state dump, in seconds."""
 
 
@@ -38,34 +38,36 @@
     """Show the state of HOST, or of all hosts in the settings."""
     cfg = invocation.load_settings()
     dialer = invocation.make_dialer(cfg)
-    chosen = _choose_hosts(cfg, host)
-    found = {h.name: _ask(h, cfg.operator_secret, dialer) for h in chosen}
-    document = {name: _describe(reply) for name, reply in found.items()}
-    lines = [_format(name, reply) for name, reply in found.items()]
+    selected = _choose_hosts(cfg, host)
+    replies = {
+        h.name: _fetch_state(h, cfg.operator_secret, dialer) for h in selected
+    }
+    document = {name: _describe(reply) for name, reply in replies.items()}
+    lines = [_format_reply(name, reply) for name, reply in replies.items()]
     reporter = Reporter(is_json)
-    if all(isinstance(reply, Success) for reply in found.values()):
+    if all(isinstance(reply, Success) for reply in replies.values()):
         reporter.print(document, lines)
     else:
-        reporter.refuse(document, lines)
+        reporter.exit_with_error(document, lines)
 
 
 def _choose_hosts(
     cfg: OperatorSettings, name: str | None
 ) -> tuple[HostAddress, ...]:
-    chosen = tuple(h for h in cfg.hosts if name in (None, h.name))
-    if not chosen:
+    selected = tuple(h for h in cfg.hosts if name in (None, h.name))
+    if not selected:
         raise click.UsageError('the settings contain no such host')
-    return chosen
+    return selected
 
 
-def _ask(
+def _fetch_state(
     host: HostAddress, secret: str, dialer: Dialer
 ) -> Result[dict[str, Any], Refusal]:
-    dialled = dialer.dial(host.endpoint, TIMEOUT_S)
+    dialled = dialer.dial(host.endpoint, STATE_TIMEOUT_S)
     if not isinstance(dialled, Success):
         return Failed(to_refusal(dialled.failure()))
     transport = dialled.unwrap()
-    reply = transport.call(GetState(secret), TIMEOUT_S)
+    reply = transport.call(GetState(secret), STATE_TIMEOUT_S)
     transport.close()
     if not isinstance(reply, Success):
         return Failed(to_refusal(reply.failure()))
@@ -87,7 +89,7 @@
     return {'failure': {'code': refusal.code, 'detail': refusal.detail}}
 
 
-def _format(name: str, reply: Result[dict[str, Any], Refusal]) -> str:
+def _format_reply(name: str, reply: Result[dict[str, Any], Refusal]) -> str:
     if isinstance(reply, Success):
         text = json.dumps(reply.unwrap(), indent=2, default=str)
         return f'{name}\n{text}'
--- a/packages/cli/src/trefoilpulley_cli/stop.py
+++ b/packages/cli/src/trefoilpulley_cli/stop.py
@@ -77,7 +77,7 @@
     def edit(current: Declarations) -> Declarations:
         others = tuple(s for s in current.stops if s != planned)
         if any(s.name == name for s in others):
-            reporter.refuse_failure(StopNameInUse(name))
+            reporter.exit_with_failure(StopNameInUse(name))
         return replace(current, stops=(*others, planned))
 
     DeclarationsChange(invocation, reporter, change_id).run(edit)
@@ -117,7 +117,7 @@
         # An unknown name is no error if an earlier attempt of this change may
         # already have cancelled the stop.
         if len(others) == len(current.stops) and not change.is_resubmitted:
-            reporter.refuse_failure(UnknownStop(name))
+            reporter.exit_with_failure(UnknownStop(name))
         return replace(current, stops=others)
 
     change.run(edit)
--- a/packages/cli/src/trefoilpulley_cli/story.py
+++ b/packages/cli/src/trefoilpulley_cli/story.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-BEFORE_S = 3.0
+CONTEXT_BEFORE_S = 3.0
 """Time before a request whose events may explain its outcome, in seconds."""
 
-AFTER_S = 1.0
+CONTEXT_AFTER_S = 1.0
 """Time after a request whose events may explain its outcome, in seconds.
 
 A host may log the cause of an outcome after the outcome itself.
@@ -47,7 +47,7 @@
 )
 """Events that change what requests a host can serve."""
 
-_LEFT_OUT = frozenset(
+_LOG_FORMAT_FIELDS = frozenset(
     ('event', 'host', 'message_type', 'task_level', 'task_uuid', 'timestamp')
 )
 
@@ -90,7 +90,7 @@
     """Records of the request and of its context, sorted by time."""
 
 
-def read_record(line: str) -> LogRecord | None:
+def parse_record(line: str) -> LogRecord | None:
     """Parse one line of a log.
 
     Text before the first brace is skipped, so that lines with a prefix of a
@@ -110,13 +110,13 @@
             float(fields['timestamp']),
             str(fields.get('host', '')),
             str(fields['event']),
-            {k: v for k, v in fields.items() if k not in _LEFT_OUT},
+            {k: v for k, v in fields.items() if k not in _LOG_FORMAT_FIELDS},
         )
     except (ValueError, KeyError, TypeError, AttributeError):
         return None
 
 
-def tell_story(records: Iterable[LogRecord], request: str) -> Story:
+def build_story(records: Iterable[LogRecord], request: str) -> Story:
     """Select the records that explain the outcome of a request.
 
     The selection contains the records of the request itself and the records
@@ -131,22 +131,22 @@
     request : str
         Identifier of the request.
     """
-    known = sorted(records, key=lambda r: r.at)
-    own = [r for r in known if r.request == request]
-    if not own:
+    ordered = sorted(records, key=lambda r: r.at)
+    own_records = [r for r in ordered if r.request == request]
+    if not own_records:
         return Story(request, ())
-    since = own[0].at - BEFORE_S
-    until = own[-1].at + AFTER_S
-    hosts = {r.host for r in own}
-    groups = {r.group for r in own if r.group}
+    start = own_records[0].at - CONTEXT_BEFORE_S
+    end = own_records[-1].at + CONTEXT_AFTER_S
+    hosts = {r.host for r in own_records}
+    groups = {r.group for r in own_records if r.group}
     return Story(
         request,
         tuple(
             r
-            for r in known
+            for r in ordered
             if r.request == request
             or (
-                since <= r.at <= until
+                start <= r.at <= end
                 and r.host in hosts
                 and _is_context(r, groups)
             )
--- a/packages/cli/src/trefoilpulley_cli/targets.py
+++ b/packages/cli/src/trefoilpulley_cli/targets.py
@@ -25,7 +25,7 @@
     from trefoilpulley_core.declarations import Declarations
     from trefoilpulley_core.declarations import WorkClass
 
-_FRESHNESS_WORDS = (
+_FRESHNESS_CHOICES = (
     FreshnessKind.SESSION.value,
     FreshnessKind.PRESENT.value,
 )
@@ -47,14 +47,14 @@
     reporter = Reporter(is_json)
     configuration = read_in_force(invocation, reporter)
     classes = configuration.declarations.classes
-    chosen = {
+    selected = {
         c.name: describe_class(c) for c in classes if name in (None, c.name)
     }
-    if name is not None and not chosen:
-        reporter.refuse_failure(UnknownClass(name))
+    if name is not None and not selected:
+        reporter.exit_with_failure(UnknownClass(name))
     reporter.print(
-        {'revision': configuration.revision, 'classes': chosen},
-        [f'{key}: {json.dumps(value)}' for key, value in chosen.items()],
+        {'revision': configuration.revision, 'classes': selected},
+        [f'{key}: {json.dumps(value)}' for key, value in selected.items()],
     )
 
 
@@ -63,7 +63,7 @@
 @click.option('--age-ms', type=int, help='Maximum age of the data in answers.')
 @click.option(
     '--freshness',
-    type=click.Choice(_FRESHNESS_WORDS),
+    type=click.Choice(_FRESHNESS_CHOICES),
     help="The session's own writes, or the primary's present state.",
 )
 @click.option('--within-ms', type=int, help='Time limit of an answer.')
@@ -87,20 +87,20 @@
     name: str,
     change_id: str,
     is_json: bool,
-    **given: Any,
+    **options: Any,
 ) -> None:
     """Change targets of CLASS; targets that are not given are unchanged."""
-    if all(value is None for value in given.values()):
+    if all(value is None for value in options.values()):
         raise click.UsageError('name at least one target')
-    if given['age_ms'] is not None and given['freshness'] is not None:
+    if options['age_ms'] is not None and options['freshness'] is not None:
         raise click.UsageError('--age-ms and --freshness exclude each other')
     reporter = Reporter(is_json)
 
     def edit(current: Declarations) -> Declarations:
         work_class = current.find_class(name)
         if work_class is None:
-            reporter.refuse_failure(UnknownClass(name))
-        changed = _change_class(work_class, **given)
+            reporter.exit_with_failure(UnknownClass(name))
+        changed = _change_class(work_class, **options)
         classes = tuple(
             changed if c.name == name else c for c in current.classes
         )
@@ -121,25 +121,25 @@
     return replace(
         work_class,
         freshness=_change_freshness(work_class.freshness, age_ms, freshness),
-        promptness=_replace_given(
+        promptness=_replace_not_none(
             work_class.promptness, within_ms=within_ms, share=share
         ),
-        safety=_replace_given(
+        safety=_replace_not_none(
             work_class.safety, copies=copies, is_repeatable=is_repeatable
         ),
     )
 
 
 def _change_freshness(
-    current: Freshness, age_ms: int | None, word: str | None
+    current: Freshness, age_ms: int | None, kind_name: str | None
 ) -> Freshness:
     if age_ms is not None:
         return Freshness(FreshnessKind.AGE, age_ms)
-    if word is not None:
-        return Freshness(FreshnessKind(word))
+    if kind_name is not None:
+        return Freshness(FreshnessKind(kind_name))
     return current
 
 
-def _replace_given(target: Any, **values: Any) -> Any:
-    given = {k: v for k, v in values.items() if v is not None}
-    return replace(target, **given)
+def _replace_not_none(target: Any, **values: Any) -> Any:
+    options = {k: v for k, v in values.items() if v is not None}
+    return replace(target, **options)
