--- a/packages/cli/src/trefoilpulley_cli/change.py
+++ b/packages/cli/src/trefoilpulley_cli/change.py
@@ -116,7 +116,7 @@
         outcome = 'unknown' if is_unknown else 'not-applied'
         line = f'{outcome}: {format_failure(failure)}'
         if is_unknown:
-            line += f'; ask again with --change-id {self._change_id}'
+            line += f'; repeat with --change-id {self._change_id}'
         document = self._describe(outcome)
         self._reporter.exit_with_error(
             {**document, 'failure': describe_failure(failure)},
--- a/packages/client/src/trefoilpulley_client/errors.py
+++ b/packages/client/src/trefoilpulley_client/errors.py
@@ -177,8 +177,8 @@
 def to_error(refusal: Refusal, request_id: str = '') -> Error:
     """Return the exception for a refusal.
 
-    The class follows from the code, or from the run state if the code has no
-    class of its own.
+    The failure code determines the class of the exception. For a code without
+    a specific class, the run state determines the class.
     """
     run_state = parse_run_state(refusal)
     error_class = _ERRORS_BY_CODE.get(
--- a/packages/wire/src/trefoilpulley_wire/codec.py
+++ b/packages/wire/src/trefoilpulley_wire/codec.py
@@ -30,7 +30,7 @@
     from collections.abc import Mapping
 
 FRAME_PREFIX_BYTES = 64
-"""Length of a frame's prefix that holds the sequence number and the tag."""
+"""Length of a frame prefix that always contains sequence number and tag."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/wire/src/trefoilpulley_wire/dial.py
+++ b/packages/wire/src/trefoilpulley_wire/dial.py
@@ -90,5 +90,7 @@
 
 
 def _discard_response(protocol: ClientProtocol) -> None:
+    # The first event is the HTTP response of the handshake. Frames that the
+    # server sent right after the response are kept for the channel.
     events = protocol.events_received()
     protocol.events.extend(events[1:])
--- a/packages/wire/src/trefoilpulley_wire/listener.py
+++ b/packages/wire/src/trefoilpulley_wire/listener.py
@@ -128,5 +128,6 @@
                 continue
             protocol.send_response(protocol.accept(events[0]))
             sock.sendall(b''.join(protocol.data_to_send()))
+            # Keep frames that the client sent right after its request.
             protocol.events.extend(events[1:])
         return protocol.state is State.OPEN
