--- a/packages/cli/src/trefoilpulley_cli/change.py
+++ b/packages/cli/src/trefoilpulley_cli/change.py
@@ -1,4 +1,4 @@
-"""Changes the declarations and tells truly what became of the change."""
+"""Changes of the declarations, with a reliable report of the outcome."""
 
 from __future__ import annotations
 
@@ -34,33 +34,33 @@
 change_id_option = click.option(
     '--change-id',
     default='',
-    help='Identifier of a change whose outcome stayed unknown.',
+    help='Identifier of an earlier change whose outcome is unknown.',
 )
-"""Option of every command that changes the declarations."""
+"""Option ``--change-id`` of the commands that change the declarations."""
 
 
 class DeclarationsChange:
-    """One change of the declarations.
+    """Change of the declarations.
 
     Parameters
     ----------
     invocation : Invocation
-        What the command was started with.
+        Settings and services of the command.
     reporter : Reporter
         Prints the outcome.
     change_id : str
-        Identifier of an earlier attempt; empty for a new change.
+        Identifier of an earlier attempt to repeat; empty for a new change.
     """
 
     def __init__(
         self, invocation: Invocation, reporter: Reporter, change_id: str
     ) -> None:
         self._platform = invocation.open_platform()
-        self._timer = invocation.outside.make_timer()
+        self._timer = invocation.services.make_timer()
         self._reporter = reporter
-        rng = invocation.outside.make_rng()
+        rng = invocation.services.make_rng()
         self.is_resubmitted = bool(change_id)
-        """Whether an earlier attempt may have taken effect."""
+        """Whether the change repeats an attempt that may have succeeded."""
 
         self._change_id = change_id or f'{rng.getrandbits(128):032x}'
 
@@ -69,22 +69,22 @@
         edit: Callable[[Declarations], Declarations],
         expected_revision: int | None = None,
     ) -> None:
-        """Edit the declarations in force and put the result in force.
+        """Edit the declarations in force and submit the result.
 
         Parameters
         ----------
         edit : Callable[[Declarations], Declarations]
-            Returns the new declarations.
+            Function from the current to the new declarations.
         expected_revision : int, optional
-            Revision that the change must replace; the one that the edit
-            has seen where left out.
+            Revision that the change must replace; by default the revision
+            that ``edit`` was applied to.
         """
-        stored = self._read().configuration
+        stored = self._read_stored().configuration
         edited = edit(stored.declarations)
-        ledgers = read_ledgers(self._platform)
+        ledgers = read_ledger_names(self._platform)
         checked = check_declarations(format_declarations(edited), ledgers)
         if not isinstance(checked, Success):
-            self._reporter.refuse_faults(checked.failure())
+            self._reporter.exit_with_faults(checked.failure())
         if expected_revision is None:
             expected_revision = stored.revision
         outcome = submit_change(
@@ -95,30 +95,30 @@
             self._timer.sleep,
         )
         if not isinstance(outcome, Success):
-            self._refuse(outcome.failure())
-        self._tell_applied(outcome.unwrap())
+            self._exit_with_failure(outcome.failure())
+        self._report_applied(outcome.unwrap())
 
-    def _read(self) -> StoredConfiguration:
+    def _read_stored(self) -> StoredConfiguration:
         found = read_configuration(self._platform)
         if isinstance(found, Success):
             return found.unwrap()
-        self._refuse(found.failure())
+        self._exit_with_failure(found.failure())
 
-    def _tell_applied(self, applied: AppliedChange) -> None:
+    def _report_applied(self, applied: AppliedChange) -> None:
         document = self._describe('applied')
         self._reporter.print(
             {**document, 'revision': applied.revision},
             [f'applied: revision {applied.revision}'],
         )
 
-    def _refuse(self, failure: Failure) -> NoReturn:
+    def _exit_with_failure(self, failure: Failure) -> NoReturn:
         is_unknown = self._is_unknown(failure)
         outcome = 'unknown' if is_unknown else 'not-applied'
         line = f'{outcome}: {format_failure(failure)}'
         if is_unknown:
-            line += f'; ask again with --change-id {self._change_id}'
+            line += f'; repeat with --change-id {self._change_id}'
         document = self._describe(outcome)
-        self._reporter.refuse(
+        self._reporter.exit_with_error(
             {**document, 'failure': describe_failure(failure)},
             [line],
         )
@@ -126,15 +126,23 @@
     def _is_unknown(self, failure: Failure) -> bool:
         if isinstance(failure, ChangeUnknown):
             return True
-        # Only what the service answered settles an earlier attempt.
+        # After an earlier attempt, only a conflict that the platform reports
+        # proves that the change is not in force. Any other failure concerns
+        # this attempt alone.
         return self.is_resubmitted and not isinstance(failure, ChangeConflict)
 
     def _describe(self, outcome: str) -> dict[str, Any]:
         return {'outcome': outcome, 'change_id': self._change_id}
 
 
-def read_ledgers(platform: Platform) -> frozenset[str] | None:
-    """Return the ledgers and databases of the platform, or ``None``."""
+def read_ledger_names(platform: Platform) -> frozenset[str] | None:
+    """Return the names of all ledgers and databases on the platform.
+
+    Returns
+    -------
+    frozenset[str] or None
+        The names, or ``None`` if they cannot be read.
+    """
     found = platform.get(CATALOG_DATABASES_KEY).value_or(None)
     if found is None:
         return None
--- a/packages/cli/src/trefoilpulley_cli/check.py
+++ b/packages/cli/src/trefoilpulley_cli/check.py
@@ -1,4 +1,4 @@
-"""Command ``check``."""
+"""Command ``check``, which validates a file of declarations."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     reporter = Reporter(is_json)
     checked = check_declarations(read_text(path))
     if not isinstance(checked, Success):
-        reporter.refuse_faults(checked.failure())
+        reporter.exit_with_faults(checked.failure())
     declarations = checked.unwrap()
     counts = {
         'classes': len(declarations.classes),
@@ -34,7 +34,7 @@
 
 
 def read_text(path: Path) -> str:
-    """Return the text of a file, or end the command."""
+    """Return the text of a file, or exit with a usage error."""
     try:
         return path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
--- a/packages/cli/src/trefoilpulley_cli/execute.py
+++ b/packages/cli/src/trefoilpulley_cli/execute.py
@@ -1,4 +1,4 @@
-"""Command ``exec``."""
+"""Command ``exec``, which runs one statement."""
 
 from __future__ import annotations
 
@@ -28,18 +28,20 @@
 @click.command('exec')
 @click.argument('sql')
 @click.option('--class', 'work_class', required=True, help='Class of work.')
-@click.option('--database', default='', help="Database; the settings' if not.")
+@click.option(
+    '--database', default='', help='Database; default from the settings.'
+)
 @click.option(
     '--parameters', default='[]', help='JSON list of the parameters.'
 )
 @click.option(
-    '--request-id', default='', help='Identifier to repeat a request by.'
+    '--request-id', default='', help='Identifier to repeat a request with.'
 )
 @click.option(
     '--session',
     'session_path',
     type=click.Path(dir_okay=False, path_type=Path),
-    help='File that keeps the session token from one call to the next.',
+    help='File that keeps the session token between two calls.',
 )
 @json_option
 @pass_invocation
@@ -53,7 +55,7 @@
     session_path: Path | None,
     is_json: bool,
 ) -> None:
-    """Run the statement SQL on its own."""
+    """Run the statement SQL outside a transaction."""
     reporter = Reporter(is_json)
     values = _read_parameters(parameters)
     cfg = invocation.load_settings()
@@ -64,11 +66,11 @@
         ) as connection:
             cursor = connection.cursor()
             cursor.execute(sql, values, request_id=request_id)
-            _keep_token(session_path, connection.token)
+            _save_token(session_path, connection.token)
             document = _describe(cursor)
-            reporter.print(document, _format(document))
+            reporter.print(document, _format_lines(document))
     except Error as exc:
-        _refuse(reporter, exc)
+        _exit_with_error(reporter, exc)
 
 
 def _connect(
@@ -78,7 +80,7 @@
     database: str,
     token: bytes,
 ) -> Connection:
-    outside = invocation.outside
+    services = invocation.services
     return connect(
         [format_endpoint(h.endpoint) for h in cfg.hosts],
         cfg.tenant,
@@ -88,8 +90,8 @@
         token=token,
         autocommit=True,
         dialer=invocation.make_dialer(cfg),
-        timer=outside.make_timer(),
-        rng=outside.make_rng(),
+        timer=services.make_timer(),
+        rng=services.make_rng(),
     )
 
 
@@ -99,7 +101,7 @@
     except ValueError as exc:
         raise click.UsageError(f'--parameters: {exc}') from exc
     if not isinstance(values, list):
-        raise click.UsageError('--parameters: a JSON list is expected')
+        raise click.UsageError('--parameters: expected a JSON list')
     return values
 
 
@@ -107,13 +109,13 @@
     if path is None:
         return b''
     if not path.parent.is_dir():
-        raise click.UsageError(f'--session: {path.parent} is no directory')
+        raise click.UsageError(f'--session: {path.parent} is not a directory')
     if not path.exists():
         return b''
     return path.read_bytes()
 
 
-def _keep_token(path: Path | None, token: bytes) -> None:
+def _save_token(path: Path | None, token: bytes) -> None:
     if path is not None:
         path.write_bytes(token)
 
@@ -128,7 +130,7 @@
     }
 
 
-def _format(document: dict[str, Any]) -> Iterable[str]:
+def _format_lines(document: dict[str, Any]) -> Iterable[str]:
     if document['columns']:
         yield '\t'.join(document['columns'])
     for row in document['rows']:
@@ -139,7 +141,7 @@
     )
 
 
-def _refuse(reporter: Reporter, exc: Error) -> None:
+def _exit_with_error(reporter: Reporter, exc: Error) -> None:
     document = {
         'code': exc.code,
         'run_state': exc.run_state.value,
@@ -150,4 +152,4 @@
     line = f'{exc.code} ({exc.run_state.value}): {exc.detail}'
     if exc.request_id:
         line += f' [request id {exc.request_id}]'
-    reporter.refuse({'failure': document}, [line])
+    reporter.exit_with_error({'failure': document}, [line])
--- a/packages/client/src/trefoilpulley_client/transaction.py
+++ b/packages/client/src/trefoilpulley_client/transaction.py
@@ -1,4 +1,4 @@
-"""One open transaction, bound to the connection that began it."""
+"""Open transaction, bound to the network connection on which it began."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 from trefoilpulley_core.failure import TransactionLost
 
 if TYPE_CHECKING:
+    from trefoilpulley_client.requester import FailedRequest
     from trefoilpulley_client.requester import Requester
-    from trefoilpulley_client.requester import Unanswered
     from trefoilpulley_client.target import Target
     from trefoilpulley_core.caller import Answer
     from trefoilpulley_core.upstream import Parameter
 
-_SURVIVED_CODES = frozenset(
+_NON_FATAL_CODES = frozenset(
     (MessageTooLarge.code, ResultTooLarge.code, StatementFailed.code)
 )
-"""Refusals of a statement after which its transaction goes on."""
+"""Refusals of a statement that leave its transaction open."""
 
 
 class Transaction:
-    """One open transaction.
+    """Open transaction.
 
     Parameters
     ----------
     requester : Requester
         Sends the requests.
     target : Target
-        Class of work and database.
+        Class of work and database of all statements.
     token : bytes
-        Token of the session at the beginning.
+        Session token at the start of the transaction.
     transaction_id : str
-        Identifier that the host gave.
+        Identifier that the host assigned to the transaction.
     """
 
     def __init__(
@@ -56,15 +56,18 @@
         self._id = transaction_id
         self._incarnation = requester.incarnation
         self.target = target
-        """Class of work and database of every statement."""
+        """Class of work and database of all statements."""
 
         self.is_lost = False
-        """Whether it was rolled back and only waits to be told so."""
+        """Whether the transaction was rolled back by a failure.
+
+        The program has to call `rollback` before it can start another one.
+        """
 
     def run(
         self, sql: str, parameters: tuple[Parameter, ...]
-    ) -> Result[Answer, Unanswered]:
-        """Run a statement."""
+    ) -> Result[Answer, FailedRequest]:
+        """Run a statement in the transaction."""
         req = Execute(
             self._requester.make_request_id(),
             self.target.work_class,
@@ -76,11 +79,11 @@
         )
         reply = self._requester.run(self._incarnation, req)
         if not isinstance(reply, Success):
-            self._on_refused(reply.failure().refusal.code, _SURVIVED_CODES)
+            self._on_refused(reply.failure().refusal.code, _NON_FATAL_CODES)
         return reply
 
-    def commit(self, request_id: str) -> Result[Answer, Unanswered]:
-        """Commit under a request id."""
+    def commit(self, request_id: str) -> Result[Answer, FailedRequest]:
+        """Commit; the outcome can be looked up under the request id."""
         req = Commit(self._id, request_id, self._token)
         look_up = LookUp(
             request_id,
@@ -94,12 +97,12 @@
         return reply
 
     def roll_back(self) -> None:
-        """Roll back."""
+        """Roll back, unless the transaction was already lost."""
         if not self.is_lost:
             self._requester.roll_back(self._incarnation, self._id)
 
-    def _on_refused(self, code: str, survived: frozenset[str]) -> None:
-        if code in survived:
+    def _on_refused(self, code: str, non_fatal_codes: frozenset[str]) -> None:
+        if code in non_fatal_codes:
             return
         if code != TransactionLost.code:
             self.roll_back()
@@ -108,8 +111,8 @@
 
 def begin_transaction(
     requester: Requester, target: Target, token: bytes
-) -> Result[Transaction, Unanswered]:
-    """Begin a transaction at a host."""
+) -> Result[Transaction, FailedRequest]:
+    """Begin a transaction on the current host."""
     req = Begin(target.work_class, target.database, token)
     begun = requester.begin(req)
     return begun.map(
--- a/packages/client/src/trefoilpulley_client/websocket_transport.py
+++ b/packages/client/src/trefoilpulley_client/websocket_transport.py
@@ -1,4 +1,4 @@
-"""Connection to an entry host over WebSocket and CBOR."""
+"""Connections to entry hosts that carry CBOR messages over WebSocket."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 
     from trefoilpulley_core.catalog import Endpoint
 
-ANSWER_LIMIT_BYTES = 16 << 20
-"""Greatest answer that is read."""
+MAX_ANSWER_BYTES = 16 << 20
+"""Maximum size of an answer; a larger answer closes the connection."""
 
 CLOSE_TIMEOUT_S = 0.2
-"""Longest wait for the closing handshake, in seconds."""
+"""Maximum time to wait for the closing handshake, in seconds."""
 
 
 class WebSocketDialer(Dialer):
-    """Opens WebSocket connections.
+    """Open WebSocket connections.
 
     Parameters
     ----------
     tls : ssl.SSLContext, optional
-        Client context; plain TCP without it.
+        TLS client context; plain TCP if omitted.
     """
 
     def __init__(self, tls: ssl.SSLContext | None = None) -> None:
@@ -47,7 +47,7 @@
     def dial(
         self, endpoint: Endpoint, timeout_s: float
     ) -> Result[Transport, Failure]:
-        """Open a connection, or fail with `PeerUnreachable`."""
+        """Open a connection; returns `PeerUnreachable` if that fails."""
         scheme = 'wss' if self._tls else 'ws'
         try:
             conn = connect_websocket(
@@ -57,7 +57,7 @@
                 close_timeout=CLOSE_TIMEOUT_S,
                 ping_interval=None,
                 compression=None,
-                max_size=ANSWER_LIMIT_BYTES,
+                max_size=MAX_ANSWER_BYTES,
                 proxy=None,
             )
         except (OSError, WebSocketException) as exc:
@@ -66,12 +66,12 @@
 
 
 class WebSocketTransport(Transport):
-    """One open WebSocket connection.
+    """Open WebSocket connection.
 
     Parameters
     ----------
     conn : ClientConnection
-        Connection after the handshake.
+        Connection on which the handshake is complete.
     """
 
     def __init__(self, conn: ClientConnection) -> None:
@@ -86,19 +86,21 @@
             data = self._conn.recv(timeout=timeout_s, decode=False)
         except (OSError, WebSocketException) as exc:
             return self._fail(PeerUnreachable(type(exc).__name__))
-        return self._take(data)
+        return self._decode_answer(data)
 
     def close(self) -> None:
         """Close the connection."""
         self._conn.close()
 
-    def _take(self, data: bytes) -> Result[Any, Failure]:
+    def _decode_answer(self, data: bytes) -> Result[Any, Failure]:
         decoded = CALLER_CODEC.decode(data)
         if not isinstance(decoded, Success):
-            return self._fail(PeerUnreachable('answer is malformed'))
+            return self._fail(PeerUnreachable('answer could not be decoded'))
         frame = decoded.unwrap()
         if frame.sequence != -self._last_sequence:
-            return self._fail(PeerUnreachable('answer to another request'))
+            return self._fail(
+                PeerUnreachable('answer belongs to another request')
+            )
         return Success(frame.message)
 
     def _fail(self, failure: Failure) -> Result[Any, Failure]:
--- a/packages/wire/src/trefoilpulley_wire/channel.py
+++ b/packages/wire/src/trefoilpulley_wire/channel.py
@@ -1,4 +1,4 @@
-"""Multiplexed request and reply over one WebSocket connection."""
+"""Concurrent requests and replies over one WebSocket connection."""
 
 from __future__ import annotations
 
@@ -23,52 +23,63 @@
 
 if TYPE_CHECKING:
     from gevent.event import Event
-    from websockets.frames import Frame as SocketFrame
+    from websockets.frames import Frame as WebSocketFrame
     from websockets.protocol import Protocol
 
     from trefoilpulley_wire.codec import Codec
 
-RECEIVE_BYTES = 65536
-"""Bytes read from a socket at once."""
+RECEIVE_BUFFER_BYTES = 65536
+"""Maximum number of bytes that one call reads from a socket."""
 
-MESSAGE_LIMIT_BYTES = 1 << 20
-"""Greatest message that is decoded, request or reply."""
+MAX_MESSAGE_BYTES = 1 << 20
+"""Maximum size of a request or reply that is decoded."""
 
-HARD_LIMIT_BYTES = 16 << 20
-"""Greatest message that is read; a greater one closes the connection."""
+MAX_RECEIVED_BYTES = 16 << 20
+"""Maximum size of a message that is received.
+
+A larger message closes the connection. A message between
+`MAX_MESSAGE_BYTES` and this size is rejected, and the connection stays open.
+"""
 
 
 class Handler(abc.ABC):
-    """Serves the requests that come in on a channel."""
+    """Handles the messages that a channel receives."""
 
     @abc.abstractmethod
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Return the reply to a request; runs in a greenlet of its own."""
+        """Return the reply to a request.
+
+        The channel calls this method in a separate greenlet per request.
+        """
 
     @abc.abstractmethod
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
-        """Return the reply to a message that could not be decoded."""
+        """Return the reply to a request that was too large or malformed."""
 
     def on_notice(self, channel: Channel, message: Any) -> None:
-        """Take a one-way message."""
+        """Handle a one-way message, which gets no reply."""
 
     def on_close(self, channel: Channel) -> None:
-        """Release what the channel's peer held."""
+        """Release the resources that belong to the closed channel."""
 
 
 class Channel:
-    """One connection, on either side.
+    """WebSocket connection that carries requests in both directions.
+
+    The client and the server of a connection use the same class. Replies are
+    matched to requests by sequence number and may arrive in any order.
 
     Parameters
     ----------
     sock : socket.socket
-        Connected socket, after the handshake.
+        Connected socket on which the WebSocket handshake is complete.
     protocol : Protocol
-        WebSocket state of the connection.
+        WebSocket protocol state of the connection.
     codec : Codec
-        Message types of the connection.
+        Codec for the message types of the connection.
     handler : Handler, optional
-        Serves requests of the other side.
+        Handles the requests of the peer; without a handler, requests are
+        ignored.
     """
 
     def __init__(
@@ -84,19 +95,19 @@
         self._handler = handler
         self._send_lock = Semaphore()
         self._next_sequence = 1
-        self._waiting: dict[int, AsyncResult] = {}
+        self._waiters: dict[int, AsyncResult] = {}
         self._fragments: list[bytes] = []
-        self._running = 0
+        self._active_request_count = 0
         self.is_open = True
-        """Whether requests can be sent."""
+        """Whether the connection is open, so that requests can be sent."""
 
         self.context: Any = None
-        """State that the handler keeps for the connection."""
+        """State that the handler attaches to the connection."""
 
     @property
-    def running_requests(self) -> int:
-        """Number of the other side's requests that are being served."""
-        return self._running
+    def active_request_count(self) -> int:
+        """Number of requests of the peer that are being handled."""
+        return self._active_request_count
 
     def call(
         self,
@@ -109,22 +120,23 @@
         Parameters
         ----------
         message : Any
-            Typed request.
+            Request to send.
         timeout_s : float, optional
-            Longest wait in seconds.
+            Maximum time to wait for the reply, in seconds.
         abort : Event, optional
-            Ends the wait early when it is set.
+            Event that ends the wait early when it is set.
 
         Returns
         -------
         Result[Any, Failure]
-            The reply, or `PeerUnreachable` where none came.
+            The reply; `PeerUnreachable` if no reply arrived; `ResultTooLarge`
+            or the decoding failure if the reply was rejected.
         """
         if not self.is_open:
             return Failed(PeerUnreachable('connection is closed'))
         sequence = self._next_sequence
         self._next_sequence += 1
-        waiter = self._waiting[sequence] = AsyncResult()
+        waiter = self._waiters[sequence] = AsyncResult()
         try:
             self._send(sequence, message)
             if abort is not None:
@@ -134,32 +146,36 @@
         except (OSError, gevent.Timeout) as exc:
             return Failed(PeerUnreachable(type(exc).__name__))
         finally:
-            self._waiting.pop(sequence, None)
+            self._waiters.pop(sequence, None)
 
     def notify(self, message: Any) -> None:
-        """Send a one-way message; a broken connection drops it."""
+        """Send a one-way message.
+
+        If the connection is broken, the message is lost and the channel
+        closes.
+        """
         try:
             self._send(0, message)
         except OSError:
             self.close()
 
     def run(self) -> None:
-        """Read until the connection ends."""
+        """Receive and dispatch messages until the connection ends."""
         try:
-            self._take_events()
+            self._process_events()
             while self.is_open:
-                data = self._sock.recv(RECEIVE_BYTES)
+                data = self._sock.recv(RECEIVE_BUFFER_BYTES)
                 if not data:
                     break
                 self._protocol.receive_data(data)
-                self._take_events()
+                self._process_events()
         except OSError:
             pass
         finally:
             self.close()
 
     def close(self) -> None:
-        """Close the connection and fail the calls that wait."""
+        """Close the connection and fail every call that waits for a reply."""
         if not self.is_open:
             return
         self.is_open = False
@@ -167,14 +183,14 @@
             self._sock.close()
         except OSError:
             pass
-        failed = Failed(PeerUnreachable('connection broke'))
-        for waiter in list(self._waiting.values()):
+        failed = Failed(PeerUnreachable('connection was lost'))
+        for waiter in list(self._waiters.values()):
             waiter.set(failed)
         if self._handler:
             self._handler.on_close(self)
 
     def close_gracefully(self) -> None:
-        """Send a close frame, then close."""
+        """Send a WebSocket close frame, then close the connection."""
         if not self.is_open:
             return
         try:
@@ -199,15 +215,15 @@
         if pending:
             self._sock.sendall(pending)
 
-    def _take_events(self) -> None:
+    def _process_events(self) -> None:
         for event in self._protocol.events_received():
-            self._on_socket_frame(event)
+            self._on_websocket_frame(event)
         with self._send_lock:
             self._flush()
         if self._protocol.state is not State.OPEN:
             self.close()
 
-    def _on_socket_frame(self, frame: SocketFrame) -> None:
+    def _on_websocket_frame(self, frame: WebSocketFrame) -> None:
         if frame.opcode not in (Opcode.BINARY, Opcode.TEXT, Opcode.CONT):
             return
         self._fragments.append(bytes(frame.data))
@@ -215,10 +231,10 @@
             return
         data = b''.join(self._fragments)
         self._fragments.clear()
-        self._on_data(data)
+        self._on_message(data)
 
-    def _on_data(self, data: bytes) -> None:
-        if len(data) > MESSAGE_LIMIT_BYTES:
+    def _on_message(self, data: bytes) -> None:
+        if len(data) > MAX_MESSAGE_BYTES:
             self._on_too_large(self._codec.decode_sequence(data))
             return
         decoded = self._codec.decode(data)
@@ -232,31 +248,32 @@
         if frame.sequence < 0:
             self._on_reply(-frame.sequence, Success(message))
         elif frame.sequence > 0:
-            self._running += 1
-            gevent.spawn(self._serve, frame.sequence, message)
+            self._active_request_count += 1
+            gevent.spawn(self._serve_request, frame.sequence, message)
         elif self._handler:
             self._handler.on_notice(self, message)
 
     def _on_too_large(self, sequence: int) -> None:
-        # Decoding it would hold up everybody else on this process.
-        detail = f'limit is {MESSAGE_LIMIT_BYTES}'
+        # Decoding such a message would block the other greenlets of this
+        # process for too long.
+        detail = f'limit is {MAX_MESSAGE_BYTES}'
         if sequence < 0:
             self._on_reply(-sequence, Failed(ResultTooLarge(detail)))
         else:
-            self._refuse(sequence, MessageTooLarge(detail))
+            self._reject_message(sequence, MessageTooLarge(detail))
 
     def _on_undecodable(self, sequence: int, failure: Failure) -> None:
         if sequence < 0:
             self._on_reply(-sequence, Failed(failure))
         else:
-            self._refuse(sequence, failure)
+            self._reject_message(sequence, failure)
 
     def _on_reply(self, sequence: int, reply: Result[Any, Failure]) -> None:
-        waiter = self._waiting.get(sequence)
+        waiter = self._waiters.get(sequence)
         if waiter is not None:
             waiter.set(reply)
 
-    def _refuse(self, sequence: int, failure: Failure) -> None:
+    def _reject_message(self, sequence: int, failure: Failure) -> None:
         if not self._handler:
             return
         reply = self._handler.on_malformed(self, failure)
@@ -265,7 +282,7 @@
         except OSError:
             self.close()
 
-    def _serve(self, sequence: int, message: Any) -> None:
+    def _serve_request(self, sequence: int, message: Any) -> None:
         try:
             if self._handler is None:
                 return
@@ -274,4 +291,4 @@
         except OSError:
             self.close()
         finally:
-            self._running -= 1
+            self._active_request_count -= 1
--- a/packages/wire/src/trefoilpulley_wire/codec.py
+++ b/packages/wire/src/trefoilpulley_wire/codec.py
@@ -1,9 +1,9 @@
-"""CBOR form of the typed messages.
+"""CBOR encoding of the typed messages.
 
-A frame is a sequence of three CBOR items: the sequence number, the tag
-of the message's type and the message's fields. A request has a positive
-sequence number, its reply the same number negated, and a one-way
-message 0.
+A frame consists of three CBOR items: the sequence number, the tag (the class
+name of the message) and the fields of the message. A request has a positive
+sequence number, its reply has the negated number of the request, and a
+one-way message has the number 0.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-HEADER_BYTES = 64
-"""Bytes that always hold a frame's sequence number and tag."""
+FRAME_PREFIX_BYTES = 64
+"""Length of a frame prefix that always contains sequence number and tag."""
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One decoded message."""
+    """Decoded frame."""
 
     sequence: int
-    """Sequence number; negative on a reply, 0 on a one-way message."""
+    """Sequence number; negative for a reply, 0 for a one-way message."""
 
     message: Any
-    """Typed message."""
+    """Decoded message."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,21 +51,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Structure:
+class _Decoder:
     kind: type
     structure: Callable[[Any, type], Any]
 
 
 class Codec:
-    """Encodes and decodes one set of message types.
+    """Encoder and decoder for one set of message types.
 
     Parameters
     ----------
     types : Iterable[type]
-        Frozen data classes; the class name is the tag on the wire.
+        Message types, which are frozen data classes. The class name of a
+        message type is its tag on the wire.
     unions : Mapping[type, Any], optional
-        Union of data classes in a field of a message, by the message.
-        Its values are told apart by their class names.
+        Maps a message type to the union of data classes that one of its
+        fields holds. The encoded value carries its class name as a tag.
     """
 
     def __init__(
@@ -77,29 +78,31 @@
         self._converter = make_converter(
             omit_if_default=True, detailed_validation=False
         )
-        self._kinds = {kind.__name__: kind for kind in types}
+        self._types_by_tag = {
+            message_type.__name__: message_type for message_type in types
+        }
         self._encoders: dict[type, _Encoder] = {}
-        self._structure: dict[str, _Structure] = {}
+        self._decoders: dict[str, _Decoder] = {}
         self.traffic = Traffic()
-        """Frames of every channel that uses this codec."""
+        """Traffic counters of all channels that use this codec."""
 
     def encode(self, sequence: int, message: Any) -> bytes:
-        """Return the frame of a message."""
+        """Return the encoded frame of a message."""
         encoder = self._encoder_of(type(message))
         fields = cbor2.dumps(encoder.unstructure(message))
         return cbor2.dumps(sequence) + encoder.tag + fields
 
     def decode(self, data: bytes) -> Result[Frame, Failure]:
-        """Decode a frame, or say why it is malformed."""
+        """Decode a frame; returns `MalformedMessage` for invalid input."""
         try:
             return self._decode(data)
-        except Exception as exc:  # noqa: H201 - any fault of the sender's
+        except Exception as exc:  # noqa: H201 - any malformed input
             return Failed(MalformedMessage(type(exc).__name__))
 
     def decode_sequence(self, data: bytes) -> int:
-        """Return a frame's sequence number, or 0 where it has none."""
+        """Return the sequence number of a frame, or 0 if it is malformed."""
         try:
-            sequence = cbor2.load(io.BytesIO(data[:HEADER_BYTES]))
+            sequence = cbor2.load(io.BytesIO(data[:FRAME_PREFIX_BYTES]))
         except (cbor2.CBORError, ValueError):
             return 0
         return sequence if isinstance(sequence, int) else 0
@@ -111,42 +114,51 @@
         tag = decoder.decode()
         fields = decoder.decode()
         if not isinstance(sequence, int):
-            return Failed(MalformedMessage('sequence is not a number'))
-        kind = self._kinds.get(tag) if isinstance(tag, str) else None
-        if kind is None:
-            return Failed(MalformedMessage('unknown type of message'))
-        known = self._structure_of(kind)
-        return Success(Frame(sequence, known.structure(fields, known.kind)))
-
-    # Hooks are made on first use: making all of them takes longer than the
-    # rest of a host's start.
-
-    def _encoder_of(self, kind: type) -> _Encoder:
-        encoder = self._encoders.get(kind)
+            return Failed(
+                MalformedMessage('sequence number is not an integer')
+            )
+        message_type = (
+            self._types_by_tag.get(tag) if isinstance(tag, str) else None
+        )
+        if message_type is None:
+            return Failed(MalformedMessage('unknown message type'))
+        message_decoder = self._decoder_of(message_type)
+        return Success(
+            Frame(
+                sequence,
+                message_decoder.structure(fields, message_decoder.kind),
+            )
+        )
+
+    # cattrs hooks are created on first use, because creating the hooks of all
+    # message types takes longer than the rest of a host's startup.
+
+    def _encoder_of(self, message_type: type) -> _Encoder:
+        encoder = self._encoders.get(message_type)
         if encoder is None:
-            self._prepare(kind)
-            tag = cbor2.dumps(self._tag_of(kind))
-            unstructure = self._converter.get_unstructure_hook(kind)
-            encoder = self._encoders[kind] = _Encoder(tag, unstructure)
+            self._configure_union(message_type)
+            tag = cbor2.dumps(self._tag_of(message_type))
+            unstructure = self._converter.get_unstructure_hook(message_type)
+            encoder = self._encoders[message_type] = _Encoder(tag, unstructure)
         return encoder
 
-    def _structure_of(self, kind: type) -> _Structure:
-        known = self._structure.get(kind.__name__)
-        if known is None:
-            self._prepare(kind)
-            structure = self._converter.get_structure_hook(kind)
-            known = self._structure[kind.__name__] = _Structure(
-                kind, structure
+    def _decoder_of(self, message_type: type) -> _Decoder:
+        message_decoder = self._decoders.get(message_type.__name__)
+        if message_decoder is None:
+            self._configure_union(message_type)
+            structure = self._converter.get_structure_hook(message_type)
+            message_decoder = self._decoders[message_type.__name__] = _Decoder(
+                message_type, structure
             )
-        return known
+        return message_decoder
 
-    def _prepare(self, kind: type) -> None:
-        """Make the hooks of the union that a message holds."""
-        union = self._unions.pop(kind, None)
+    def _configure_union(self, message_type: type) -> None:
+        """Create the hooks of the union in a field of the message type."""
+        union = self._unions.pop(message_type, None)
         if union is not None:
             configure_tagged_union(union, self._converter)
 
-    def _tag_of(self, kind: type) -> str:
-        if self._kinds.get(kind.__name__) is not kind:
-            raise KeyError(kind)
-        return kind.__name__
+    def _tag_of(self, message_type: type) -> str:
+        if self._types_by_tag.get(message_type.__name__) is not message_type:
+            raise KeyError(message_type)
+        return message_type.__name__
--- a/packages/wire/src/trefoilpulley_wire/listener.py
+++ b/packages/wire/src/trefoilpulley_wire/listener.py
@@ -1,4 +1,4 @@
-"""Accepts channels from other processes."""
+"""Server side of channels between processes."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from websockets.server import ServerProtocol
 
 from trefoilpulley_wire.channel import Channel
-from trefoilpulley_wire.channel import HARD_LIMIT_BYTES
-from trefoilpulley_wire.channel import RECEIVE_BYTES
+from trefoilpulley_wire.channel import MAX_RECEIVED_BYTES
+from trefoilpulley_wire.channel import RECEIVE_BUFFER_BYTES
 
 if TYPE_CHECKING:
     import ssl
@@ -23,24 +23,24 @@
     from trefoilpulley_wire.codec import Codec
 
 HANDSHAKE_TIMEOUT_S = 5.0
-"""Longest time for the handshakes of a new connection."""
+"""Maximum time for the TLS and WebSocket handshakes, in seconds."""
 
-_BACKLOG = 1024
+_ACCEPT_BACKLOG = 1024
 
 
 class Listener:
-    """Server side of the channels of one address.
+    """Server that accepts channels on one address.
 
     Parameters
     ----------
     endpoint : Endpoint
         Address to listen on.
     codec : Codec
-        Message types of the connections.
+        Codec for the message types of the connections.
     handler : Handler
-        Serves the requests.
+        Handles the requests of all channels.
     tls : ssl.SSLContext, optional
-        Server context; plain TCP without it.
+        TLS server context; plain TCP if omitted.
     """
 
     def __init__(
@@ -56,35 +56,35 @@
         self._server = StreamServer(
             (endpoint.address, endpoint.port),
             self._accept,
-            backlog=_BACKLOG,
+            backlog=_ACCEPT_BACKLOG,
         )
         self.channels: set[Channel] = set()
         """Open channels."""
 
     @property
     def port(self) -> int:
-        """TCP port in use."""
+        """TCP port that the server listens on."""
         return self._server.server_port
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         self._server.start()
 
     def stop_accepting(self) -> None:
-        """Take no new connection; those open go on."""
+        """Stop accepting new connections; open channels are kept."""
         self._server.close()
 
     def stop(self) -> None:
-        """Close the listener and every channel."""
+        """Stop listening and close all channels gracefully."""
         self._server.stop(timeout=0)
         for channel in list(self.channels):
             channel.close_gracefully()
 
     def admit(self) -> bool:
-        """Decide on a new connection before its handshake.
+        """Return whether to accept a new connection, before its handshake.
 
-        A subclass may limit or pace connections here; false closes the
-        new one.
+        A subclass can override this method to limit the number or the rate
+        of connections. A connection that is not admitted is closed.
         """
         return True
 
@@ -93,14 +93,14 @@
             sock.close()
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        protocol = ServerProtocol(max_size=HARD_LIMIT_BYTES)
+        protocol = ServerProtocol(max_size=MAX_RECEIVED_BYTES)
         try:
             with gevent.Timeout(HANDSHAKE_TIMEOUT_S, TimeoutError):
-                sock = self._wrap(sock)
-                is_ready = self._shake_hands(sock, protocol)
+                sock = self._wrap_tls(sock)
+                is_handshake_done = self._perform_handshake(sock, protocol)
         except OSError:
-            is_ready = False
-        if not is_ready:
+            is_handshake_done = False
+        if not is_handshake_done:
             sock.close()
             return
         channel = Channel(sock, protocol, self._codec, self._handler)
@@ -110,16 +110,16 @@
         finally:
             self.channels.discard(channel)
 
-    def _wrap(self, sock: socket.socket) -> socket.socket:
+    def _wrap_tls(self, sock: socket.socket) -> socket.socket:
         if self._tls is None:
             return sock
         return self._tls.wrap_socket(sock, server_side=True)
 
-    def _shake_hands(
+    def _perform_handshake(
         self, sock: socket.socket, protocol: ServerProtocol
     ) -> bool:
         while protocol.state is State.CONNECTING:
-            data = sock.recv(RECEIVE_BYTES)
+            data = sock.recv(RECEIVE_BUFFER_BYTES)
             if not data:
                 return False
             protocol.receive_data(data)
@@ -128,5 +128,6 @@
                 continue
             protocol.send_response(protocol.accept(events[0]))
             sock.sendall(b''.join(protocol.data_to_send()))
+            # Keep frames that the client sent right after its request.
             protocol.events.extend(events[1:])
         return protocol.state is State.OPEN
