--- a/features/steps/coordination_detection_steps.py
+++ b/features/steps/coordination_detection_steps.py
@@ -13,8 +13,8 @@
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.catalog import MemberEntry
 from trefoilpulley_core.coordination.commands import CallDone
-from trefoilpulley_core.coordination.detection import Detector
-from trefoilpulley_core.coordination.polling import Polling
+from trefoilpulley_core.coordination.detection import FailureDetector
+from trefoilpulley_core.coordination.polling import ProbeSchedule
 from trefoilpulley_core.position import LogHistory
 from trefoilpulley_core.upstream import MemberStatus
 
@@ -44,7 +44,7 @@
     @given('a detector that heard members a, b and c at {at:g}, b leading')
     def make_detector(context: Any, at: float) -> None:
         """Let all three answer once."""
-        context.detector = Detector(ENTRY)
+        context.detector = FailureDetector(ENTRY)
         for name in 'abc':
             context.detector.on_status(_status(name, 0), at)
 
@@ -52,7 +52,7 @@
     @when('the probe of "{name}" that left at {at:g} is lost')
     def lose_probe(context: Any, name: str, at: float) -> None:
         """Lose one probe."""
-        context.detector.on_silence(name, at, False)
+        context.detector.on_probe_failed(name, at, False)
 
     @staticmethod
     @when(
@@ -73,13 +73,13 @@
     @then('more evidence is needed')
     def check_doubt(context: Any) -> None:
         """Expect a doubt newer than the leader's answer."""
-        assert context.detector.has_newer_doubt
+        assert context.detector.has_primary_contact_loss
 
     @staticmethod
     @then('no more evidence is needed')
     def check_no_doubt(context: Any) -> None:
         """Expect that the leader has answered since."""
-        assert not context.detector.has_newer_doubt
+        assert not context.detector.has_primary_contact_loss
 
 
 class PollingSteps:
@@ -89,7 +89,7 @@
     @given('probes of three members every {interval:g} seconds from {at:g}')
     def make_polling(context: Any, interval: float, at: float) -> None:
         """Send and answer the first probes."""
-        context.polling = Polling(ENTRY)
+        context.polling = ProbeSchedule(ENTRY)
         context.interval_s = interval
         PollingSteps._tick(context, at)
         context.polling.is_urgent = False
--- a/features/steps/coordination_duty_steps.py
+++ b/features/steps/coordination_duty_steps.py
@@ -43,7 +43,7 @@
         duty.on_tick((context.own,), (ENTRY,), 0.0)
         (context.shard,) = duty.views
         duty.on_lease(1, 1000.0, 0.0)
-        duty.on_taken(context.shard, 5, 0.0)
+        duty.on_acquired(context.shard, 5, 0.0)
 
     @staticmethod
     @when('a host of zone "{zone}" has come first for {seconds:d} seconds')
--- a/packages/core/src/trefoilpulley_core/coordination/commands.py
+++ b/packages/core/src/trefoilpulley_core/coordination/commands.py
@@ -23,7 +23,7 @@
     STEP = 'step'
     """A step of a promotion or handover."""
 
-    CARE = 'care'
+    REDIRECT = 'care'
     """A replica is told which primary to follow."""
 
 
--- a/packages/core/src/trefoilpulley_core/coordination/database.py
+++ b/packages/core/src/trefoilpulley_core/coordination/database.py
@@ -10,20 +10,20 @@
 from trefoilpulley_core.coordination import commands
 from trefoilpulley_core.coordination.commands import EditRecord
 from trefoilpulley_core.coordination.commands import Purpose
-from trefoilpulley_core.coordination.detection import Detector
+from trefoilpulley_core.coordination.detection import FailureDetector
 from trefoilpulley_core.coordination.detection import Verdict
 from trefoilpulley_core.coordination.edits import ClaimTerms
 from trefoilpulley_core.coordination.edits import EndHandover
-from trefoilpulley_core.coordination.edits import ForgetRelapses
 from trefoilpulley_core.coordination.edits import RecordPrimary
-from trefoilpulley_core.coordination.follower_care import FollowerCare
+from trefoilpulley_core.coordination.edits import ResetRelapses
+from trefoilpulley_core.coordination.follower_care import ReplicaRedirector
 from trefoilpulley_core.coordination.handover import Handover
 from trefoilpulley_core.coordination.handover import HandoverStage
-from trefoilpulley_core.coordination.layout import preference
-from trefoilpulley_core.coordination.polling import Polling
+from trefoilpulley_core.coordination.layout import ranked_members
+from trefoilpulley_core.coordination.polling import ProbeSchedule
 from trefoilpulley_core.coordination.promotion import Promotion
 from trefoilpulley_core.coordination.promotion import PromotionStage
-from trefoilpulley_core.coordination.return_policy import ReturnPolicy
+from trefoilpulley_core.coordination.return_policy import HandoverPolicy
 from trefoilpulley_core.coordination.shard import HandoverRecord
 from trefoilpulley_core.coordination.terms import has_grants
 from trefoilpulley_core.coordination.terms import usable_term
@@ -35,24 +35,24 @@
     from trefoilpulley_core.coordination.commands import Commands
     from trefoilpulley_core.coordination.shard import DatabaseRecord
 
-BUSY_WAKE_S = 0.005
+BUSY_TICK_INTERVAL_S = 0.005
 """Time between two ticks while a promotion or handover runs."""
 
-ALERT_WAKE_S = 0.05
+ALERT_TICK_INTERVAL_S = 0.05
 """Time between two ticks while evidence is gathered."""
 
-CALM_WAKE_LIMIT_S = 0.25
+MAX_TICK_INTERVAL_S = 0.25
 """Longest time between two ticks."""
 
-CALM_WAKES = 6
+TICKS_PER_PROBE = 6
 """Ticks between two probes of a calm member."""
 
-PAUSE_LIMIT_S = 1.0
+MAX_TICK_GAP_S = 1.0
 """Time between two ticks after which old evidence is dropped."""
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class TickContext:
     """What a coordinator is told at each tick."""
 
     entry: DatabaseEntry
@@ -90,7 +90,7 @@
 
         self._last_used = 0
         self._handovers_begun = 0
-        self._around = Surroundings(entry)
+        self._context = TickContext(entry)
         self._ticked_at: float | None = None
         self.record = record
         """Record as the service holds it."""
@@ -104,7 +104,7 @@
         self.verdict = Verdict.CUT_OFF
         """What the evidence said at the last tick."""
 
-        self._forget_evidence()
+        self._reset()
 
     @property
     def database(self) -> str:
@@ -117,41 +117,43 @@
         return self.promotion is not None or self.handover is not None
 
     @property
-    def wake_s(self) -> float:
+    def tick_interval_s(self) -> float:
         """Time after which the next tick is due."""
         if self.is_busy:
-            return BUSY_WAKE_S
-        if self._polling.is_urgent:
-            return ALERT_WAKE_S
-        wake_s = self._around.poll_interval_s / CALM_WAKES
-        return min(max(wake_s, ALERT_WAKE_S), CALM_WAKE_LIMIT_S)
+            return BUSY_TICK_INTERVAL_S
+        if self._probe_schedule.is_urgent:
+            return ALERT_TICK_INTERVAL_S
+        tick_interval_s = self._context.poll_interval_s / TICKS_PER_PROBE
+        return min(
+            max(tick_interval_s, ALERT_TICK_INTERVAL_S), MAX_TICK_INTERVAL_S
+        )
 
-    def stand_down(self) -> None:
+    def deactivate(self) -> None:
         """Drop what runs, since the duty has ended."""
         self._ticked_at = None
-        self._forget_evidence()
+        self._reset()
 
-    def on_tick(self, around: Surroundings, now: float) -> Commands:
+    def on_tick(self, context: TickContext, now: float) -> Commands:
         """Probe, weigh the evidence and move what runs forward."""
-        self._take_surroundings(around, now)
-        probes = self._polling.on_tick(around.poll_interval_s, now)
+        self._update_context(context, now)
+        probes = self._probe_schedule.on_tick(context.poll_interval_s, now)
         self.verdict = self.detector.verdict(now)
         is_healthy = self.verdict is Verdict.HEALTHY
-        has_doubt = self.detector.has_newer_doubt
-        self._polling.is_urgent = has_doubt or not is_healthy
-        return probes + self._move_on(now)
+        has_contact_loss = self.detector.has_primary_contact_loss
+        self._probe_schedule.is_urgent = has_contact_loss or not is_healthy
+        return probes + self._advance(now)
 
     def on_call_done(self, done: CallDone, now: float) -> Commands:
         """Take the outcome of a call."""
-        self._take_evidence(done)
+        self._record_evidence(done)
         if done.call.purpose is not Purpose.STEP:
             return ()
         if self.promotion is not None:
             steps = self.promotion.on_call_done(done, now)
-            return steps + self._settle_promotion(now)
+            return steps + self._apply_promotion_stage(now)
         if self.handover is not None:
             steps = self.handover.on_call_done(done, now)
-            return steps + self._settle_handover(now)
+            return steps + self._apply_handover_stage(now)
         return ()
 
     def on_record(self, record: DatabaseRecord, now: float) -> Commands:
@@ -160,31 +162,31 @@
         if self.handover is None or self.promotion is not None:
             return ()
         steps = self.handover.on_record(record, now)
-        return steps + self._settle_handover(now)
+        return steps + self._apply_handover_stage(now)
 
-    def _take_surroundings(self, around: Surroundings, now: float) -> None:
+    def _update_context(self, context: TickContext, now: float) -> None:
         last = self._ticked_at
         self._ticked_at = now
-        self._around = around
-        is_changed = around.entry.members != self._entry.members
-        self._entry = around.entry
-        if is_changed or last is None or now - last > PAUSE_LIMIT_S:
-            self._forget_evidence()
-
-    def _forget_evidence(self) -> None:
-        self.detector = Detector(self._entry)
-        self._polling = Polling(self._entry)
-        self._care = FollowerCare(self._entry)
-        self._policy = ReturnPolicy(self._entry)
-        self._must_retry = False
+        self._context = context
+        is_changed = context.entry.members != self._entry.members
+        self._entry = context.entry
+        if is_changed or last is None or now - last > MAX_TICK_GAP_S:
+            self._reset()
+
+    def _reset(self) -> None:
+        self.detector = FailureDetector(self._entry)
+        self._probe_schedule = ProbeSchedule(self._entry)
+        self._replica_redirector = ReplicaRedirector(self._entry)
+        self._handover_policy = HandoverPolicy(self._entry)
+        self._is_retry_needed = False
         self.verdict = Verdict.CUT_OFF
         self.promotion = None
         self.handover = None
 
-    def _take_evidence(self, done: CallDone) -> None:
-        self._polling.on_call_done(done)
+    def _record_evidence(self, done: CallDone) -> None:
+        self._probe_schedule.on_call_done(done)
         member = done.call.member
-        if member not in self.detector.watches:
+        if member not in self.detector.evidence:
             return
         match done.result:
             case Success(StatusReport(status)):
@@ -192,44 +194,44 @@
             case Success():
                 return
             case _ if done.call.purpose is Purpose.PROBE:
-                self.detector.on_silence(
+                self.detector.on_probe_failed(
                     member, done.sent_at, done.is_from_pooler
                 )
 
-    def _move_on(self, now: float) -> Commands:
+    def _advance(self, now: float) -> Commands:
         if self.promotion is not None:
             steps = self.promotion.on_tick(now)
-            return steps + self._settle_promotion(now)
+            return steps + self._apply_promotion_stage(now)
         if self._is_primary_lost:
             return self._replace_primary(now)
         if self.handover is not None:
             return self._continue_handover(now)
         if self.verdict is Verdict.HEALTHY:
-            return self._keep_layout(now)
+            return self._maintain_layout(now)
         return ()
 
     @property
     def _is_primary_lost(self) -> bool:
         if self.verdict is Verdict.CUT_OFF:
             return False
-        return self.verdict.is_lost or self._must_retry
+        return self.verdict.is_lost or self._is_retry_needed
 
     def _replace_primary(self, now: float) -> Commands:
         ended: Commands = ()
         if self.handover is not None:
             ended = self.handover.abandon('primary lost')
-            ended += self._settle_handover(now)
-        wanted = preference(self._entry, self._around.stopped)
-        return ended + self._begin_promotion(wanted, now)
+            ended += self._apply_handover_stage(now)
+        ranked = ranked_members(self._entry, self._context.stopped)
+        return ended + self._begin_promotion(ranked, now)
 
-    def _begin_promotion(self, wanted: list[str], now: float) -> Commands:
+    def _begin_promotion(self, ranked: list[str], now: float) -> Commands:
         above = self._highest_known_term
         term = usable_term(self.record, self.holder, above)
         if term is None:
-            return (self._claim(above),)
+            return (self._term_claim(above),)
         self._last_used = term
         is_planned = self.handover is not None
-        self.promotion = Promotion(self._entry, term, wanted, now, is_planned)
+        self.promotion = Promotion(self._entry, term, ranked, now, is_planned)
         reason = 'handover' if is_planned else self.verdict.value
         began = commands.PromotionBegan(self.database, term, reason)
         return (began, *self.promotion.on_tick(now))
@@ -238,26 +240,28 @@
     def _highest_known_term(self) -> int:
         return max(self._last_used, self.detector.highest_term)
 
-    def _claim(self, above: int) -> EditRecord:
+    def _term_claim(self, above: int) -> EditRecord:
         return EditRecord(ClaimTerms(self.database, self.holder, above))
 
-    def _settle_promotion(self, now: float) -> Commands:
+    def _apply_promotion_stage(self, now: float) -> Commands:
         current = self.promotion
         out: Commands = ()
-        if current.has_primary and not current.is_announced:
-            out += self._announce(current, now)
+        if current.has_primary and not current.is_primary_recorded:
+            out += self._record_primary(current, now)
         if not current.stage.is_over:
             return out
         self.promotion = None
-        self._must_retry = current.stage is PromotionStage.FAILED
+        self._is_retry_needed = current.stage is PromotionStage.FAILED
         outcome = current.stage.value
         out += (commands.PromotionEnded(self.database, current.term, outcome),)
         if self.handover is not None:
-            out += self.handover.abandon(outcome) + self._settle_handover(now)
+            out += self.handover.abandon(outcome) + self._apply_handover_stage(
+                now
+            )
         return out
 
-    def _announce(self, current: Promotion, now: float) -> Commands:
-        current.is_announced = True
+    def _record_primary(self, current: Promotion, now: float) -> Commands:
+        current.is_primary_recorded = True
         edit = RecordPrimary(
             self.database, current.term, current.primary, current.is_planned
         )
@@ -269,35 +273,39 @@
         )
         out: Commands = (EditRecord(edit), notice)
         if self.handover is not None:
-            out += self.handover.release() + self._end_handover('done', now)
+            out += self.handover.resume_writes() + self._end_handover(
+                'done', now
+            )
         return out
 
     def _continue_handover(self, now: float) -> Commands:
         current = self.handover.record
-        stopped = self._around.stopped
-        if not self._policy.is_wanted(current.target, current.source, stopped):
+        stopped = self._context.stopped
+        if not self._handover_policy.is_wanted(
+            current.target, current.source, stopped
+        ):
             steps = self.handover.abandon(_CANCELLED)
         else:
             steps = self.handover.on_tick(now)
-        return steps + self._settle_handover(now)
+        return steps + self._apply_handover_stage(now)
 
-    def _settle_handover(self, now: float) -> Commands:
+    def _apply_handover_stage(self, now: float) -> Commands:
         current = self.handover
         if current.stage is HandoverStage.ABANDONED:
             return self._end_handover(current.outcome, now)
         if current.stage is HandoverStage.READY:
-            return self._switch(current, now)
+            return self._promote_target(current, now)
         return ()
 
-    def _switch(self, current: Handover, now: float) -> Commands:
-        wanted = preference(self._entry, self._around.stopped)
-        wanted.remove(current.record.target)
-        wanted.insert(0, current.record.target)
-        steps = self._begin_promotion(wanted, now)
+    def _promote_target(self, current: Handover, now: float) -> Commands:
+        ranked = ranked_members(self._entry, self._context.stopped)
+        ranked.remove(current.record.target)
+        ranked.insert(0, current.record.target)
+        steps = self._begin_promotion(ranked, now)
         if self.promotion is not None:
             return steps
         released = current.abandon('no term granted')
-        return steps + released + self._settle_handover(now)
+        return steps + released + self._apply_handover_stage(now)
 
     def _end_handover(self, outcome: str, now: float) -> Commands:
         current = self.handover
@@ -310,31 +318,31 @@
         edit = EndHandover(self.database, handover_id, is_failed)
         return (EditRecord(edit), notice)
 
-    def _keep_layout(self, now: float) -> Commands:
+    def _maintain_layout(self, now: float) -> Commands:
         leader = self.detector.leader
-        out = self._care.on_tick(self.detector, now)
+        out = self._replica_redirector.on_tick(self.detector, now)
         if leader.term > self.record.term:
             edit = RecordPrimary(self.database, leader.term, leader.member)
             out += (EditRecord(edit),)
         above = self._highest_known_term
         if not has_grants(self.record, self.holder, above):
             # A handover pauses writes for a term that must be at hand.
-            return (*out, self._claim(above))
-        if not self._around.is_service_up:
+            return (*out, self._term_claim(above))
+        if not self._context.is_service_up:
             return out
-        return out + self._keep_handovers(now)
+        return out + self._manage_handovers(now)
 
-    def _keep_handovers(self, now: float) -> Commands:
+    def _manage_handovers(self, now: float) -> Commands:
         leader = self.detector.leader
-        stopped = self._around.stopped
+        stopped = self._context.stopped
         orphan = self.record.handover
         if orphan is not None:
             edit = EndHandover(self.database, orphan.handover_id, True)
             return (EditRecord(edit),)
         if self.record.relapses:
-            if self._policy.is_quiet(leader, stopped, now):
-                return (EditRecord(ForgetRelapses(self.database)),)
-        target = self._policy.choose_target(
+            if self._handover_policy.is_layout_stable(leader, stopped, now):
+                return (EditRecord(ResetRelapses(self.database)),)
+        target = self._handover_policy.choose_target(
             self.detector, self.record, stopped, now
         )
         if target is None:
@@ -347,10 +355,10 @@
         self._handovers_begun += 1
         handover_id = f'{self.holder}/{self._handovers_begun}'
         record = HandoverRecord(handover_id, self.holder, source, target)
-        pause_s = self._policy.pause_s(
-            source, self.record, self._around.stopped
+        max_pause_s = self._handover_policy.max_pause_s(
+            source, self.record, self._context.stopped
         )
-        self.handover = Handover(self._entry, record, now, pause_s)
+        self.handover = Handover(self._entry, record, now, max_pause_s)
         began = commands.HandoverBegan(
             self.database, handover_id, source, target
         )
--- a/packages/core/src/trefoilpulley_core/coordination/detection.py
+++ b/packages/core/src/trefoilpulley_core/coordination/detection.py
@@ -12,23 +12,23 @@
     from trefoilpulley_core.catalog import DatabaseEntry
     from trefoilpulley_core.upstream import MemberStatus
 
-SILENCE_S = 0.4
+PRIMARY_CONTACT_TIMEOUT_S = 0.4
 """Time without the primary after which a replica counts as cut off."""
 
-LEADERLESS_S = 0.3
+LEADERLESS_TIMEOUT_S = 0.3
 """Time without any leader before a promotion, where none is silent."""
 
-WITNESSED_S = 1.0
+POOLER_REPORT_TIMEOUT_S = 1.0
 """Time for which a pooler reports a primary unreachable that replicas
 still hear, before a promotion. It counts while a majority answers."""
 
-UNREACHABLE_S = 3.0
+UNREACHABLE_TIMEOUT_S = 3.0
 """The same where the primary's pooler cannot be reached either."""
 
-ISOLATED_S = 1.0
+ISOLATED_TIMEOUT_S = 1.0
 """Time for which a reachable primary lacks a majority of replicas."""
 
-DISPUTED_S = 1.0
+DISPUTED_TIMEOUT_S = 1.0
 """Time for which members refuse the primary's term."""
 
 
@@ -62,10 +62,10 @@
     @property
     def is_lost(self) -> bool:
         """Whether another term must begin."""
-        return self in _LOST
+        return self in _LOST_VERDICTS
 
 
-_LOST = frozenset(
+_LOST_VERDICTS = frozenset(
     (
         Verdict.SILENT,
         Verdict.UNREACHABLE,
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class MemberWatch:
+class MemberEvidence:
     """Evidence about one member."""
 
     status: MemberStatus | None = None
@@ -89,7 +89,7 @@
     failed_at: float | None = None
     """Time at which the first failed probe since then left."""
 
-    witnessed_at: float | None = None
+    pooler_report_since: float | None = None
     """Time since which the pooler itself reports the member away."""
 
     @property
@@ -107,7 +107,7 @@
         return float('inf') if age_ms is None else age_ms / 1000
 
 
-class Detector:
+class FailureDetector:
     """Weighs the evidence about the members of one database.
 
     Parameters
@@ -118,143 +118,154 @@
 
     def __init__(self, entry: DatabaseEntry) -> None:
         self._majority = entry.majority
-        self.watches = {m.name: MemberWatch() for m in entry.members}
+        self.evidence = {m.name: MemberEvidence() for m in entry.members}
         """Evidence by the name of the member."""
 
-        self._since: dict[Verdict, float] = {}
+        self._verdict_since: dict[Verdict, float] = {}
 
     def on_status(self, status: MemberStatus, sent_at: float) -> None:
         """Take a member's answer."""
-        watch = self.watches[status.member]
-        if watch.status is not None and sent_at < watch.answered_at:
+        evidence = self.evidence[status.member]
+        if evidence.status is not None and sent_at < evidence.answered_at:
             return
-        watch.status = status
-        watch.answered_at = sent_at
-        watch.failed_at = None
-        watch.witnessed_at = None
+        evidence.status = status
+        evidence.answered_at = sent_at
+        evidence.failed_at = None
+        evidence.pooler_report_since = None
 
-    def on_silence(
-        self, member: str, sent_at: float, is_witnessed: bool
+    def on_probe_failed(
+        self, member: str, sent_at: float, is_pooler_report: bool
     ) -> None:
         """Take a probe that went unanswered."""
-        watch = self.watches[member]
-        if sent_at < watch.answered_at:
+        evidence = self.evidence[member]
+        if sent_at < evidence.answered_at:
             return
-        if watch.failed_at is None:
-            watch.failed_at = sent_at
-        if not is_witnessed:
-            watch.witnessed_at = None
-        elif watch.witnessed_at is None:
-            watch.witnessed_at = sent_at
+        if evidence.failed_at is None:
+            evidence.failed_at = sent_at
+        if not is_pooler_report:
+            evidence.pooler_report_since = None
+        elif evidence.pooler_report_since is None:
+            evidence.pooler_report_since = sent_at
 
     @property
-    def answering(self) -> list[MemberWatch]:
+    def answering(self) -> list[MemberEvidence]:
         """Members whose last probe was answered."""
-        return [w for w in self.watches.values() if w.is_answering]
+        return [e for e in self.evidence.values() if e.is_answering]
 
     @property
     def highest_term(self) -> int:
         """Highest term that any member was heard to know."""
-        statuses = [w.status for w in self.watches.values() if w.status]
+        statuses = [e.status for e in self.evidence.values() if e.status]
         return max((max(s.term, s.fenced_term) for s in statuses), default=0)
 
     @property
     def leader(self) -> MemberStatus | None:
         """Answering member that leads the highest term."""
-        return _highest(w.status for w in self.answering)
+        return _find_highest_leader(e.status for e in self.answering)
 
     @property
     def last_leader(self) -> MemberStatus | None:
         """Member last heard to lead the highest term, answering or not."""
-        return _highest(w.status for w in self.watches.values() if w.status)
+        return _find_highest_leader(
+            e.status for e in self.evidence.values() if e.status
+        )
 
     @property
-    def has_newer_doubt(self) -> bool:
+    def has_primary_contact_loss(self) -> bool:
         """Whether a replica has lost the leader since it answered."""
         leader = self.leader
         if leader is None:
             return True
-        heard_at = self.watches[leader.member].answered_at
+        heard_at = self.evidence[leader.member].answered_at
         return any(
-            w.answered_at > heard_at and w.contact_age_s >= SILENCE_S
-            for w in self.answering
+            e.answered_at > heard_at
+            and e.contact_age_s >= PRIMARY_CONTACT_TIMEOUT_S
+            for e in self.answering
         )
 
     def verdict(self, now: float) -> Verdict:
         """Return what the evidence says at a time."""
-        raw = self._weigh()
-        if raw not in _PATIENCE_S:
-            self._since.clear()
-            return raw
-        since = self._since.setdefault(raw, now)
-        is_due = now - since >= _PATIENCE_S[raw]
-        if raw is Verdict.UNREACHABLE and self._is_witnessed(since, now):
+        current = self._evaluate()
+        if current not in _VERDICT_TIMEOUTS_S:
+            self._verdict_since.clear()
+            return current
+        since = self._verdict_since.setdefault(current, now)
+        is_due = now - since >= _VERDICT_TIMEOUTS_S[current]
+        if current is Verdict.UNREACHABLE and self._is_confirmed_by_poolers(
+            since, now
+        ):
             is_due = True
-        return raw if is_due else Verdict.SUSPECT
-
-    def _is_witnessed(self, since: float, now: float) -> bool:
-        witnessed = [
-            w.witnessed_at is not None
-            and now - max(since, w.witnessed_at) >= WITNESSED_S
-            for w in self._away
+        return current if is_due else Verdict.SUSPECT
+
+    def _is_confirmed_by_poolers(self, since: float, now: float) -> bool:
+        reports = [
+            e.pooler_report_since is not None
+            and now - max(since, e.pooler_report_since)
+            >= POOLER_REPORT_TIMEOUT_S
+            for e in self._unreachable
         ]
-        return all(witnessed)
+        return all(reports)
 
     @property
-    def _away(self) -> list[MemberWatch]:
-        return [w for w in self.watches.values() if not w.is_answering]
+    def _unreachable(self) -> list[MemberEvidence]:
+        return [e for e in self.evidence.values() if not e.is_answering]
 
-    def _weigh(self) -> Verdict:
+    def _evaluate(self) -> Verdict:
         if len(self.answering) < self._majority:
             return Verdict.CUT_OFF
         leader = self.leader
         if leader is None:
-            return self._weigh_absence()
+            return self._evaluate_missing_leader()
         if self.highest_term > leader.term:
-            return self._weigh_higher_term(leader)
-        if self._reach_of(leader) < self._majority:
+            return self._evaluate_higher_term(leader)
+        if self._count_connected(leader) < self._majority:
             return Verdict.ISOLATED
         return Verdict.HEALTHY
 
-    def _weigh_higher_term(self, leader: MemberStatus) -> Verdict:
+    def _evaluate_higher_term(self, leader: MemberStatus) -> Verdict:
         known = self.last_leader
         if known is not None and known.term > leader.term:
-            return self._weigh_absence()
+            return self._evaluate_missing_leader()
         return Verdict.DISPUTED
 
-    def _weigh_absence(self) -> Verdict:
-        away = self._away
-        if not away:
+    def _evaluate_missing_leader(self) -> Verdict:
+        unreachable = self._unreachable
+        if not unreachable:
             return Verdict.LEADERLESS
-        if any(w.failed_at is None for w in away):
+        if any(e.failed_at is None for e in unreachable):
             return Verdict.SUSPECT
         # An observer that is cut off itself misses its answers one by
         # one: those from before the first loss prove no majority.
-        first_failed_at = min(w.failed_at for w in away)
-        if any(w.answered_at < first_failed_at for w in self.answering):
+        first_failed_at = min(e.failed_at for e in unreachable)
+        if any(e.answered_at < first_failed_at for e in self.answering):
             return Verdict.SUSPECT
-        if all(w.contact_age_s >= SILENCE_S for w in self.answering):
+        if all(
+            e.contact_age_s >= PRIMARY_CONTACT_TIMEOUT_S
+            for e in self.answering
+        ):
             return Verdict.SILENT
         return Verdict.UNREACHABLE
 
-    def _reach_of(self, leader: MemberStatus) -> int:
+    def _count_connected(self, leader: MemberStatus) -> int:
         cut_off = [
-            w
-            for w in self.answering
-            if w.status.member != leader.member
-            and w.contact_age_s >= SILENCE_S
+            e
+            for e in self.answering
+            if e.status.member != leader.member
+            and e.contact_age_s >= PRIMARY_CONTACT_TIMEOUT_S
         ]
-        return len(self.watches) - len(cut_off)
+        return len(self.evidence) - len(cut_off)
 
 
-_PATIENCE_S = {
-    Verdict.ISOLATED: ISOLATED_S,
-    Verdict.DISPUTED: DISPUTED_S,
-    Verdict.LEADERLESS: LEADERLESS_S,
-    Verdict.UNREACHABLE: UNREACHABLE_S,
+_VERDICT_TIMEOUTS_S = {
+    Verdict.ISOLATED: ISOLATED_TIMEOUT_S,
+    Verdict.DISPUTED: DISPUTED_TIMEOUT_S,
+    Verdict.LEADERLESS: LEADERLESS_TIMEOUT_S,
+    Verdict.UNREACHABLE: UNREACHABLE_TIMEOUT_S,
 }
 
 
-def _highest(statuses: Iterable[MemberStatus]) -> MemberStatus | None:
+def _find_highest_leader(
+    statuses: Iterable[MemberStatus],
+) -> MemberStatus | None:
     leaders = [s for s in statuses if s.is_primary]
     return max(leaders, key=lambda s: s.term, default=None)
--- a/packages/core/src/trefoilpulley_core/coordination/duty.py
+++ b/packages/core/src/trefoilpulley_core/coordination/duty.py
@@ -26,28 +26,28 @@
 RENEW_S = 1.0
 """Time between two renewals."""
 
-READ_S = 1.0
+READ_INTERVAL_S = 1.0
 """Time between two reads of a duty by its first successors."""
 
-CONFIRM_S = 0.25
+CONFIRM_INTERVAL_S = 0.25
 """Time between two reads of a duty that was found free."""
 
-RETRY_S = 0.5
+LEASE_RETRY_INTERVAL_S = 0.5
 """Time between two attempts to get a lease."""
 
-OUTAGE_S = 2.0
+OUTAGE_TIMEOUT_S = 2.0
 """Time without an answer after which the service counts as out."""
 
-EVIDENCE_S = 3.0
+MAX_FAILURE_AGE_S = 3.0
 """Age above which a failed call says nothing of the present."""
 
-RELEASE_WAIT_S = 5.0
+REACQUIRE_DELAY_S = 5.0
 """Time for which a host leaves a duty to others that it gave back."""
 
-RELEASE_S = 300.0
+RELEASE_DELAY_S = 300.0
 """Time for which another host must be first before it gets the duty."""
 
-RELEASE_AT_HOME_S = 5.0
+HOME_ZONE_RELEASE_DELAY_S = 5.0
 """The same for a holder in the zone of the shard's home primaries.
 
 A zone that fails would take primary and coordinator at once, and the
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakeDuty:
+class AcquireDuty:
     """Takes a duty that nobody has."""
 
     shard: int
@@ -101,7 +101,7 @@
     """Revision at which it was taken."""
 
 
-DutyCommand = GrantLease | KeepAlive | ReadDuty | TakeDuty | ReleaseDuty
+DutyCommand = GrantLease | KeepAlive | ReadDuty | AcquireDuty | ReleaseDuty
 """Call to the platform's service."""
 
 
@@ -121,13 +121,13 @@
     read_at: float = float('-inf')
     """Time of the last call, in seconds."""
 
-    absences: int = 0
+    vacant_reads: int = 0
     """Reads in a row that found no holder."""
 
     outranked_since: float | None = None
     """Time since which another host comes first."""
 
-    is_standing_in: bool = False
+    is_outage_coordinator: bool = False
     """Whether this process has acted in the present outage."""
 
 
@@ -178,9 +178,11 @@
             return False
         if view.revision and now < self._lease_until:
             return True
-        if not self._is_outage(now):
+        if not self._is_service_out(now):
             return False
-        return view.is_standing_in or self._stands_in(shard, view)
+        return view.is_outage_coordinator or self._elect_outage_coordinator(
+            shard, view
+        )
 
     def on_tick(
         self,
@@ -193,12 +195,12 @@
             self._hosts = hosts
             self._live = frozenset(h.name for h in hosts)
         self.succession.update(hosts, databases)
-        self._take_interest()
+        self._update_views()
         if self.is_service_up:
             self._end_outage()
-        out = self._tend_lease(now)
+        out = self._maintain_lease(now)
         for shard, view in self.views.items():
-            out += self._tend(shard, view, now)
+            out += self._maintain_duty(shard, view, now)
         return out
 
     def on_lease(self, lease_id: int, ttl_s: float, sent_at: float) -> None:
@@ -222,7 +224,7 @@
         """Take a call for a lease that went unanswered."""
         self.on_failure(sent_at, now)
         self._is_leasing = False
-        self._renewed_at = now - RENEW_S + RETRY_S
+        self._renewed_at = now - RENEW_S + LEASE_RETRY_INTERVAL_S
 
     def on_read(
         self,
@@ -239,12 +241,12 @@
             return
         view.is_pending = False
         view.holder = holder or view.holder
-        view.absences = 0 if holder else view.absences + 1
+        view.vacant_reads = 0 if holder else view.vacant_reads + 1
         is_own = holder == self._holder and lease_id == self._lease_id
         view.revision = revision if is_own else 0
 
-    def on_taken(self, shard: int, revision: int, sent_at: float) -> None:
-        """Take the success of `TakeDuty`."""
+    def on_acquired(self, shard: int, revision: int, sent_at: float) -> None:
+        """Take the success of `AcquireDuty`."""
         self.on_read(shard, self._holder, self._lease_id, revision, sent_at)
 
     def on_call_failed(
@@ -268,7 +270,7 @@
         if sent_at >= self._answered_at:
             self._failed_at = now
 
-    def _take_interest(self) -> None:
+    def _update_views(self) -> None:
         wanted = self.succession.shards_of(self._host)
         for shard in wanted - self.views.keys():
             self.views[shard] = DutyView()
@@ -278,22 +280,22 @@
 
     def _end_outage(self) -> None:
         for view in self.views.values():
-            view.is_standing_in = False
+            view.is_outage_coordinator = False
 
-    def _is_outage(self, now: float) -> bool:
-        if self.is_service_up or now - self._failed_at > EVIDENCE_S:
+    def _is_service_out(self, now: float) -> bool:
+        if self.is_service_up or now - self._failed_at > MAX_FAILURE_AGE_S:
             return False
-        return now - self._answered_at >= OUTAGE_S
+        return now - self._answered_at >= OUTAGE_TIMEOUT_S
 
-    def _stands_in(self, shard: int, view: DutyView) -> bool:
+    def _elect_outage_coordinator(self, shard: int, view: DutyView) -> bool:
         host = host_of(view.holder)
         if host not in self._live:
             ranked = self.succession.ranking(shard)
             host = next((h for h in ranked if h in self._live), '')
-        view.is_standing_in = host == self._host
-        return view.is_standing_in
+        view.is_outage_coordinator = host == self._host
+        return view.is_outage_coordinator
 
-    def _tend_lease(self, now: float) -> tuple[DutyCommand, ...]:
+    def _maintain_lease(self, now: float) -> tuple[DutyCommand, ...]:
         if self._is_leasing or now < self._renewed_at + RENEW_S:
             return ()
         if self._lease_id:
@@ -304,21 +306,21 @@
         self._is_leasing = True
         return (GrantLease(LEASE_TTL_S),)
 
-    def _tend(
+    def _maintain_duty(
         self, shard: int, view: DutyView, now: float
     ) -> tuple[DutyCommand, ...]:
         if view.is_pending:
             return ()
         if view.revision:
-            return self._tend_held(shard, view, now)
+            return self._maintain_held_duty(shard, view, now)
         if self._is_claimable(shard, view) and now < self._lease_until:
-            view.absences = 0
-            return self._call(view, TakeDuty(shard, self._lease_id), now)
+            view.vacant_reads = 0
+            return self._call(view, AcquireDuty(shard, self._lease_id), now)
         if now < view.read_at + self._read_interval_s(shard, view):
             return ()
         return self._call(view, ReadDuty(shard), now)
 
-    def _tend_held(
+    def _maintain_held_duty(
         self, shard: int, view: DutyView, now: float
     ) -> tuple[DutyCommand, ...]:
         if self.succession.rank(shard, self._host) == 0:
@@ -326,18 +328,18 @@
             return ()
         if view.outranked_since is None:
             view.outranked_since = now
-        if now - view.outranked_since < self._release_s(shard):
+        if now - view.outranked_since < self._release_delay_s(shard):
             return ()
         revision, view.revision = view.revision, 0
         view.outranked_since = None
         out = self._call(view, ReleaseDuty(shard, revision), now)
-        view.read_at = now + RELEASE_WAIT_S
+        view.read_at = now + REACQUIRE_DELAY_S
         return out
 
-    def _release_s(self, shard: int) -> float:
-        if self.succession.is_at_home(shard, self._host):
-            return RELEASE_AT_HOME_S
-        return RELEASE_S
+    def _release_delay_s(self, shard: int) -> float:
+        if self.succession.is_in_home_zone(shard, self._host):
+            return HOME_ZONE_RELEASE_DELAY_S
+        return RELEASE_DELAY_S
 
     def _call(
         self, view: DutyView, command: DutyCommand, now: float
@@ -347,9 +349,11 @@
         return (command,)
 
     def _is_claimable(self, shard: int, view: DutyView) -> bool:
-        return view.absences > self.succession.rank(shard, self._host)
+        return view.vacant_reads > self.succession.rank(shard, self._host)
 
     def _read_interval_s(self, shard: int, view: DutyView) -> float:
-        if view.absences:
-            return CONFIRM_S
-        return READ_S * max(1, self.succession.rank(shard, self._host))
+        if view.vacant_reads:
+            return CONFIRM_INTERVAL_S
+        return READ_INTERVAL_S * max(
+            1, self.succession.rank(shard, self._host)
+        )
--- a/packages/core/src/trefoilpulley_core/coordination/edits.py
+++ b/packages/core/src/trefoilpulley_core/coordination/edits.py
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForgetRelapses(RecordEdit):
+class ResetRelapses(RecordEdit):
     """Ends the growth of the hold-down after a quiet time."""
 
     def apply(self, record: DatabaseRecord) -> DatabaseRecord:
--- a/packages/core/src/trefoilpulley_core/coordination/handover.py
+++ b/packages/core/src/trefoilpulley_core/coordination/handover.py
@@ -35,22 +35,22 @@
     from trefoilpulley_core.coordination.shard import HandoverRecord
     from trefoilpulley_core.upstream import MemberStatus
 
-HOLD_S = 0.2
+MAX_WRITE_PAUSE_S = 0.2
 """Longest hold of writes; the pooler ends it by itself."""
 
-SWITCH_S = 0.08
+SWITCH_RESERVE_S = 0.08
 """Part of the hold kept for the switch, once the logs are equal."""
 
-STORE_DEADLINE_S = 2.0
+STORE_TIMEOUT_S = 2.0
 """Time for a step's record to be stored."""
 
-WARM_S = 0.5
+WARMUP_S = 0.5
 """Time given to the target for its connections."""
 
 STEP_TIMEOUT_S = 0.1
 """Longest wait for the reply to one step."""
 
-STEP_RETRY_S = 0.01
+STEP_RETRY_INTERVAL_S = 0.01
 """Time between two looks at the running writes and the logs."""
 
 
@@ -77,7 +77,7 @@
         Source, target and identifier.
     now : float
         Monotonic time in seconds.
-    hold_s : float
+    max_pause_s : float
         Longest hold of writes.
     """
 
@@ -86,11 +86,11 @@
         entry: DatabaseEntry,
         record: HandoverRecord,
         now: float,
-        hold_s: float = HOLD_S,
+        max_pause_s: float = MAX_WRITE_PAUSE_S,
     ) -> None:
         self._entry = entry
-        self._hold_s = hold_s
-        self._deadline = now + STORE_DEADLINE_S
+        self._max_pause_s = max_pause_s
+        self._deadline = now + STORE_TIMEOUT_S
         self._next_at = now
         self._paused_at: float | None = None
         self._compared_at = now
@@ -120,11 +120,11 @@
         self.outcome = reason
         was_paused = self._paused_at is not None
         self.stage = HandoverStage.ABANDONED
-        return (self._resume(),) if was_paused else ()
+        return (self._resume_writes(),) if was_paused else ()
 
-    def release(self) -> Commands:
+    def resume_writes(self) -> Commands:
         """End the hold of writes after the switch."""
-        return (self._resume(),)
+        return (self._resume_writes(),)
 
     def on_record(self, record: DatabaseRecord, now: float) -> Commands:
         """Take the record as the service holds it."""
@@ -134,17 +134,17 @@
         if current is None or current.handover_id != self.record.handover_id:
             return self.abandon('superseded')
         if self.stage is HandoverStage.RECORDING:
-            return self._warm(now)
-        is_marked = current.step is HandoverStep.SWITCHING
-        if self.stage is HandoverStage.MARKING and is_marked:
-            return self._drain(now)
+            return self._warm_target(now)
+        is_switch_recorded = current.step is HandoverStep.SWITCHING
+        if self.stage is HandoverStage.MARKING and is_switch_recorded:
+            return self._begin_drain(now)
         return ()
 
     def on_tick(self, now: float) -> Commands:
         """Move on, or give up where a step took too long."""
         match self.stage:
             case HandoverStage.WARMING if now >= self._next_at:
-                return self._mark(now)
+                return self._record_switch(now)
             case HandoverStage.DRAINING | HandoverStage.COMPARING:
                 return self._continue_switch(now)
             case HandoverStage.RECORDING | HandoverStage.MARKING:
@@ -160,42 +160,42 @@
             return self._on_compare_reply(done)
         return ()
 
-    def _warm(self, now: float) -> Commands:
+    def _warm_target(self, now: float) -> Commands:
         self.stage = HandoverStage.WARMING
-        self._next_at = now + WARM_S
+        self._next_at = now + WARMUP_S
         member = self._entry.find_member(self.record.target)
         count = max(member.slots, member.connections // 2)
         message = WarmConnections(member.name, count)
         return (self._call(member.name, message),)
 
-    def _mark(self, now: float) -> Commands:
+    def _record_switch(self, now: float) -> Commands:
         self.stage = HandoverStage.MARKING
-        self._deadline = now + STORE_DEADLINE_S
+        self._deadline = now + STORE_TIMEOUT_S
         self.record = replace(self.record, step=HandoverStep.SWITCHING)
         return (EditRecord(PutHandover(self._entry.name, self.record)),)
 
-    def _drain(self, now: float) -> Commands:
+    def _begin_drain(self, now: float) -> Commands:
         self.stage = HandoverStage.DRAINING
         self._pending.clear()
         self._paused_at = now
-        return self._pause(now)
+        return self._pause_writes(now)
 
-    def _pause(self, now: float) -> Commands:
-        self._next_at = now + STEP_RETRY_S
+    def _pause_writes(self, now: float) -> Commands:
+        self._next_at = now + STEP_RETRY_INTERVAL_S
         source = self.record.source
-        left_s = self._hold_s - (now - self._paused_at)
-        hold_ms = max(1, round(left_s * 1000))
-        message = PauseWrites(source, self.record.handover_id, hold_ms)
+        left_s = self._max_pause_s - (now - self._paused_at)
+        max_pause_ms = max(1, round(left_s * 1000))
+        message = PauseWrites(source, self.record.handover_id, max_pause_ms)
         return (self._call(source, message),)
 
     def _continue_switch(self, now: float) -> Commands:
-        if now >= self._paused_at + self._hold_s - SWITCH_S:
+        if now >= self._paused_at + self._max_pause_s - SWITCH_RESERVE_S:
             return self.abandon('writes did not drain')
         if self._pending or now < self._next_at:
             return ()
         if self.stage is HandoverStage.DRAINING:
-            return self._pause(now)
-        return self._compare(now)
+            return self._pause_writes(now)
+        return self._compare_logs(now)
 
     def _on_drain_reply(self, done: CallDone, now: float) -> Commands:
         message = done.call.message
@@ -207,13 +207,13 @@
         match done.result:
             case Success(PauseReport(writes_running=0)):
                 self.stage = HandoverStage.COMPARING
-                return self._compare(now)
+                return self._compare_logs(now)
             case Success():
                 return ()
         return self.abandon('source does not answer')
 
-    def _compare(self, now: float) -> Commands:
-        self._next_at = now + STEP_RETRY_S
+    def _compare_logs(self, now: float) -> Commands:
+        self._next_at = now + STEP_RETRY_INTERVAL_S
         self._compared_at = now
         self._statuses.clear()
         self._pending.clear()
@@ -242,7 +242,7 @@
             return False
         return source.history.last == target.history.last
 
-    def _resume(self) -> CallMember:
+    def _resume_writes(self) -> CallMember:
         source = self.record.source
         message = ResumeWrites(source, self.record.handover_id)
         return CallMember(self._entry.name, source, message, STEP_TIMEOUT_S)
--- a/packages/core/src/trefoilpulley_core/coordination/layout.py
+++ b/packages/core/src/trefoilpulley_core/coordination/layout.py
@@ -34,7 +34,7 @@
     return next(staying, entry.members[0])
 
 
-def preference(entry: DatabaseEntry, stopped: frozenset[str]) -> list[str]:
+def ranked_members(entry: DatabaseEntry, stopped: frozenset[str]) -> list[str]:
     """Return the members' names, the most wanted primary first."""
     ranked = sorted(entry.members, key=lambda m: is_departing(m, stopped))
     return [m.name for m in ranked]
--- a/packages/core/src/trefoilpulley_core/coordination/polling.py
+++ b/packages/core/src/trefoilpulley_core/coordination/polling.py
@@ -16,13 +16,13 @@
     from trefoilpulley_core.coordination.commands import CallDone
     from trefoilpulley_core.coordination.commands import Commands
 
-MIN_INTERVAL_S = 0.3
+MIN_PROBE_INTERVAL_S = 0.3
 """Time between two probes of a member where few are watched."""
 
 MEMBER_INTERVAL_S = 0.15
 """Time between two probes of any member by one coordinator."""
 
-URGENT_INTERVAL_S = 0.1
+URGENT_PROBE_INTERVAL_S = 0.1
 """Time between two probes of a member under suspicion."""
 
 PROBE_TIMEOUT_S = 0.25
@@ -37,10 +37,10 @@
     member_count : int
         Members that this process watches.
     """
-    return max(MIN_INTERVAL_S, member_count * MEMBER_INTERVAL_S)
+    return max(MIN_PROBE_INTERVAL_S, member_count * MEMBER_INTERVAL_S)
 
 
-class Polling:
+class ProbeSchedule:
     """Probes the members of one database in turn.
 
     Parameters
@@ -62,7 +62,7 @@
     def on_tick(self, interval_s: float, now: float) -> Commands:
         """Return the probes that are due."""
         if self.is_urgent:
-            interval_s = min(interval_s, URGENT_INTERVAL_S)
+            interval_s = min(interval_s, URGENT_PROBE_INTERVAL_S)
         due = [m for m in self._members if self._is_due(m, interval_s, now)]
         return tuple(self._probe(m, interval_s, now) for m in due)
 
@@ -82,7 +82,7 @@
         return probed_at is not None and now >= probed_at + interval_s
 
     def _probe(self, member: str, interval_s: float, now: float) -> CallMember:
-        self._spread(member, interval_s, now)
+        self._schedule_next(member, interval_s, now)
         self._probed_at[member] = now
         self._pending.add(member)
         return CallMember(
@@ -93,12 +93,14 @@
             Purpose.PROBE,
         )
 
-    def _spread(self, member: str, interval_s: float, now: float) -> None:
+    def _schedule_next(
+        self, member: str, interval_s: float, now: float
+    ) -> None:
         if self.is_urgent:
             self._due_at[member] = now + interval_s
             return
         # Fixed phases keep the members apart, whatever held a probe up.
-        place = self._members.index(member) / len(self._members)
-        phase_s = interval_s * (place + self._phase)
-        rounds = math.floor((now - phase_s) / interval_s) + 1
-        self._due_at[member] = rounds * interval_s + phase_s
+        offset = self._members.index(member) / len(self._members)
+        phase_s = interval_s * (offset + self._phase)
+        periods = math.floor((now - phase_s) / interval_s) + 1
+        self._due_at[member] = periods * interval_s + phase_s
--- a/packages/core/src/trefoilpulley_core/coordination/promotion.py
+++ b/packages/core/src/trefoilpulley_core/coordination/promotion.py
@@ -31,19 +31,19 @@
 CALL_TIMEOUT_S = 0.3
 """Longest wait for the reply to one step."""
 
-RETRY_S = 0.1
+STEP_RETRY_INTERVAL_S = 0.1
 """Time after which an unanswered step is repeated."""
 
-CONFIRM_RETRY_S = 0.02
+CONFIRM_INTERVAL_S = 0.02
 """Time between two looks at the copies of the first record."""
 
-EXTRA_WAIT_S = 0.03
+MAX_EXTRA_FENCE_WAIT_S = 0.03
 """Wait for more than a majority, so that the longest log is found."""
 
-PROMOTE_DEADLINE_S = 2.0
+PROMOTE_TIMEOUT_S = 2.0
 """Time until a primary must lead, else another term is used."""
 
-CONFIRM_DEADLINE_S = 5.0
+CONFIRM_TIMEOUT_S = 5.0
 """Time until the first record must have its copies."""
 
 
@@ -95,7 +95,7 @@
         self._entry = entry
         self._preference = preference
         self._began_at = now
-        self._deadline = now + PROMOTE_DEADLINE_S
+        self._deadline = now + PROMOTE_TIMEOUT_S
         self._majority_at: float | None = None
         self._fenced: dict[str, MemberStatus] = {}
         self._following: set[str] = set()
@@ -107,7 +107,7 @@
         self.is_planned = is_planned
         """Whether a handover asks for it."""
 
-        self.is_announced = False
+        self.is_primary_recorded = False
         """Whether the new primary has been made known."""
 
         self.stage = PromotionStage.FENCING
@@ -198,12 +198,17 @@
             return False
         if len(self._fenced) == len(self._entry.members):
             return True
-        return not self._pending or now >= self._majority_at + EXTRA_WAIT_S
+        return (
+            not self._pending
+            or now >= self._majority_at + MAX_EXTRA_FENCE_WAIT_S
+        )
 
     def _most_advanced(self) -> str:
         end = max(s.history.last for s in self._fenced.values())
-        ties = [m for m, s in self._fenced.items() if s.history.last == end]
-        return min(ties, key=self._preference.index)
+        candidates = [
+            m for m, s in self._fenced.items() if s.history.last == end
+        ]
+        return min(candidates, key=self._preference.index)
 
     def _on_promoting(self, status: MemberStatus, now: float) -> Commands:
         if status.member != self.primary:
@@ -211,7 +216,7 @@
         if not status.is_primary or status.term != self.term:
             return ()
         self.stage = PromotionStage.CONFIRMING
-        self._deadline = now + CONFIRM_DEADLINE_S
+        self._deadline = now + CONFIRM_TIMEOUT_S
         return self._follow(now) + self._confirm(now)
 
     def _on_confirming(self, status: MemberStatus) -> Commands:
@@ -233,11 +238,11 @@
         return tuple(
             self._call(m, FenceMember(m, self.term), now)
             for m in missing
-            if self._is_due(m, RETRY_S, now)
+            if self._is_due(m, STEP_RETRY_INTERVAL_S, now)
         )
 
     def _promote(self, now: float) -> Commands:
-        if not self._is_due(self.primary, RETRY_S, now):
+        if not self._is_due(self.primary, STEP_RETRY_INTERVAL_S, now):
             return ()
         message = PromoteMember(self.primary, self.term)
         return (self._call(self.primary, message, now),)
@@ -251,11 +256,11 @@
         return tuple(
             self._call(m, FollowMember(m, self.term, self.primary), now)
             for m in others
-            if self._is_due(m, RETRY_S, now)
+            if self._is_due(m, STEP_RETRY_INTERVAL_S, now)
         )
 
     def _confirm(self, now: float) -> Commands:
-        if not self._is_due(self.primary, CONFIRM_RETRY_S, now):
+        if not self._is_due(self.primary, CONFIRM_INTERVAL_S, now):
             return ()
         return (self._call(self.primary, GetStatus(self.primary), now),)
 
--- a/packages/core/src/trefoilpulley_core/coordination/return_policy.py
+++ b/packages/core/src/trefoilpulley_core/coordination/return_policy.py
@@ -5,48 +5,48 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from trefoilpulley_core.coordination.detection import SILENCE_S
-from trefoilpulley_core.coordination.handover import HOLD_S
+from trefoilpulley_core.coordination.detection import PRIMARY_CONTACT_TIMEOUT_S
+from trefoilpulley_core.coordination.handover import MAX_WRITE_PAUSE_S
 from trefoilpulley_core.coordination.layout import desired_primary
 from trefoilpulley_core.coordination.layout import is_departing
 
 if TYPE_CHECKING:
     from trefoilpulley_core.catalog import DatabaseEntry
-    from trefoilpulley_core.coordination.detection import Detector
-    from trefoilpulley_core.coordination.detection import MemberWatch
+    from trefoilpulley_core.coordination.detection import FailureDetector
+    from trefoilpulley_core.coordination.detection import MemberEvidence
     from trefoilpulley_core.coordination.shard import DatabaseRecord
     from trefoilpulley_core.position import Position
     from trefoilpulley_core.upstream import MemberStatus
 
-RETURN_HOLD_S = 5.0
+RETURN_HOLD_DOWN_S = 5.0
 """Time for which the home primary must be steady before a return."""
 
-DEPARTURE_HOLD_S = 0.3
+DEPARTURE_HOLD_DOWN_S = 0.3
 """The same where the present primary is about to stop."""
 
-DOUBLINGS_LIMIT = 6
+MAX_RETURN_DOUBLINGS = 6
 """Relapses after which the hold-down of a return grows no further."""
 
-DEPARTURE_DOUBLINGS_LIMIT = 2
+MAX_DEPARTURE_DOUBLINGS = 2
 """The same where the present primary is about to stop."""
 
-PAUSE_DOUBLINGS_LIMIT = 3
+MAX_PAUSE_DOUBLINGS = 3
 """Failed handovers of a stopping primary that lengthen its pause."""
 
-CAUGHT_UP_S = 0.3
+MAX_RETURN_LAG_S = 0.3
 """Greatest lag of a member that may take the lead."""
 
-DEPARTURE_CAUGHT_UP_S = 1.0
+MAX_DEPARTURE_LAG_S = 1.0
 """The same where the present primary is about to stop."""
 
-QUIET_S = 600.0
+RELAPSE_RESET_S = 600.0
 """Time in the wanted layout after which relapses are forgotten."""
 
-PAST_KEPT = 64
+MAX_LEADER_POSITIONS = 64
 """Positions of the primary that are kept to judge the lag."""
 
 
-class ReturnPolicy:
+class HandoverPolicy:
     """Judges which member should take the lead, and when.
 
     Parameters
@@ -57,9 +57,11 @@
 
     def __init__(self, entry: DatabaseEntry) -> None:
         self._entry = entry
-        self._past: deque[tuple[float, Position]] = deque(maxlen=PAST_KEPT)
+        self._leader_positions: deque[tuple[float, Position]] = deque(
+            maxlen=MAX_LEADER_POSITIONS
+        )
         self._steady_since: dict[str, float] = {}
-        self._quiet_since: float | None = None
+        self._stable_since: float | None = None
 
     def is_wanted(
         self, target: str, source: str, stopped: frozenset[str]
@@ -67,40 +69,42 @@
         """Return whether the declarations still ask for a handover."""
         return target in self._targets(source, stopped)
 
-    def is_quiet(
+    def is_layout_stable(
         self, leader: MemberStatus, stopped: frozenset[str], now: float
     ) -> bool:
         """Return whether the wanted layout has held for long."""
-        wanted = desired_primary(self._entry, stopped).name
-        if leader.member != wanted:
-            self._quiet_since = None
+        desired = desired_primary(self._entry, stopped).name
+        if leader.member != desired:
+            self._stable_since = None
             return False
-        if self._quiet_since is None:
-            self._quiet_since = now
-        return now - self._quiet_since >= QUIET_S
+        if self._stable_since is None:
+            self._stable_since = now
+        return now - self._stable_since >= RELAPSE_RESET_S
 
     def choose_target(
         self,
-        detector: Detector,
+        detector: FailureDetector,
         record: DatabaseRecord,
         stopped: frozenset[str],
         now: float,
     ) -> str | None:
         """Return the member that should take the lead now, or ``None``."""
         leader = detector.leader
-        self._note_leader(detector.watches[leader.member])
-        hold_s = self._hold_s(leader.member, record, stopped)
+        self._record_leader_position(detector.evidence[leader.member])
+        hold_down_s = self._hold_down_s(leader.member, record, stopped)
         targets = self._targets(leader.member, stopped)
-        lag_s = self._lag_s(leader.member, stopped)
+        max_lag_s = self._max_lag_s(leader.member, stopped)
         steady = (
             name
             for name in targets
-            if self._steady_for(detector.watches[name], leader, lag_s, now)
-            >= hold_s
+            if self._steady_duration_s(
+                detector.evidence[name], leader, max_lag_s, now
+            )
+            >= hold_down_s
         )
         return next(steady, None)
 
-    def pause_s(
+    def max_pause_s(
         self, source: str, record: DatabaseRecord, stopped: frozenset[str]
     ) -> float:
         """Return the longest hold of writes that a handover may take.
@@ -109,15 +113,17 @@
         replicas lag: a longer pause cuts nothing, a failover might.
         """
         if not self._is_departing(source, stopped):
-            return HOLD_S
-        return HOLD_S * 2 ** min(record.relapses, PAUSE_DOUBLINGS_LIMIT)
+            return MAX_WRITE_PAUSE_S
+        return MAX_WRITE_PAUSE_S * 2 ** min(
+            record.relapses, MAX_PAUSE_DOUBLINGS
+        )
 
     def _targets(self, source: str, stopped: frozenset[str]) -> list[str]:
-        wanted = desired_primary(self._entry, stopped).name
-        if source == wanted:
+        desired = desired_primary(self._entry, stopped).name
+        if source == desired:
             return []
         if not self._is_departing(source, stopped):
-            return [wanted]
+            return [desired]
         return [
             m.name for m in self._entry.members if not is_departing(m, stopped)
         ]
@@ -125,48 +131,60 @@
     def _is_departing(self, name: str, stopped: frozenset[str]) -> bool:
         return is_departing(self._entry.find_member(name), stopped)
 
-    def _lag_s(self, source: str, stopped: frozenset[str]) -> float:
+    def _max_lag_s(self, source: str, stopped: frozenset[str]) -> float:
         if self._is_departing(source, stopped):
-            return DEPARTURE_CAUGHT_UP_S
-        return CAUGHT_UP_S
+            return MAX_DEPARTURE_LAG_S
+        return MAX_RETURN_LAG_S
 
-    def _hold_s(
+    def _hold_down_s(
         self, source: str, record: DatabaseRecord, stopped: frozenset[str]
     ) -> float:
         if self._is_departing(source, stopped):
-            doublings = min(record.relapses, DEPARTURE_DOUBLINGS_LIMIT)
-            return DEPARTURE_HOLD_S * 2**doublings
-        return RETURN_HOLD_S * 2 ** min(record.relapses, DOUBLINGS_LIMIT)
+            doublings = min(record.relapses, MAX_DEPARTURE_DOUBLINGS)
+            return DEPARTURE_HOLD_DOWN_S * 2**doublings
+        return RETURN_HOLD_DOWN_S * 2 ** min(
+            record.relapses, MAX_RETURN_DOUBLINGS
+        )
 
-    def _note_leader(self, watch: MemberWatch) -> None:
-        if not self._past or self._past[-1][0] < watch.answered_at:
-            self._past.append((watch.answered_at, watch.status.history.last))
+    def _record_leader_position(self, evidence: MemberEvidence) -> None:
+        if (
+            not self._leader_positions
+            or self._leader_positions[-1][0] < evidence.answered_at
+        ):
+            self._leader_positions.append(
+                (evidence.answered_at, evidence.status.history.last)
+            )
 
-    def _steady_for(
+    def _steady_duration_s(
         self,
-        watch: MemberWatch,
+        evidence: MemberEvidence,
         leader: MemberStatus,
-        lag_s: float,
+        max_lag_s: float,
         now: float,
     ) -> float:
-        if not self._is_steady(watch, leader, lag_s):
-            if watch.status is not None:
-                self._steady_since.pop(watch.status.member, None)
+        if not self._is_steady(evidence, leader, max_lag_s):
+            if evidence.status is not None:
+                self._steady_since.pop(evidence.status.member, None)
             return -1.0
-        return now - self._steady_since.setdefault(watch.status.member, now)
+        return now - self._steady_since.setdefault(evidence.status.member, now)
 
     def _is_steady(
-        self, watch: MemberWatch, leader: MemberStatus, lag_s: float
+        self, evidence: MemberEvidence, leader: MemberStatus, max_lag_s: float
     ) -> bool:
-        if not watch.is_answering or watch.status.term != leader.term:
+        if not evidence.is_answering or evidence.status.term != leader.term:
             return False
-        if watch.status.primary_contact_age_ms is None:
+        if evidence.status.primary_contact_age_ms is None:
             return False
-        if watch.status.primary_contact_age_ms / 1000 >= SILENCE_S:
+        if (
+            evidence.status.primary_contact_age_ms / 1000
+            >= PRIMARY_CONTACT_TIMEOUT_S
+        ):
             return False
-        return self._is_caught_up(watch, lag_s)
+        return self._is_caught_up(evidence, max_lag_s)
 
-    def _is_caught_up(self, watch: MemberWatch, lag_s: float) -> bool:
-        limit = watch.answered_at - lag_s
-        older = [p for at, p in self._past if at <= limit]
-        return not older or watch.status.history.last >= older[-1]
+    def _is_caught_up(
+        self, evidence: MemberEvidence, max_lag_s: float
+    ) -> bool:
+        limit = evidence.answered_at - max_lag_s
+        past = [p for at, p in self._leader_positions if at <= limit]
+        return not past or evidence.status.history.last >= past[-1]
--- a/packages/core/src/trefoilpulley_core/coordination/shard.py
+++ b/packages/core/src/trefoilpulley_core/coordination/shard.py
@@ -17,10 +17,10 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.catalog import DatabaseEntry
 
-SHARDS_A_ZONE = 10
+SHARDS_PER_ZONE = 10
 """Shards of the databases whose home primaries share a zone."""
 
-SHARD_NUMBERS = 10_000
+SHARD_NUMBER_COUNT = 10_000
 """Numbers that shards are spread over."""
 
 
@@ -132,6 +132,6 @@
     Databases of one shard share the zone of their home primary, so that
     its coordinator can be near to them and outside that zone.
     """
-    part = xxhash.xxh3_64_intdigest(entry.name.encode()) % SHARDS_A_ZONE
+    part = xxhash.xxh3_64_intdigest(entry.name.encode()) % SHARDS_PER_ZONE
     name = f'{entry.members[0].zone}#{part}'
-    return xxhash.xxh3_64_intdigest(name.encode()) % SHARD_NUMBERS
+    return xxhash.xxh3_64_intdigest(name.encode()) % SHARD_NUMBER_COUNT
--- a/packages/core/src/trefoilpulley_core/coordination/shard_coordinator.py
+++ b/packages/core/src/trefoilpulley_core/coordination/shard_coordinator.py
@@ -19,16 +19,16 @@
 
     from trefoilpulley_core.coordination.commands import CallDone
     from trefoilpulley_core.coordination.commands import Commands
-    from trefoilpulley_core.coordination.database import Surroundings
+    from trefoilpulley_core.coordination.database import TickContext
     from trefoilpulley_core.coordination.edits import RecordEdit
 
-SERVICE_RETRY_S = 0.5
+SERVICE_RETRY_INTERVAL_S = 0.5
 """Time between two attempts while the service does not answer."""
 
-STANDBY_WAKE_S = 0.2
+STANDBY_TICK_S = 0.2
 """Time between two ticks of a process on standby."""
 
-REFRESH_S = 10.0
+STANDBY_REFRESH_INTERVAL_S = 10.0
 """Time between two reads of the records by a process on standby."""
 
 
@@ -76,53 +76,53 @@
         return any(d.is_busy for d in self.databases.values())
 
     @property
-    def wake_s(self) -> float:
+    def tick_interval_s(self) -> float:
         """Time after which the next tick is due."""
         if not self.is_acting:
-            return STANDBY_WAKE_S
-        wakes = (d.wake_s for d in self.databases.values())
-        return min(wakes, default=STANDBY_WAKE_S)
+            return STANDBY_TICK_S
+        intervals = (d.tick_interval_s for d in self.databases.values())
+        return min(intervals, default=STANDBY_TICK_S)
 
     def on_tick(
-        self, around: Sequence[Surroundings], is_acting: bool, now: float
+        self, contexts: Sequence[TickContext], is_acting: bool, now: float
     ) -> Commands:
         """Move every database forward, or keep ready on standby."""
-        self._take_databases(around)
-        self._take_duty(is_acting)
+        self._update_databases(contexts)
+        self._update_duty(is_acting)
         if not self.is_loaded:
             return self._load_when_due(now)
         out: Commands = ()
         if is_acting:
-            for one in around:
-                coordinator = self.databases[one.entry.name]
-                out += coordinator.on_tick(one, now)
+            for context in contexts:
+                coordinator = self.databases[context.entry.name]
+                out += coordinator.on_tick(context, now)
         else:
-            out += self._stand_by(now)
-        return self._carry(out, now)
+            out += self._tick_standby(now)
+        return self._queue_edits(out, now)
 
     def on_call_done(
         self, done: CallDone, is_acting: bool, now: float
     ) -> Commands:
         """Take the outcome of a call to a member."""
-        self._take_duty(is_acting)
+        self._update_duty(is_acting)
         coordinator = self.databases.get(done.call.database)
         if coordinator is None or not is_acting:
             return ()
-        return self._carry(coordinator.on_call_done(done, now), now)
+        return self._queue_edits(coordinator.on_call_done(done, now), now)
 
     def on_loaded(self, value: bytes, revision: int, now: float) -> Commands:
         """Take the records as the service holds them."""
         self._is_loading = False
         self._loaded_at = now
-        return self._take_record(decode_shard(value), revision, now)
+        return self._update_record(decode_shard(value), revision, now)
 
     def on_stored(self, revision: int, now: float) -> Commands:
         """Take the success of a write."""
         stored, self._storing = self._storing, None
         self._loaded_at = now
-        return self._take_record(stored, revision, now)
+        return self._update_record(stored, revision, now)
 
-    def on_store_unsure(self, now: float) -> Commands:
+    def on_store_outcome_unknown(self, now: float) -> Commands:
         """Read again after a conflict or a lost answer."""
         self._storing = None
         return self._load()
@@ -131,29 +131,29 @@
         """Try again later."""
         self._storing = None
         self._is_loading = False
-        self._retry_at = now + SERVICE_RETRY_S
+        self._retry_at = now + SERVICE_RETRY_INTERVAL_S
         return ()
 
-    def _take_databases(self, around: Sequence[Surroundings]) -> None:
-        names = {a.entry.name for a in around}
+    def _update_databases(self, contexts: Sequence[TickContext]) -> None:
+        names = {a.entry.name for a in contexts}
         for name in set(self.databases) - names:
             del self.databases[name]
-        for one in around:
-            name = one.entry.name
+        for context in contexts:
+            name = context.entry.name
             if name not in self.databases:
                 self.databases[name] = DatabaseCoordinator(
-                    one.entry, self._holder, self.record.find(name)
+                    context.entry, self._holder, self.record.find(name)
                 )
 
-    def _take_duty(self, is_acting: bool) -> None:
+    def _update_duty(self, is_acting: bool) -> None:
         if self.is_acting and not is_acting:
             self.pending.clear()
             for coordinator in self.databases.values():
-                coordinator.stand_down()
+                coordinator.deactivate()
         self.is_acting = is_acting
 
-    def _stand_by(self, now: float) -> Commands:
-        if now - self._loaded_at >= REFRESH_S:
+    def _tick_standby(self, now: float) -> Commands:
+        if now - self._loaded_at >= STANDBY_REFRESH_INTERVAL_S:
             return self._load_when_due(now)
         records = (self.record.find(name) for name in self.databases)
         return tuple(
@@ -171,14 +171,14 @@
         self._is_loading = True
         return (LoadShard(self.shard),)
 
-    def _carry(self, out: Commands, now: float) -> Commands:
+    def _queue_edits(self, out: Commands, now: float) -> Commands:
         for command in out:
             if isinstance(command, EditRecord):
-                self._put_edit(command.edit)
+                self._add_edit(command.edit)
         rest = tuple(c for c in out if not isinstance(c, EditRecord))
         return rest + self._store(now)
 
-    def _put_edit(self, edit: RecordEdit) -> None:
+    def _add_edit(self, edit: RecordEdit) -> None:
         if edit not in self.pending:
             self.pending.append(edit)
 
@@ -187,11 +187,11 @@
             return ()
         if now < self._retry_at or not self.is_loaded:
             return ()
-        self._storing = self._edited()
+        self._storing = self._edited_record()
         value = encode_shard(self._storing)
         return (StoreShard(self.shard, self._revision, value),)
 
-    def _edited(self) -> ShardRecord:
+    def _edited_record(self) -> ShardRecord:
         edited = self.record
         for edit in self.pending:
             changed = edit.apply(edited.find(edit.database))
@@ -199,17 +199,17 @@
                 edited = edited.with_database(changed)
         return edited
 
-    def _take_record(
+    def _update_record(
         self, record: ShardRecord, revision: int, now: float
     ) -> Commands:
         self.record = record
         self._revision = revision
-        self.pending = [e for e in self.pending if self._changes(e)]
+        self.pending = [e for e in self.pending if self._has_effect(e)]
         out: Commands = ()
         for name, coordinator in self.databases.items():
             out += coordinator.on_record(record.find(name), now)
-        return self._carry(out, now)
+        return self._queue_edits(out, now)
 
-    def _changes(self, edit: RecordEdit) -> bool:
+    def _has_effect(self, edit: RecordEdit) -> bool:
         record = self.record.find(edit.database)
         return edit.apply(record) != record
--- a/packages/core/src/trefoilpulley_core/coordination/succession.py
+++ b/packages/core/src/trefoilpulley_core/coordination/succession.py
@@ -14,10 +14,10 @@
     from trefoilpulley_core.catalog import DatabaseEntry
     from trefoilpulley_core.catalog import HostEntry
 
-SUCCESSORS = 3
+SUCCESSORS_PER_SHARD = 3
 """Hosts that keep ready for a duty."""
 
-SHARDS_RANKED_AT_ONCE = 8
+MAX_SHARDS_PER_TICK = 8
 """Shards whose order is worked out at one tick."""
 
 
@@ -47,15 +47,15 @@
         """Take the present hosts and databases."""
         if tuple(databases) != self._databases:
             self._databases = tuple(databases)
-            self._group()
+            self._group_by_shard()
             self._stale = list(self.members)
         if tuple(hosts) != self._hosts:
             self._hosts = tuple(hosts)
             self._by_zone = _group_by_zone(self._hosts)
             self._stale = list(self.members)
-        for shard in self._stale[:SHARDS_RANKED_AT_ONCE]:
+        for shard in self._stale[:MAX_SHARDS_PER_TICK]:
             self._rankings[shard] = self._rank_hosts(shard)
-        del self._stale[:SHARDS_RANKED_AT_ONCE]
+        del self._stale[:MAX_SHARDS_PER_TICK]
 
     def ranking(self, shard: int) -> tuple[str, ...]:
         """Return the first successors for a duty, the best first."""
@@ -64,46 +64,51 @@
     def rank(self, shard: int, host: str) -> int:
         """Return a host's place in the order, from 0."""
         ranking = self.ranking(shard)
-        return ranking.index(host) if host in ranking else SUCCESSORS
+        return ranking.index(host) if host in ranking else SUCCESSORS_PER_SHARD
 
-    def is_at_home(self, shard: int, host: str) -> bool:
+    def is_in_home_zone(self, shard: int, host: str) -> bool:
         """Return whether a host stands where home primaries do."""
-        homes = {e.members[0].zone for e in self.members.get(shard, ())}
-        return any(h.name == host and h.zone in homes for h in self._hosts)
+        home_zones = {e.members[0].zone for e in self.members.get(shard, ())}
+        return any(
+            h.name == host and h.zone in home_zones for h in self._hosts
+        )
 
     def shards_of(self, host: str) -> set[int]:
         """Return the shards for which a host keeps ready."""
         return {s for s, r in self._rankings.items() if host in r}
 
-    def _group(self) -> None:
+    def _group_by_shard(self) -> None:
         self.members = {}
         for entry in self._databases:
             self.members.setdefault(shard_of(entry), []).append(entry)
-        gone = self._rankings.keys() - self.members.keys()
-        for shard in gone:
+        removed = self._rankings.keys() - self.members.keys()
+        for shard in removed:
             del self._rankings[shard]
 
     def _rank_hosts(self, shard: int) -> tuple[str, ...]:
         entries = self.members[shard]
-        near = {m.zone for e in entries for m in e.members}
-        homes = {e.members[0].zone for e in entries}
+        near_zones = {m.zone for e in entries for m in e.members}
+        home_zones = {e.members[0].zone for e in entries}
         scored = [
             (
-                h.zone not in near,
-                h.zone in homes,
+                h.zone not in near_zones,
+                h.zone in home_zones,
                 _score(shard, h.name),
                 h,
             )
-            for h in self._candidates(near)
+            for h in self._candidates(near_zones)
         ]
         scored.sort(key=lambda s: s[:3])
         ranked = [s[-1] for s in scored]
-        return tuple(h.name for h in _spread_zones(ranked)[:SUCCESSORS])
+        return tuple(
+            h.name
+            for h in _distinct_zones_first(ranked)[:SUCCESSORS_PER_SHARD]
+        )
 
-    def _candidates(self, near: set[str]) -> list[HostEntry]:
+    def _candidates(self, near_zones: set[str]) -> list[HostEntry]:
         # Far hosts come last, so that enough near zones decide alone.
-        zones = self._by_zone.keys() & near
-        if len(zones) < SUCCESSORS:
+        zones = self._by_zone.keys() & near_zones
+        if len(zones) < SUCCESSORS_PER_SHARD:
             zones = self._by_zone.keys()
         return [h for zone in zones for h in self._by_zone[zone]]
 
@@ -121,7 +126,7 @@
     return xxhash.xxh3_64_intdigest(f'{shard}/{host}'.encode())
 
 
-def _spread_zones(ranked: list[HostEntry]) -> list[HostEntry]:
+def _distinct_zones_first(ranked: list[HostEntry]) -> list[HostEntry]:
     first: dict[str, HostEntry] = {}
     for host in ranked:
         first.setdefault(host.zone, host)
--- a/packages/core/src/trefoilpulley_core/coordination/terms.py
+++ b/packages/core/src/trefoilpulley_core/coordination/terms.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.coordination.shard import DatabaseRecord
 
-GRANTS_AHEAD = 3
+TERMS_GRANTED_AHEAD = 3
 """Terms that a process holds ahead for each database of its shards."""
 
-GRANTS_LIMIT = 30
+MAX_GRANTS = 30
 """Grants that a record keeps; the oldest others are dropped first."""
 
 
@@ -38,7 +38,7 @@
 def has_grants(record: DatabaseRecord, holder: str, above: int) -> bool:
     """Return whether a process holds all the terms it should."""
     own = [g for g in record.grants if g.holder == holder and g.term > above]
-    return len(own) >= GRANTS_AHEAD
+    return len(own) >= TERMS_GRANTED_AHEAD
 
 
 def _is_kept(grant: TermGrant, holder: str, term: int) -> bool:
@@ -70,12 +70,12 @@
         A record whose new terms were never granted before.
     """
     own = [g for g in record.grants if g.holder == holder and g.term > above]
-    missing = GRANTS_AHEAD - len(own)
+    missing = TERMS_GRANTED_AHEAD - len(own)
     if missing <= 0:
         return record
     first = max(record.ceiling, record.term, above) + 1
     terms = range(first, first + missing)
     own.extend(TermGrant(term, holder) for term in terms)
     others = [g for g in record.grants if _is_kept(g, holder, record.term)]
-    kept = others[max(0, len(others) + len(own) - GRANTS_LIMIT) :]
+    kept = others[max(0, len(others) + len(own) - MAX_GRANTS) :]
     return replace(record, grants=(*kept, *own), ceiling=terms[-1])
--- a/packages/node/src/trefoilpulley_node/coordination/driver.py
+++ b/packages/node/src/trefoilpulley_node/coordination/driver.py
@@ -14,12 +14,12 @@
 from trefoilpulley_core.coordination.commands import LoadShard
 from trefoilpulley_core.coordination.commands import Notice
 from trefoilpulley_core.coordination.commands import StoreShard
-from trefoilpulley_core.coordination.database import Surroundings
+from trefoilpulley_core.coordination.database import TickContext
 from trefoilpulley_core.coordination.duty import Duty
 from trefoilpulley_core.coordination.layout import stopped_zones
 from trefoilpulley_core.coordination.polling import poll_interval_s
 from trefoilpulley_core.coordination.shard_coordinator import ShardCoordinator
-from trefoilpulley_core.coordination.shard_coordinator import STANDBY_WAKE_S
+from trefoilpulley_core.coordination.shard_coordinator import STANDBY_TICK_S
 from trefoilpulley_core.coordination.terms import holder_name
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_node.coordination.dump import CoordinationState
@@ -113,8 +113,8 @@
     def _run(self) -> None:
         while True:
             self._tick()
-            wakes = (s.wake_s for s in self._shards.values())
-            gevent.sleep(min(wakes, default=STANDBY_WAKE_S))
+            wakes = (s.tick_interval_s for s in self._shards.values())
+            gevent.sleep(min(wakes, default=STANDBY_TICK_S))
 
     def _tick(self) -> None:
         now = self._clock.now()
@@ -148,8 +148,8 @@
 
     def _surroundings(
         self, entry: DatabaseEntry, seen: Situation, interval_s: float
-    ) -> Surroundings:
-        return Surroundings(
+    ) -> TickContext:
+        return TickContext(
             entry,
             stopped_zones(seen.declarations, entry),
             interval_s,
--- a/packages/node/src/trefoilpulley_node/coordination/duty_runner.py
+++ b/packages/node/src/trefoilpulley_node/coordination/duty_runner.py
@@ -7,11 +7,11 @@
 import gevent
 from returns.result import Success
 
+from trefoilpulley_core.coordination.duty import AcquireDuty
 from trefoilpulley_core.coordination.duty import GrantLease
 from trefoilpulley_core.coordination.duty import KeepAlive
 from trefoilpulley_core.coordination.duty import ReadDuty
 from trefoilpulley_core.coordination.duty import ReleaseDuty
-from trefoilpulley_core.coordination.duty import TakeDuty
 from trefoilpulley_core.keys import duty_key
 from trefoilpulley_core.platform import LeaseExpired
 from trefoilpulley_core.platform import RevisionConflict
@@ -81,7 +81,7 @@
                 self._lease(command, sent_at)
             case ReadDuty(shard):
                 self._read(shard, sent_at)
-            case TakeDuty(shard, lease_id):
+            case AcquireDuty(shard, lease_id):
                 self._take(shard, lease_id, sent_at)
             case ReleaseDuty(shard, revision):
                 self._release(shard, revision, sent_at)
@@ -122,7 +122,7 @@
             duty_key(shard), 0, value, lease_id
         )
         if isinstance(taken, Success):
-            self._duty.on_taken(shard, taken.unwrap(), sent_at)
+            self._duty.on_acquired(shard, taken.unwrap(), sent_at)
         else:
             self._on_failed(shard, taken.failure(), sent_at)
 
--- a/packages/node/src/trefoilpulley_node/coordination/shard_store.py
+++ b/packages/node/src/trefoilpulley_node/coordination/shard_store.py
@@ -73,7 +73,7 @@
 
     def tell(self, shard: ShardCoordinator, now: float) -> Commands:
         """Have the records read again."""
-        return shard.on_store_unsure(now)
+        return shard.on_store_outcome_unknown(now)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/standins/src/trefoilpulley_standins/explore_host.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_host.py
@@ -13,16 +13,16 @@
 from trefoilpulley_core.coordination.commands import LoadShard
 from trefoilpulley_core.coordination.commands import Notice
 from trefoilpulley_core.coordination.commands import StoreShard
-from trefoilpulley_core.coordination.database import Surroundings
+from trefoilpulley_core.coordination.database import TickContext
+from trefoilpulley_core.coordination.duty import AcquireDuty
 from trefoilpulley_core.coordination.duty import Duty
 from trefoilpulley_core.coordination.duty import GrantLease
 from trefoilpulley_core.coordination.duty import KeepAlive
 from trefoilpulley_core.coordination.duty import ReadDuty
 from trefoilpulley_core.coordination.duty import ReleaseDuty
-from trefoilpulley_core.coordination.duty import TakeDuty
 from trefoilpulley_core.coordination.layout import stopped_zones
 from trefoilpulley_core.coordination.shard_coordinator import ShardCoordinator
-from trefoilpulley_core.coordination.shard_coordinator import STANDBY_WAKE_S
+from trefoilpulley_core.coordination.shard_coordinator import STANDBY_TICK_S
 from trefoilpulley_core.coordination.terms import holder_name
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_core.keys import duty_key
@@ -120,7 +120,7 @@
         for number in self.duty.views:
             if number not in self.shards:
                 self.shards[number] = ShardCoordinator(number, self.holder)
-        around = Surroundings(
+        around = TickContext(
             world.entry,
             stopped_zones(world.declarations, world.entry),
             is_service_up=self.duty.is_service_up,
@@ -128,8 +128,8 @@
         for number, shard in self.shards.items():
             acts = self.duty.may_act(number, world.now)
             self._carry_out(shard, shard.on_tick((around,), acts, world.now))
-        wakes = (s.wake_s for s in self.shards.values())
-        world.after(min(wakes, default=STANDBY_WAKE_S), self._tick)
+        wakes = (s.tick_interval_s for s in self.shards.values())
+        world.after(min(wakes, default=STANDBY_TICK_S), self._tick)
 
     def _carry_out(
         self, shard: ShardCoordinator, out: tuple[Command, ...]
@@ -212,7 +212,7 @@
                 revision = answer.revision if answer else 0
                 out = shard.on_loaded(value, revision, now)
             elif answer is None:
-                out = shard.on_store_unsure(now)
+                out = shard.on_store_outcome_unknown(now)
             else:
                 out = shard.on_stored(answer, now)
             self._carry_out(shard, out)
@@ -221,7 +221,7 @@
             now = self._world.now
             self.duty.on_failure(sent_at, now)
             if is_unsure and isinstance(command, StoreShard):
-                self._carry_out(shard, shard.on_store_unsure(now))
+                self._carry_out(shard, shard.on_store_outcome_unknown(now))
             else:
                 self._carry_out(shard, shard.on_service_down(now))
 
@@ -236,7 +236,7 @@
         match command:
             case GrantLease() | KeepAlive():
                 self._lease(command)
-            case ReadDuty(shard) | TakeDuty(shard) | ReleaseDuty(shard):
+            case ReadDuty(shard) | AcquireDuty(shard) | ReleaseDuty(shard):
                 self._run_shard_duty(shard, command)
 
     def _lease(self, command: GrantLease | KeepAlive) -> None:
@@ -268,7 +268,7 @@
 
         def serve() -> Any:
             match command:
-                case TakeDuty(_, lease_id):
+                case AcquireDuty(_, lease_id):
                     value = self.holder.encode()
                     return service.swap(key, 0, value, lease_id)
                 case ReleaseDuty(_, revision):
@@ -280,9 +280,9 @@
 
         def take(answer: Any) -> None:
             now = self._world.now
-            if isinstance(command, TakeDuty) and answer is not None:
-                self.duty.on_taken(shard, answer, sent_at)
-            elif isinstance(command, TakeDuty):
+            if isinstance(command, AcquireDuty) and answer is not None:
+                self.duty.on_acquired(shard, answer, sent_at)
+            elif isinstance(command, AcquireDuty):
                 self.duty.on_call_failed(shard, sent_at, True, now)
             elif answer is None:
                 self.duty.on_read(shard, '', 0, 0, sent_at)
--- a/packages/standins/src/trefoilpulley_standins/measure/sizing.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/sizing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from trefoilpulley_core.coordination.polling import poll_interval_s
-from trefoilpulley_core.coordination.shard import SHARDS_A_ZONE
+from trefoilpulley_core.coordination.shard import SHARDS_PER_ZONE
 from trefoilpulley_node.entry.views import REFRESHES_PER_S
 from trefoilpulley_node.pooler.age_prober import IDLE_INTERVAL_S
 from trefoilpulley_standins.member.server import REPORT_INTERVAL_S
@@ -53,7 +53,7 @@
 STATEMENTS_A_HOST = STATEMENTS_PER_S / HOSTS
 """Statements a second that enter at a host."""
 
-SHARDS = SHARDS_A_ZONE * ZONES
+SHARDS = SHARDS_PER_ZONE * ZONES
 """Shards of all databases."""
 
 DATABASES_A_SHARD = DATABASES / SHARDS
--- a/packages/standins/src/trefoilpulley_standins/measure/state.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/state.py
@@ -15,15 +15,15 @@
 from trefoilpulley_core.configuration.document import decode_hosts
 from trefoilpulley_core.configuration.document import encode_databases
 from trefoilpulley_core.configuration.document import encode_hosts
-from trefoilpulley_core.coordination.database import Surroundings
+from trefoilpulley_core.coordination.database import TickContext
 from trefoilpulley_core.coordination.duty import Duty
 from trefoilpulley_core.coordination.shard import DatabaseRecord
 from trefoilpulley_core.coordination.shard import encode_shard
 from trefoilpulley_core.coordination.shard import ShardRecord
-from trefoilpulley_core.coordination.shard import SHARDS_A_ZONE
+from trefoilpulley_core.coordination.shard import SHARDS_PER_ZONE
 from trefoilpulley_core.coordination.shard import TermGrant
 from trefoilpulley_core.coordination.shard_coordinator import ShardCoordinator
-from trefoilpulley_core.coordination.succession import SHARDS_RANKED_AT_ONCE
+from trefoilpulley_core.coordination.succession import MAX_SHARDS_PER_TICK
 from trefoilpulley_core.coordination.succession import Succession
 from trefoilpulley_core.declarations import Declarations
 from trefoilpulley_core.membership.live_hosts import LiveHosts
@@ -65,7 +65,7 @@
 _MS = 1000.0
 _REPEATS = 5
 _TICKS = 50
-_RANKING_TICKS = 2 * SHARDS_A_ZONE * ZONES // SHARDS_RANKED_AT_ONCE
+_RANKING_TICKS = 2 * SHARDS_PER_ZONE * ZONES // MAX_SHARDS_PER_TICK
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,7 +224,7 @@
 def _coordinator_kib(count: int) -> float:
     entries = make_databases(count)
     record = ShardRecord({e.name: _record(e.name) for e in entries})
-    around = [Surroundings(e, frozenset(), 1.0, True) for e in entries]
+    around = [TickContext(e, frozenset(), 1.0, True) for e in entries]
 
     def make() -> Any:
         shard = ShardCoordinator(1, 'entry-host-0000@1765000000000000000')
