--- a/packages/core/src/trefoilpulley_core/coordination/__init__.py
+++ b/packages/core/src/trefoilpulley_core/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Duties, detection, promotion and handover of databases."""
+"""Coordination of databases: duty, failure detection, primary changes."""
--- a/packages/core/src/trefoilpulley_core/coordination/commands.py
+++ b/packages/core/src/trefoilpulley_core/coordination/commands.py
@@ -1,4 +1,4 @@
-"""What the coordination decides and what it hears back."""
+"""Commands of the coordination, and the results of member calls."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 class Purpose(StrEnum):
-    """What a call to a member serves."""
+    """Reasons for a call to a member."""
 
     PROBE = 'probe'
-    """Evidence on the member's health."""
+    """Checks whether the member answers and in which state it is."""
 
     STEP = 'step'
-    """A step of a promotion or handover."""
+    """Carries out a step of a promotion or handover."""
 
     REDIRECT = 'care'
-    """A replica is told which primary to follow."""
+    """Tells a replica which primary to follow."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallMember:
-    """Sends a control message to a member through its pooler."""
+    """Command to send a control message to a member's pooler."""
 
     database: str
     """Name of the database."""
@@ -41,40 +41,40 @@
     """Control message of `trefoilpulley_core.peer`."""
 
     timeout_s: float
-    """Longest wait for the reply, in seconds."""
+    """Time limit for the reply, in seconds."""
 
     purpose: Purpose = Purpose.STEP
-    """What the call serves."""
+    """Reason for the call."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallDone:
-    """Outcome of a `CallMember`."""
+    """Result of a `CallMember` command."""
 
     call: CallMember
-    """The call."""
+    """Call that has ended."""
 
     sent_at: float
-    """Monotonic time at which the call left, in seconds."""
+    """Monotonic time at which the call was sent, in seconds."""
 
     result: Result[Any, Failure]
-    """Reply or failure."""
+    """Reply of the member, or the failure of the call."""
 
     is_from_pooler: bool = False
-    """Whether a failure was reported by the member's pooler."""
+    """Whether the member's pooler answered and reported the failure."""
 
 
 @dataclass(frozen=True, slots=True)
 class EditRecord:
-    """Changes a database's record in the platform's service."""
+    """Command to change a database's record in the platform's service."""
 
     edit: RecordEdit
-    """The change."""
+    """Change to apply to the record."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadShard:
-    """Reads the records of a shard."""
+    """Command to read the records of a shard."""
 
     shard: int
     """Number of the shard."""
@@ -82,21 +82,21 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreShard:
-    """Writes the records of a shard by compare-and-swap."""
+    """Command to write the records of a shard by compare-and-swap."""
 
     shard: int
     """Number of the shard."""
 
     expected_revision: int
-    """Revision that the key must have."""
+    """Revision that the shard's key must have for the write to succeed."""
 
     value: bytes
-    """JSON form of the records."""
+    """Records, encoded as JSON."""
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """Something that operators want to see in the log."""
+    """Base of the events that are written to the operators' log."""
 
     database: str
     """Name of the database."""
@@ -104,70 +104,70 @@
 
 @dataclass(frozen=True, slots=True)
 class PromotionBegan(Notice):
-    """A promotion has begun."""
+    """Log event at the start of a promotion."""
 
     term: int
     """Term of the promotion."""
 
     reason: str
-    """Verdict that led to it."""
+    """Verdict that caused the promotion, or ``handover``."""
 
 
 @dataclass(frozen=True, slots=True)
 class PrimaryPromoted(Notice):
-    """A member leads a new term."""
+    """Log event when a member has become the primary of a new term."""
 
     term: int
-    """Term."""
+    """Term of the new primary."""
 
     primary: str
-    """Name of the member."""
+    """Name of the new primary."""
 
     elapsed_ms: int
-    """Time since the promotion began."""
+    """Time since the start of the promotion, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class PromotionEnded(Notice):
-    """A promotion is over."""
+    """Log event at the end of a promotion."""
 
     term: int
-    """Term."""
+    """Term of the promotion."""
 
     outcome: str
-    """How it ended."""
+    """Last stage of the promotion."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverBegan(Notice):
-    """A handover has begun."""
+    """Log event at the start of a handover."""
 
     handover_id: str
-    """Identifier."""
+    """Identifier of the handover."""
 
     source: str
-    """Primary at the start."""
+    """Primary at the start of the handover."""
 
     target: str
-    """Member that is to lead."""
+    """Member that should become the primary."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverEnded(Notice):
-    """A handover is over."""
+    """Log event at the end of a handover."""
 
     handover_id: str
-    """Identifier."""
+    """Identifier of the handover."""
 
     outcome: str
-    """How it ended."""
+    """``done``, or the reason for which the handover was abandoned."""
 
     pause_ms: int
-    """Time from the hold of writes to its end."""
+    """Time for which writes were paused, in milliseconds."""
 
 
 Command = CallMember | EditRecord | LoadShard | StoreShard | Notice
-"""Anything that a decision asks for."""
+"""Command or log event that a coordinator returns."""
 
 Commands = tuple[Command, ...]
-"""Decisions in the order in which they are to be carried out."""
+"""Commands in the order in which they must be carried out."""
--- a/packages/core/src/trefoilpulley_core/coordination/database.py
+++ b/packages/core/src/trefoilpulley_core/coordination/database.py
@@ -1,4 +1,4 @@
-"""Watches one database and changes its primary where needed."""
+"""Monitors one database and changes its primary when necessary."""
 
 from __future__ import annotations
 
@@ -36,49 +36,52 @@
     from trefoilpulley_core.coordination.shard import DatabaseRecord
 
 BUSY_TICK_INTERVAL_S = 0.005
-"""Time between two ticks while a promotion or handover runs."""
+"""Interval between ticks during a promotion or handover."""
 
 ALERT_TICK_INTERVAL_S = 0.05
-"""Time between two ticks while evidence is gathered."""
+"""Interval between ticks while a failure of the primary is suspected.
+
+Also the shortest interval between ticks in normal operation.
+"""
 
 MAX_TICK_INTERVAL_S = 0.25
-"""Longest time between two ticks."""
+"""Longest interval between ticks in normal operation."""
 
 TICKS_PER_PROBE = 6
-"""Ticks between two probes of a calm member."""
+"""Ticks per probe interval in normal operation."""
 
 MAX_TICK_GAP_S = 1.0
-"""Time between two ticks after which old evidence is dropped."""
+"""Gap between ticks above which the evidence is discarded as outdated."""
 
 
 @dataclass(frozen=True, slots=True)
 class TickContext:
-    """What a coordinator is told at each tick."""
+    """Inputs of one tick of a database's coordinator."""
 
     entry: DatabaseEntry
-    """Members as the platform lists them now."""
+    """Database and its members, from the platform's current list."""
 
     stopped: frozenset[str] = frozenset()
     """Zones whose members are in a planned stop."""
 
     poll_interval_s: float = 0.3
-    """Time between two probes of one member."""
+    """Interval between probes of the same member, in seconds."""
 
     is_service_up: bool = True
-    """Whether the platform's service answers."""
+    """Whether the platform's service answers calls."""
 
 
 class DatabaseCoordinator:
-    """Coordinates one database while this process holds its duty.
+    """Coordinates one database while this process has the shard's duty.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     holder : str
-        Name under which this process holds terms.
+        Name of this process in term grants.
     record : DatabaseRecord
-        Record as the service holds it.
+        Record of the database in the platform's service.
     """
 
     def __init__(
@@ -86,23 +89,23 @@
     ) -> None:
         self._entry = entry
         self.holder = holder
-        """Name under which this process holds terms."""
+        """Name of this process in term grants."""
 
         self._last_used = 0
         self._handovers_begun = 0
         self._context = TickContext(entry)
         self._ticked_at: float | None = None
         self.record = record
-        """Record as the service holds it."""
+        """Record of the database when it was last read or written."""
 
         self.promotion: Promotion | None = None
-        """Promotion in progress."""
+        """Promotion in progress, or ``None``."""
 
         self.handover: Handover | None = None
-        """Handover in progress."""
+        """Handover in progress, or ``None``."""
 
         self.verdict = Verdict.CUT_OFF
-        """What the evidence said at the last tick."""
+        """Verdict of the failure detector at the last tick."""
 
         self._reset()
 
@@ -113,12 +116,12 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a promotion or handover runs."""
+        """Whether a promotion or handover is in progress."""
         return self.promotion is not None or self.handover is not None
 
     @property
     def tick_interval_s(self) -> float:
-        """Time after which the next tick is due."""
+        """Time until the next tick is due, in seconds."""
         if self.is_busy:
             return BUSY_TICK_INTERVAL_S
         if self._probe_schedule.is_urgent:
@@ -129,12 +132,15 @@
         )
 
     def deactivate(self) -> None:
-        """Drop what runs, since the duty has ended."""
+        """Drop all evidence and operations when this process loses the duty.
+
+        The handover's pause of writes ends by its own time limit.
+        """
         self._ticked_at = None
         self._reset()
 
     def on_tick(self, context: TickContext, now: float) -> Commands:
-        """Probe, weigh the evidence and move what runs forward."""
+        """Probe members, update the verdict, advance pending operations."""
         self._update_context(context, now)
         probes = self._probe_schedule.on_tick(context.poll_interval_s, now)
         self.verdict = self.detector.verdict(now)
@@ -144,7 +150,7 @@
         return probes + self._advance(now)
 
     def on_call_done(self, done: CallDone, now: float) -> Commands:
-        """Take the outcome of a call."""
+        """Process the result of a call to a member."""
         self._record_evidence(done)
         if done.call.purpose is not Purpose.STEP:
             return ()
@@ -157,7 +163,7 @@
         return ()
 
     def on_record(self, record: DatabaseRecord, now: float) -> Commands:
-        """Take the record as the service holds it."""
+        """Process a new version of the database's record."""
         self.record = record
         if self.handover is None or self.promotion is not None:
             return ()
@@ -326,7 +332,8 @@
             out += (EditRecord(edit),)
         above = self._highest_known_term
         if not has_grants(self.record, self.holder, above):
-            # A handover pauses writes for a term that must be at hand.
+            # A handover pauses writes, so its term must be granted before
+            # the pause begins.
             return (*out, self._term_claim(above))
         if not self._context.is_service_up:
             return out
--- a/packages/core/src/trefoilpulley_core/coordination/detection.py
+++ b/packages/core/src/trefoilpulley_core/coordination/detection.py
@@ -1,4 +1,4 @@
-"""Suspicion of a primary from the evidence of several members."""
+"""Detects the failure of a primary from the answers of all members."""
 
 from __future__ import annotations
 
@@ -13,55 +13,66 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 PRIMARY_CONTACT_TIMEOUT_S = 0.4
-"""Time without the primary after which a replica counts as cut off."""
+"""Age of a replica's last contact above which it has lost the primary."""
 
 LEADERLESS_TIMEOUT_S = 0.3
-"""Time without any leader before a promotion, where none is silent."""
+"""Time without a primary before a promotion, while all members answer."""
 
 POOLER_REPORT_TIMEOUT_S = 1.0
-"""Time for which a pooler reports a primary unreachable that replicas
-still hear, before a promotion. It counts while a majority answers."""
+"""Time for which poolers must report a primary unreachable.
+
+A promotion begins after this time even though replicas still hear from
+the primary. Only time during which a majority of the members answers
+counts.
+"""
 
 UNREACHABLE_TIMEOUT_S = 3.0
-"""The same where the primary's pooler cannot be reached either."""
+"""Time without a reachable primary before a promotion.
+
+Applies where the primary's pooler is unreachable too and replicas still
+hear from the primary.
+"""
 
 ISOLATED_TIMEOUT_S = 1.0
-"""Time for which a reachable primary lacks a majority of replicas."""
+"""Time for which a primary must lack a majority before a promotion."""
 
 DISPUTED_TIMEOUT_S = 1.0
-"""Time for which members refuse the primary's term."""
+"""Time for which members must refuse the primary's term.
+
+A promotion begins after this time.
+"""
 
 
 class Verdict(StrEnum):
-    """What the evidence says of the primary."""
+    """State of the primary, derived from the members' answers."""
 
     HEALTHY = 'healthy'
-    """A primary leads and nothing speaks against it."""
+    """The primary answers, and there is no evidence against it."""
 
     SUSPECT = 'suspect'
-    """Something speaks against the primary; more evidence is needed."""
+    """The primary may have failed; the evidence is not sufficient yet."""
 
     CUT_OFF = 'cut-off'
-    """The observer reaches no majority and decides nothing."""
+    """This coordinator reaches no majority and must not act."""
 
     SILENT = 'silent'
-    """Neither the observer nor a majority hears from the primary."""
+    """Neither this coordinator nor a majority hears from the primary."""
 
     UNREACHABLE = 'unreachable'
-    """Nobody can reach the primary through its pooler."""
+    """The primary does not answer, but a replica may still hear from it."""
 
     LEADERLESS = 'leaderless'
-    """No member leads."""
+    """All members answer, and none of them is the primary."""
 
     ISOLATED = 'isolated'
-    """The primary reaches too few replicas to acknowledge a write."""
+    """The primary has contact to too few replicas to acknowledge a write."""
 
     DISPUTED = 'disputed'
-    """Members refuse the primary's term."""
+    """Members know a higher term and refuse the primary's."""
 
     @property
     def is_lost(self) -> bool:
-        """Whether another term must begin."""
+        """Whether a new term must begin."""
         return self in _LOST_VERDICTS
 
 
@@ -78,19 +89,19 @@
 
 @dataclass(slots=True)
 class MemberEvidence:
-    """Evidence about one member."""
+    """Results of the probes of one member."""
 
     status: MemberStatus | None = None
-    """Last status heard."""
+    """Last status that the member returned, or ``None``."""
 
     answered_at: float = 0.0
-    """Time at which the last answered probe left, in seconds."""
+    """Monotonic time at which the last answered probe was sent."""
 
     failed_at: float | None = None
-    """Time at which the first failed probe since then left."""
+    """Time of the first failed probe after the last answered one."""
 
     pooler_report_since: float | None = None
-    """Time since which the pooler itself reports the member away."""
+    """Time since which the pooler reports the member unreachable."""
 
     @property
     def is_answering(self) -> bool:
@@ -99,32 +110,34 @@
 
     @property
     def contact_age_s(self) -> float:
-        """Time without the primary when the member last answered.
+        """Age of the member's contact to the primary, in seconds.
 
-        Time that has passed since then says nothing of the primary.
+        The age at the member's last answer; the time since that answer
+        is not added, because the member may have heard from the primary
+        in the meantime.
         """
         age_ms = self.status.primary_contact_age_ms
         return float('inf') if age_ms is None else age_ms / 1000
 
 
 class FailureDetector:
-    """Weighs the evidence about the members of one database.
+    """Derives a verdict on the primary from probes of all members.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     """
 
     def __init__(self, entry: DatabaseEntry) -> None:
         self._majority = entry.majority
         self.evidence = {m.name: MemberEvidence() for m in entry.members}
-        """Evidence by the name of the member."""
+        """Probe results by the name of the member."""
 
         self._verdict_since: dict[Verdict, float] = {}
 
     def on_status(self, status: MemberStatus, sent_at: float) -> None:
-        """Take a member's answer."""
+        """Record the status that a member returned."""
         evidence = self.evidence[status.member]
         if evidence.status is not None and sent_at < evidence.answered_at:
             return
@@ -136,7 +149,18 @@
     def on_probe_failed(
         self, member: str, sent_at: float, is_pooler_report: bool
     ) -> None:
-        """Take a probe that went unanswered."""
+        """Record a failed probe.
+
+        Parameters
+        ----------
+        member : str
+            Name of the member.
+        sent_at : float
+            Monotonic time at which the probe was sent, in seconds.
+        is_pooler_report : bool
+            Whether the member's pooler answered and reported the member
+            unreachable.
+        """
         evidence = self.evidence[member]
         if sent_at < evidence.answered_at:
             return
@@ -154,25 +178,28 @@
 
     @property
     def highest_term(self) -> int:
-        """Highest term that any member was heard to know."""
+        """Highest term in any status received so far."""
         statuses = [e.status for e in self.evidence.values() if e.status]
         return max((max(s.term, s.fenced_term) for s in statuses), default=0)
 
     @property
     def leader(self) -> MemberStatus | None:
-        """Answering member that leads the highest term."""
+        """Status of the answering primary of the highest term."""
         return _find_highest_leader(e.status for e in self.answering)
 
     @property
     def last_leader(self) -> MemberStatus | None:
-        """Member last heard to lead the highest term, answering or not."""
+        """Status of the last known primary, even if it does not answer."""
         return _find_highest_leader(
             e.status for e in self.evidence.values() if e.status
         )
 
     @property
     def has_primary_contact_loss(self) -> bool:
-        """Whether a replica has lost the leader since it answered."""
+        """Whether a replica has lost the primary since its last answer.
+
+        Also true where no primary answers.
+        """
         leader = self.leader
         if leader is None:
             return True
@@ -184,7 +211,7 @@
         )
 
     def verdict(self, now: float) -> Verdict:
-        """Return what the evidence says at a time."""
+        """Return the state of the primary at a monotonic time."""
         current = self._evaluate()
         if current not in _VERDICT_TIMEOUTS_S:
             self._verdict_since.clear()
@@ -234,8 +261,9 @@
             return Verdict.LEADERLESS
         if any(e.failed_at is None for e in unreachable):
             return Verdict.SUSPECT
-        # An observer that is cut off itself misses its answers one by
-        # one: those from before the first loss prove no majority.
+        # When this coordinator itself is cut off, its probes fail one
+        # after another. Answers from before the first failed probe thus
+        # don't prove that a majority is reachable now.
         first_failed_at = min(e.failed_at for e in unreachable)
         if any(e.answered_at < first_failed_at for e in self.answering):
             return Verdict.SUSPECT
--- a/packages/core/src/trefoilpulley_core/coordination/duty.py
+++ b/packages/core/src/trefoilpulley_core/coordination/duty.py
@@ -1,9 +1,12 @@
-"""Which process coordinates a shard.
-
-The duty is a key bound to a lease. While the service is out nobody can
-take a lease, so the last known holder goes on, or where it is gone the
-first live host in the order of succession. Two processes that both
-believe to have the duty do no harm: each uses terms of its own.
+"""Elects the process that coordinates a shard.
+
+The duty of a shard is the right to coordinate its databases. A process
+has the duty while it owns the shard's key in the platform's service,
+which is bound to the process's lease. During an outage of the service
+no lease can be granted, so the last known holder continues; if its host
+is down, the first live host in the order of succession takes over.
+Two processes that both act on the same duty are safe, because each
+process uses only terms that were granted to it.
 """
 
 from __future__ import annotations
@@ -21,59 +24,66 @@
     from trefoilpulley_core.catalog import HostEntry
 
 LEASE_TTL_S = 3
-"""Time to live of a host's lease."""
+"""Time to live of a process's lease."""
 
 RENEW_S = 1.0
-"""Time between two renewals."""
+"""Interval between renewals of the lease."""
 
 READ_INTERVAL_S = 1.0
-"""Time between two reads of a duty by its first successors."""
+"""Interval at which the holder and its first successor read a duty.
+
+Later successors use a multiple of the interval.
+"""
 
 CONFIRM_INTERVAL_S = 0.25
-"""Time between two reads of a duty that was found free."""
+"""Interval between reads of a duty after a read found no holder."""
 
 LEASE_RETRY_INTERVAL_S = 0.5
-"""Time between two attempts to get a lease."""
+"""Delay before the next attempt after a lease call went unanswered."""
 
 OUTAGE_TIMEOUT_S = 2.0
-"""Time without an answer after which the service counts as out."""
+"""Time without an answer after which a service outage is assumed."""
 
 MAX_FAILURE_AGE_S = 3.0
-"""Age above which a failed call says nothing of the present."""
+"""Age above which a failed call is no evidence of a present outage."""
 
 REACQUIRE_DELAY_S = 5.0
-"""Time for which a host leaves a duty to others that it gave back."""
+"""Time before a process reads a duty again that it has released.
+
+Leaves time for the process of a higher ranked host to acquire the duty.
+"""
 
 RELEASE_DELAY_S = 300.0
-"""Time for which another host must be first before it gets the duty."""
+"""Time for which another host must rank first before a release."""
 
 HOME_ZONE_RELEASE_DELAY_S = 5.0
-"""The same for a holder in the zone of the shard's home primaries.
+"""Release delay of a holder in the zone of the shard's home primaries.
 
-A zone that fails would take primary and coordinator at once, and the
-promotion would wait for the lease to lapse.
+The delay is shorter because a failure of that zone would stop primary
+and coordinator together, and a promotion would have to wait for the
+lease to expire.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class GrantLease:
-    """Asks for a lease."""
+    """Command to request a lease."""
 
     ttl_s: int
-    """Time to live."""
+    """Time to live, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeepAlive:
-    """Renews the lease."""
+    """Command to renew the lease."""
 
     lease_id: int
-    """Lease."""
+    """Identifier of the lease."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadDuty:
-    """Reads who has a duty."""
+    """Command to read the holder of a duty."""
 
     shard: int
     """Number of the shard."""
@@ -81,63 +91,66 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireDuty:
-    """Takes a duty that nobody has."""
+    """Command to acquire a duty without a holder."""
 
     shard: int
     """Number of the shard."""
 
     lease_id: int
-    """Lease to bind it to."""
+    """Lease that the duty's key is bound to."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseDuty:
-    """Gives a duty back."""
+    """Command to release a duty."""
 
     shard: int
     """Number of the shard."""
 
     revision: int
-    """Revision at which it was taken."""
+    """Revision at which the duty was acquired."""
 
 
 DutyCommand = GrantLease | KeepAlive | ReadDuty | AcquireDuty | ReleaseDuty
-"""Call to the platform's service."""
+"""Call to the platform's service about a lease or a duty."""
 
 
 @dataclass(slots=True)
 class DutyView:
-    """What this process knows of one duty."""
+    """Local state of one duty."""
 
     holder: str = ''
-    """Process last known to have it; empty for none."""
+    """Last known holder; empty where none is known."""
 
     revision: int = 0
-    """Revision at which this process took it; 0 where it did not."""
+    """Revision at which this process acquired the duty, or 0."""
 
     is_pending: bool = False
-    """Whether a call about it runs."""
+    """Whether a call about the duty is in flight."""
 
     read_at: float = float('-inf')
-    """Time of the last call, in seconds."""
+    """Monotonic time of the last call, in seconds.
+
+    Lies in the future after a release.
+    """
 
     vacant_reads: int = 0
-    """Reads in a row that found no holder."""
+    """Number of consecutive reads that found no holder."""
 
     outranked_since: float | None = None
-    """Time since which another host comes first."""
+    """Time since which another host ranks first, or ``None``."""
 
     is_outage_coordinator: bool = False
-    """Whether this process has acted in the present outage."""
+    """Whether this process coordinates the shard in the present outage."""
 
 
 class Duty:
-    """Duties of one process.
+    """Lease and duties of one process.
 
     Parameters
     ----------
     holder : str
-        Name of the process: host and incarnation.
+        Name of the process, made of its host and incarnation.
     """
 
     def __init__(self, holder: str) -> None:
@@ -152,27 +165,27 @@
         self._hosts: Sequence[HostEntry] = ()
         self._live: frozenset[str] = frozenset()
         self.succession = Succession()
-        """Order in which hosts take each duty."""
+        """Order in which the hosts take over each duty."""
 
         self.views: dict[int, DutyView] = {}
-        """What is known of the duties of interest, by shard."""
+        """State by shard, for duties that this host may hold."""
 
     @property
     def is_service_up(self) -> bool:
-        """Whether the last call was answered."""
+        """Whether the platform's service answered the last call."""
         return self._answered_at >= self._failed_at
 
     @property
     def lease_id(self) -> int:
-        """Lease of this process, or 0."""
+        """Identifier of this process's lease, or 0."""
         return self._lease_id
 
     def lease_left_s(self, now: float) -> float:
-        """Return the time for which the lease holds, 0 without one."""
+        """Return the remaining validity of the lease, in seconds."""
         return max(0.0, self._lease_until - now)
 
     def may_act(self, shard: int, now: float) -> bool:
-        """Return whether this process coordinates a shard now."""
+        """Return whether this process may coordinate a shard now."""
         view = self.views.get(shard)
         if view is None:
             return False
@@ -190,7 +203,7 @@
         databases: Sequence[DatabaseEntry],
         now: float,
     ) -> tuple[DutyCommand, ...]:
-        """Return the calls that are due."""
+        """Return the calls to the platform's service that are due."""
         if hosts is not self._hosts:
             self._hosts = hosts
             self._live = frozenset(h.name for h in hosts)
@@ -204,7 +217,7 @@
         return out
 
     def on_lease(self, lease_id: int, ttl_s: float, sent_at: float) -> None:
-        """Take a granted or renewed lease."""
+        """Process a granted or renewed lease."""
         self.on_answer(sent_at)
         self._is_leasing = False
         self._lease_id = lease_id
@@ -212,7 +225,7 @@
         self._lease_until = sent_at + ttl_s
 
     def on_lease_lost(self, sent_at: float) -> None:
-        """Give up every duty, since the lease has lapsed."""
+        """Drop the lease and every duty after the lease has expired."""
         self.on_answer(sent_at)
         self._is_leasing = False
         self._lease_id = 0
@@ -221,7 +234,7 @@
             view.revision = 0
 
     def on_lease_failed(self, sent_at: float, now: float) -> None:
-        """Take a call for a lease that went unanswered."""
+        """Process a lease call that was not answered."""
         self.on_failure(sent_at, now)
         self._is_leasing = False
         self._renewed_at = now - RENEW_S + LEASE_RETRY_INTERVAL_S
@@ -234,7 +247,21 @@
         revision: int,
         sent_at: float,
     ) -> None:
-        """Take the present holder of a duty; empty for none."""
+        """Process the result of `ReadDuty`.
+
+        Parameters
+        ----------
+        shard : int
+            Number of the shard.
+        holder : str
+            Current holder; empty where there is none.
+        lease_id : int
+            Lease that the duty's key is bound to.
+        revision : int
+            Revision of the duty's key.
+        sent_at : float
+            Monotonic time at which the call was sent, in seconds.
+        """
         self.on_answer(sent_at)
         view = self.views.get(shard)
         if view is None:
@@ -246,13 +273,25 @@
         view.revision = revision if is_own else 0
 
     def on_acquired(self, shard: int, revision: int, sent_at: float) -> None:
-        """Take the success of `AcquireDuty`."""
+        """Process the success of `AcquireDuty`."""
         self.on_read(shard, self._holder, self._lease_id, revision, sent_at)
 
     def on_call_failed(
         self, shard: int, sent_at: float, is_answer: bool, now: float
     ) -> None:
-        """Take a failed call about a duty; it is read again."""
+        """Process a failed call about a duty, which is then read again.
+
+        Parameters
+        ----------
+        shard : int
+            Number of the shard.
+        sent_at : float
+            Monotonic time at which the call was sent, in seconds.
+        is_answer : bool
+            Whether the service answered the call with an error.
+        now : float
+            Monotonic time in seconds.
+        """
         if is_answer:
             self.on_answer(sent_at)
         else:
@@ -262,11 +301,11 @@
             view.is_pending = False
 
     def on_answer(self, sent_at: float) -> None:
-        """Note that the service has answered a call."""
+        """Record that the service answered a call."""
         self._answered_at = max(self._answered_at, sent_at)
 
     def on_failure(self, sent_at: float, now: float) -> None:
-        """Note that the service has not answered a call."""
+        """Record that the service did not answer a call."""
         if sent_at >= self._answered_at:
             self._failed_at = now
 
--- a/packages/core/src/trefoilpulley_core/coordination/edits.py
+++ b/packages/core/src/trefoilpulley_core/coordination/edits.py
@@ -1,7 +1,8 @@
-"""Changes of a database's record.
+"""Edits of a database's record.
 
-Each edit is idempotent and is applied anew to the record that another
-writer left, so that a conflict or a lost answer needs no special case.
+Each edit is idempotent. After a conflict or a lost answer the edit is
+applied again to the latest version of the record, so neither case needs
+special treatment.
 """
 
 from __future__ import annotations
@@ -17,28 +18,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordEdit(abc.ABC):
-    """One change of a database's record."""
+    """Base of the edits of a database's record."""
 
     database: str
     """Name of the database."""
 
     @abc.abstractmethod
     def apply(self, record: DatabaseRecord) -> DatabaseRecord:
-        """Return the record after the change."""
+        """Return the edited record."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimTerms(RecordEdit):
-    """Grants a process the next terms above a known one."""
+    """Grants a process its next terms."""
 
     holder: str
-    """Process that gets the terms."""
+    """Process that receives the terms."""
 
     above: int
-    """Term that the granted ones must exceed."""
+    """Known term that the granted terms must exceed."""
 
     def apply(self, record: DatabaseRecord) -> DatabaseRecord:
-        """Top up the holder's grants."""
+        """Return the record with the missing terms granted."""
         return with_grants(record, self.holder, self.above)
 
 
@@ -47,16 +48,16 @@
     """Records the primary of a term."""
 
     term: int
-    """Term that the primary leads."""
+    """Term of the primary."""
 
     primary: str
-    """Name of the member."""
+    """Name of the primary."""
 
     is_by_handover: bool = False
-    """Whether it took over by a handover."""
+    """Whether the primary was changed by a handover."""
 
     def apply(self, record: DatabaseRecord) -> DatabaseRecord:
-        """Take the primary unless a later one is recorded."""
+        """Return the record with the primary, unless its term is old."""
         if self.term <= record.term:
             return record
         is_relapse = record.is_by_handover and not self.is_by_handover
@@ -73,17 +74,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PutHandover(RecordEdit):
-    """Begins a handover or moves it to its next step.
+    """Stores a new handover or the next step of a handover.
 
-    A handover of another process stays; the writer sees it in the
-    record and gives its own up.
+    An existing record of another handover is kept. The process that
+    issued this edit finds the other handover in the record and abandons
+    its own.
     """
 
     handover: HandoverRecord
-    """Handover as it should stand."""
+    """Handover to store."""
 
     def apply(self, record: DatabaseRecord) -> DatabaseRecord:
-        """Put the handover in where no other one stands."""
+        """Return the record with the handover, unless it has another."""
         current = record.handover
         if current and current.handover_id != self.handover.handover_id:
             return record
@@ -92,16 +94,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EndHandover(RecordEdit):
-    """Removes a handover that is over."""
+    """Removes a handover that has ended."""
 
     handover_id: str
     """Identifier of the handover."""
 
     is_failed: bool
-    """Whether it was abandoned by a fault."""
+    """Whether the handover failed; a failure counts as a relapse."""
 
     def apply(self, record: DatabaseRecord) -> DatabaseRecord:
-        """Remove the handover if it still stands."""
+        """Return the record without the handover."""
         current = record.handover
         if current is None or current.handover_id != self.handover_id:
             return record
@@ -111,8 +113,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ResetRelapses(RecordEdit):
-    """Ends the growth of the hold-down after a quiet time."""
+    """Resets the relapse count, which lengthens the hold-down."""
 
     def apply(self, record: DatabaseRecord) -> DatabaseRecord:
-        """Set the count back."""
+        """Return the record without relapses."""
         return replace(record, relapses=0)
--- a/packages/core/src/trefoilpulley_core/coordination/follower_care.py
+++ b/packages/core/src/trefoilpulley_core/coordination/follower_care.py
@@ -1,4 +1,4 @@
-"""Tells members that do not follow the primary to do so."""
+"""Orders members that don't follow the primary to follow it."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 ORDER_RETRY_INTERVAL_S = 1.0
-"""Time between two orders to the same member."""
+"""Interval between orders to the same member."""
 
 MAX_CONTACT_AGE_S = 1.0
-"""Time without the primary after which a replica is told again."""
+"""Age of the last contact to the primary that triggers an order."""
 
 ORDER_TIMEOUT_S = 1.0
-"""Longest wait for the reply to an order."""
+"""Time limit for the reply to an order."""
 
 
 class ReplicaRedirector:
-    """Keeps the replicas of one database on its primary.
+    """Makes the members of one database follow its primary.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     """
 
     def __init__(self, entry: DatabaseEntry) -> None:
@@ -39,7 +39,7 @@
         self._ordered_at: dict[str, float] = {}
 
     def on_tick(self, detector: FailureDetector, now: float) -> Commands:
-        """Return the orders that are due."""
+        """Return the `FollowMember` calls that are due."""
         leader = detector.leader
         misdirected = [
             e.status.member
--- a/packages/core/src/trefoilpulley_core/coordination/handover.py
+++ b/packages/core/src/trefoilpulley_core/coordination/handover.py
@@ -1,9 +1,9 @@
-"""Moves the lead of a database to another member without a fault.
+"""Planned change of a database's primary, without failed requests.
 
-Up to the fence the handover may be abandoned at any step; from the
-fence on it is a promotion, which goes forward. The hold of writes ends
-by itself, so a coordinator that dies leaves nothing behind but its
-record, which the next coordinator removes.
+The handover may be abandoned at any step before the members are fenced.
+From the fence on, the change is a promotion and is not reverted. The
+pause of writes has a time limit, so a coordinator that crashes leaves
+only the handover's record, which the next coordinator removes.
 """
 
 from __future__ import annotations
@@ -36,26 +36,29 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 MAX_WRITE_PAUSE_S = 0.2
-"""Longest hold of writes; the pooler ends it by itself."""
+"""Longest pause of writes, after which the pooler resumes them."""
 
 SWITCH_RESERVE_S = 0.08
-"""Part of the hold kept for the switch, once the logs are equal."""
+"""Part of the pause that is reserved for the promotion.
+
+Source and target must have equal logs before this part begins.
+"""
 
 STORE_TIMEOUT_S = 2.0
-"""Time for a step's record to be stored."""
+"""Time limit for storing the record of a step."""
 
 WARMUP_S = 0.5
-"""Time given to the target for its connections."""
+"""Time for the target's pooler to open connections to the target."""
 
 STEP_TIMEOUT_S = 0.1
-"""Longest wait for the reply to one step."""
+"""Time limit for the reply to one call."""
 
 STEP_RETRY_INTERVAL_S = 0.01
-"""Time between two looks at the running writes and the logs."""
+"""Interval between checks of the running writes and of the logs."""
 
 
 class HandoverStage(StrEnum):
-    """Stages of a handover up to the fence."""
+    """Stages of a handover before the fence."""
 
     RECORDING = 'recording'
     WARMING = 'warming'
@@ -67,18 +70,18 @@
 
 
 class Handover:
-    """One attempt to hand the lead to another member.
+    """One attempt to make another member the primary.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     record : HandoverRecord
-        Source, target and identifier.
+        Identifier, source and target of the handover.
     now : float
         Monotonic time in seconds.
     max_pause_s : float
-        Longest hold of writes.
+        Longest pause of writes, in seconds.
     """
 
     def __init__(
@@ -97,37 +100,37 @@
         self._statuses: dict[str, MemberStatus] = {}
         self._pending: set[str] = set()
         self.record = record
-        """What the platform's service keeps of the handover."""
+        """Record of the handover for the platform's service."""
 
         self.stage = HandoverStage.RECORDING
-        """Stage reached."""
+        """Current stage."""
 
         self.outcome = ''
-        """Why the handover was abandoned."""
+        """Reason for which the handover was abandoned, or empty."""
 
     def pause_ms(self, now: float) -> int:
-        """Return the time since the hold of writes began."""
+        """Return the time since writes were paused, in milliseconds."""
         if self._paused_at is None:
             return 0
         return round((now - self._paused_at) * 1000)
 
     def begin(self) -> Commands:
-        """Record the handover."""
+        """Store the handover's record."""
         return (EditRecord(PutHandover(self._entry.name, self.record)),)
 
     def abandon(self, reason: str) -> Commands:
-        """Give the handover up before its fence."""
+        """Abandon the handover and resume paused writes."""
         self.outcome = reason
         was_paused = self._paused_at is not None
         self.stage = HandoverStage.ABANDONED
         return (self._resume_writes(),) if was_paused else ()
 
     def resume_writes(self) -> Commands:
-        """End the hold of writes after the switch."""
+        """Resume writes at the source after the promotion."""
         return (self._resume_writes(),)
 
     def on_record(self, record: DatabaseRecord, now: float) -> Commands:
-        """Take the record as the service holds it."""
+        """Process a new version of the database's record."""
         current = record.handover
         if current is None and self.stage is HandoverStage.RECORDING:
             return ()
@@ -141,7 +144,7 @@
         return ()
 
     def on_tick(self, now: float) -> Commands:
-        """Move on, or give up where a step took too long."""
+        """Continue the handover, or abandon it after a timeout."""
         match self.stage:
             case HandoverStage.WARMING if now >= self._next_at:
                 return self._record_switch(now)
@@ -153,7 +156,7 @@
         return ()
 
     def on_call_done(self, done: CallDone, now: float) -> Commands:
-        """Take the outcome of a step."""
+        """Process the result of a call to a member."""
         if self.stage is HandoverStage.DRAINING:
             return self._on_drain_reply(done, now)
         if self.stage is HandoverStage.COMPARING:
--- a/packages/core/src/trefoilpulley_core/coordination/layout.py
+++ b/packages/core/src/trefoilpulley_core/coordination/layout.py
@@ -1,4 +1,4 @@
-"""Which member of a database should lead."""
+"""Preferred primary of a database."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 def stopped_zones(
     declarations: Declarations, entry: DatabaseEntry
 ) -> frozenset[str]:
-    """Return the zones whose members of a database are in a stop."""
+    """Return the zones with a planned stop of a database's members."""
     return frozenset(
         s.zone for s in declarations.stops if s.ledger == entry.ledger
     )
 
 
 def is_departing(member: MemberEntry, stopped: frozenset[str]) -> bool:
-    """Return whether a member leaves or is in a planned stop."""
+    """Return whether a member is leaving or in a planned stop."""
     return member.presence is Presence.LEAVING or member.zone in stopped
 
 
 def desired_primary(
     entry: DatabaseEntry, stopped: frozenset[str]
 ) -> MemberEntry:
-    """Return the member that should lead when all are well."""
+    """Return the preferred primary while all members are healthy."""
     staying = (m for m in entry.members if not is_departing(m, stopped))
     return next(staying, entry.members[0])
 
 
 def ranked_members(entry: DatabaseEntry, stopped: frozenset[str]) -> list[str]:
-    """Return the members' names, the most wanted primary first."""
+    """Return the members' names in order of preference as primary."""
     ranked = sorted(entry.members, key=lambda m: is_departing(m, stopped))
     return [m.name for m in ranked]
--- a/packages/core/src/trefoilpulley_core/coordination/polling.py
+++ b/packages/core/src/trefoilpulley_core/coordination/polling.py
@@ -1,4 +1,4 @@
-"""When each member of a database is probed."""
+"""Schedule of the probes of a database's members."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
     from trefoilpulley_core.coordination.commands import Commands
 
 MIN_PROBE_INTERVAL_S = 0.3
-"""Time between two probes of a member where few are watched."""
+"""Shortest regular interval between probes of the same member."""
 
 MEMBER_INTERVAL_S = 0.15
-"""Time between two probes of any member by one coordinator."""
+"""Interval between probes of any member by one process."""
 
 URGENT_PROBE_INTERVAL_S = 0.1
-"""Time between two probes of a member under suspicion."""
+"""Interval between probes while a failure is suspected."""
 
 PROBE_TIMEOUT_S = 0.25
-"""Longest wait for the answer to a probe."""
+"""Time limit for the answer to a probe."""
 
 
 def poll_interval_s(member_count: int) -> float:
-    """Return the time between two probes of one member.
+    """Return the interval between probes of the same member, in seconds.
 
     Parameters
     ----------
     member_count : int
-        Members that this process watches.
+        Number of members that this process probes.
     """
     return max(MIN_PROBE_INTERVAL_S, member_count * MEMBER_INTERVAL_S)
 
 
 class ProbeSchedule:
-    """Probes the members of one database in turn.
+    """Spreads the probes of one database's members over time.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     """
 
     def __init__(self, entry: DatabaseEntry) -> None:
@@ -57,17 +57,17 @@
         self._pending: set[str] = set()
         self._phase = xxhash.xxh3_64_intdigest(entry.name.encode()) / 2**64
         self.is_urgent = True
-        """Whether evidence is needed at once."""
+        """Whether to probe at the interval of a suspected failure."""
 
     def on_tick(self, interval_s: float, now: float) -> Commands:
-        """Return the probes that are due."""
+        """Return the probes that are due now."""
         if self.is_urgent:
             interval_s = min(interval_s, URGENT_PROBE_INTERVAL_S)
         due = [m for m in self._members if self._is_due(m, interval_s, now)]
         return tuple(self._probe(m, interval_s, now) for m in due)
 
     def on_call_done(self, done: CallDone) -> None:
-        """Take the outcome of a probe."""
+        """Process the result of a call if it was a probe."""
         if done.call.purpose is Purpose.PROBE:
             self._pending.discard(done.call.member)
 
@@ -77,7 +77,8 @@
         due_at = self._due_at.get(member)
         if due_at is None or now >= due_at:
             return True
-        # An interval that has become shorter applies at once.
+        # A shortened interval applies from the last probe, not only after
+        # the next scheduled one.
         probed_at = self._probed_at.get(member)
         return probed_at is not None and now >= probed_at + interval_s
 
@@ -99,7 +100,8 @@
         if self.is_urgent:
             self._due_at[member] = now + interval_s
             return
-        # Fixed phases keep the members apart, whatever held a probe up.
+        # Each member has a fixed phase, so a delayed probe does not shift
+        # the later ones and the members' probes stay spread out.
         offset = self._members.index(member) / len(self._members)
         phase_s = interval_s * (offset + self._phase)
         periods = math.floor((now - phase_s) / interval_s) + 1
--- a/packages/core/src/trefoilpulley_core/coordination/promotion.py
+++ b/packages/core/src/trefoilpulley_core/coordination/promotion.py
@@ -1,8 +1,8 @@
-"""Makes a member the primary of a term that this process alone holds.
+"""Promotes a member to primary in a term granted to this process alone.
 
-A majority is fenced at the term, then the most advanced log among the
-fenced is promoted. Every step may be repeated, and a step that comes
-late is refused by members that know a higher term.
+First a majority of the members is fenced at the term, then the fenced
+member with the most advanced log is promoted. Every step may be
+repeated. Members that know a higher term refuse a delayed step.
 """
 
 from __future__ import annotations
@@ -29,22 +29,25 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 CALL_TIMEOUT_S = 0.3
-"""Longest wait for the reply to one step."""
+"""Time limit for the reply to one call."""
 
 STEP_RETRY_INTERVAL_S = 0.1
-"""Time after which an unanswered step is repeated."""
+"""Interval between attempts of the same step at a member."""
 
 CONFIRM_INTERVAL_S = 0.02
-"""Time between two looks at the copies of the first record."""
+"""Interval between checks whether replicas hold the first record."""
 
 MAX_EXTRA_FENCE_WAIT_S = 0.03
-"""Wait for more than a majority, so that the longest log is found."""
+"""Wait for further members after a majority is fenced.
+
+More fenced members give a better chance to find the longest log.
+"""
 
 PROMOTE_TIMEOUT_S = 2.0
-"""Time until a primary must lead, else another term is used."""
+"""Time limit for fencing and promotion, before a new term is tried."""
 
 CONFIRM_TIMEOUT_S = 5.0
-"""Time until the first record must have its copies."""
+"""Time limit for a majority to hold the first record of the term."""
 
 
 class PromotionStage(StrEnum):
@@ -59,7 +62,7 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing is left to do."""
+        """Whether the promotion has ended."""
         return self in (
             PromotionStage.DONE,
             PromotionStage.SUPERSEDED,
@@ -68,20 +71,21 @@
 
 
 class Promotion:
-    """One attempt to begin a term.
+    """One attempt to promote a member in a new term.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     term : int
-        Term that this process alone may use, and has not used before.
+        Term granted to this process alone and not used before.
     preference : list[str]
-        Members' names; among equal logs the first of them is promoted.
+        Members' names, the preferred primary first. Decides between
+        members with equally advanced logs.
     now : float
         Monotonic time in seconds.
     is_planned : bool
-        Whether a handover asks for it.
+        Whether the promotion is part of a handover.
     """
 
     def __init__(
@@ -105,28 +109,28 @@
         """Term of the promotion."""
 
         self.is_planned = is_planned
-        """Whether a handover asks for it."""
+        """Whether the promotion is part of a handover."""
 
         self.is_primary_recorded = False
-        """Whether the new primary has been made known."""
+        """Whether the edit that records the new primary was issued."""
 
         self.stage = PromotionStage.FENCING
-        """Stage reached."""
+        """Current stage."""
 
         self.primary = ''
-        """Member chosen to lead; empty before the choice."""
+        """Member chosen as primary; empty before the choice."""
 
     def elapsed_ms(self, now: float) -> int:
-        """Return the time since the start, in milliseconds."""
+        """Return the time since the start of the promotion."""
         return round((now - self._began_at) * 1000)
 
     @property
     def has_primary(self) -> bool:
-        """Whether the chosen member is known to lead."""
+        """Whether the chosen member has become the primary."""
         return self.stage in (PromotionStage.CONFIRMING, PromotionStage.DONE)
 
     def on_tick(self, now: float) -> Commands:
-        """Repeat what went unanswered and move on where time says so."""
+        """Repeat unanswered calls and apply the time limits."""
         if self.stage.is_over:
             return ()
         if now >= self._deadline:
@@ -139,7 +143,7 @@
         return self._follow(now) + self._confirm(now)
 
     def on_call_done(self, done: CallDone, now: float) -> Commands:
-        """Take the outcome of a step."""
+        """Process the result of a call to a member."""
         if self.stage.is_over:
             return ()
         call = done.call
--- a/packages/core/src/trefoilpulley_core/coordination/return_policy.py
+++ b/packages/core/src/trefoilpulley_core/coordination/return_policy.py
@@ -1,4 +1,4 @@
-"""When the lead moves to another member by a handover."""
+"""Decides when a handover moves a database to another primary."""
 
 from __future__ import annotations
 
@@ -19,40 +19,40 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 RETURN_HOLD_DOWN_S = 5.0
-"""Time for which the home primary must be steady before a return."""
+"""Time for which the home primary must be eligible before a return."""
 
 DEPARTURE_HOLD_DOWN_S = 0.3
-"""The same where the present primary is about to stop."""
+"""Hold-down of a handover away from a primary that is about to stop."""
 
 MAX_RETURN_DOUBLINGS = 6
-"""Relapses after which the hold-down of a return grows no further."""
+"""Relapses that double the hold-down of a return; more have no effect."""
 
 MAX_DEPARTURE_DOUBLINGS = 2
-"""The same where the present primary is about to stop."""
+"""Relapses that double the hold-down of a departure."""
 
 MAX_PAUSE_DOUBLINGS = 3
-"""Failed handovers of a stopping primary that lengthen its pause."""
+"""Relapses that double the pause of writes of a stopping primary."""
 
 MAX_RETURN_LAG_S = 0.3
-"""Greatest lag of a member that may take the lead."""
+"""Greatest lag of the home primary for a return."""
 
 MAX_DEPARTURE_LAG_S = 1.0
-"""The same where the present primary is about to stop."""
+"""Greatest lag of the target when the primary is about to stop."""
 
 RELAPSE_RESET_S = 600.0
-"""Time in the wanted layout after which relapses are forgotten."""
+"""Time with the desired primary after which relapses are reset."""
 
 MAX_LEADER_POSITIONS = 64
-"""Positions of the primary that are kept to judge the lag."""
+"""Positions of the primary that are kept to estimate the lag."""
 
 
 class HandoverPolicy:
-    """Judges which member should take the lead, and when.
+    """Chooses the target and the time of a handover.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     """
 
     def __init__(self, entry: DatabaseEntry) -> None:
@@ -66,13 +66,13 @@
     def is_wanted(
         self, target: str, source: str, stopped: frozenset[str]
     ) -> bool:
-        """Return whether the declarations still ask for a handover."""
+        """Return whether a handover between two members is still needed."""
         return target in self._targets(source, stopped)
 
     def is_layout_stable(
         self, leader: MemberStatus, stopped: frozenset[str], now: float
     ) -> bool:
-        """Return whether the wanted layout has held for long."""
+        """Return whether the desired primary has led long enough."""
         desired = desired_primary(self._entry, stopped).name
         if leader.member != desired:
             self._stable_since = None
@@ -88,7 +88,7 @@
         stopped: frozenset[str],
         now: float,
     ) -> str | None:
-        """Return the member that should take the lead now, or ``None``."""
+        """Return the target of a handover that is due, or ``None``."""
         leader = detector.leader
         self._record_leader_position(detector.evidence[leader.member])
         hold_down_s = self._hold_down_s(leader.member, record, stopped)
@@ -107,10 +107,11 @@
     def max_pause_s(
         self, source: str, record: DatabaseRecord, stopped: frozenset[str]
     ) -> float:
-        """Return the longest hold of writes that a handover may take.
+        """Return the longest pause of writes for a handover, in seconds.
 
-        A primary that is about to stop must move even where its
-        replicas lag: a longer pause cuts nothing, a failover might.
+        A primary that is about to stop must be replaced even if its
+        replicas lag. A longer pause only delays requests, whereas the
+        failover after the stop may interrupt them.
         """
         if not self._is_departing(source, stopped):
             return MAX_WRITE_PAUSE_S
--- a/packages/core/src/trefoilpulley_core/coordination/shard.py
+++ b/packages/core/src/trefoilpulley_core/coordination/shard.py
@@ -1,6 +1,7 @@
-"""Durable records of the databases of a shard.
+"""Durable records of a shard's databases.
 
-One key of the platform's service holds a whole shard.
+All records of a shard are stored under one key of the platform's
+service.
 """
 
 from __future__ import annotations
@@ -18,36 +19,36 @@
     from trefoilpulley_core.catalog import DatabaseEntry
 
 SHARDS_PER_ZONE = 10
-"""Shards of the databases whose home primaries share a zone."""
+"""Number of shards for databases whose home primaries share a zone."""
 
 SHARD_NUMBER_COUNT = 10_000
-"""Numbers that shards are spread over."""
+"""Size of the range of shard numbers."""
 
 
 class HandoverStep(StrEnum):
-    """Steps of a handover that outlive their coordinator."""
+    """Steps of a handover that are stored in the record."""
 
     WARMING = 'warming'
-    """The target gets its connections; writes go on."""
+    """The target's pooler opens connections; writes are accepted."""
 
     SWITCHING = 'switching'
-    """Writes may be held and the handover's term may be in use."""
+    """Writes may be paused and the handover's term may be in use."""
 
 
 @dataclass(frozen=True, slots=True)
 class TermGrant:
-    """Right of one process to use one term, once."""
+    """Exclusive right of one process to use a term once."""
 
     term: int
-    """Term that nobody else may use."""
+    """Granted term."""
 
     holder: str
-    """Process that may use the term: host and incarnation."""
+    """Process that may use the term, named by host and incarnation."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverRecord:
-    """Handover in progress."""
+    """Record of a handover in progress."""
 
     handover_id: str
     """Identifier, unique in the database."""
@@ -56,57 +57,57 @@
     """Process that runs the handover."""
 
     source: str
-    """Primary at the start."""
+    """Primary at the start of the handover."""
 
     target: str
-    """Member that is to lead."""
+    """Member that should become the primary."""
 
     step: HandoverStep = HandoverStep.WARMING
-    """Step that has begun."""
+    """Current step."""
 
 
 @dataclass(frozen=True, slots=True)
 class DatabaseRecord:
-    """What is agreed about one database."""
+    """Coordination state of one database."""
 
     database: str
     """Name of the database."""
 
     term: int = 0
-    """Highest term recorded with a primary."""
+    """Highest term with a recorded primary."""
 
     primary: str = ''
-    """Primary of the term."""
+    """Primary of that term."""
 
     ceiling: int = 0
     """Highest term ever granted or recorded."""
 
     grants: tuple[TermGrant, ...] = ()
-    """Terms granted ahead, above the recorded term."""
+    """Terms above the recorded one that were granted in advance."""
 
     handover: HandoverRecord | None = None
-    """Handover in progress."""
+    """Handover in progress, or ``None``."""
 
     is_by_handover: bool = False
-    """Whether the primary took over by a handover."""
+    """Whether the primary was changed by a handover."""
 
     relapses: int = 0
-    """Handovers that failed or were undone since the last quiet time."""
+    """Handovers that failed or were undone since the last reset."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShardRecord:
-    """Records of a shard's databases."""
+    """Records of all databases of a shard."""
 
     databases: dict[str, DatabaseRecord] = field(default_factory=dict)
     """Records by the name of the database."""
 
     def find(self, database: str) -> DatabaseRecord:
-        """Return the record of a database, empty before the first."""
+        """Return the record of a database, or an empty one."""
         return self.databases.get(database) or DatabaseRecord(database)
 
     def with_database(self, record: DatabaseRecord) -> ShardRecord:
-        """Return the shard with one record put in."""
+        """Return a copy of the shard with one record replaced."""
         databases = {**self.databases, record.database: record}
         return replace(self, databases=databases)
 
@@ -115,22 +116,23 @@
 
 
 def encode_shard(record: ShardRecord) -> bytes:
-    """Return the JSON form of a shard."""
+    """Encode a shard as JSON."""
     return _CONVERTER.dumps(record, sort_keys=True).encode()
 
 
 def decode_shard(data: bytes) -> ShardRecord:
-    """Return the shard of a JSON form; empty bytes give an empty one."""
+    """Decode a shard from JSON; empty bytes yield an empty shard."""
     if not data:
         return ShardRecord()
     return _CONVERTER.loads(data, ShardRecord)
 
 
 def shard_of(entry: DatabaseEntry) -> int:
-    """Return the number of the shard that holds a database.
+    """Return the number of the shard that a database belongs to.
 
-    Databases of one shard share the zone of their home primary, so that
-    its coordinator can be near to them and outside that zone.
+    All databases of a shard have their home primary in the same zone,
+    so the shard's coordinator can be near the databases but outside
+    that zone.
     """
     part = xxhash.xxh3_64_intdigest(entry.name.encode()) % SHARDS_PER_ZONE
     name = f'{entry.members[0].zone}#{part}'
--- a/packages/core/src/trefoilpulley_core/coordination/shard_coordinator.py
+++ b/packages/core/src/trefoilpulley_core/coordination/shard_coordinator.py
@@ -1,4 +1,4 @@
-"""Coordinates the databases of one shard and keeps their records."""
+"""Coordinates the databases of one shard and stores their records."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
     from trefoilpulley_core.coordination.edits import RecordEdit
 
 SERVICE_RETRY_INTERVAL_S = 0.5
-"""Time between two attempts while the service does not answer."""
+"""Delay before the next call after the service did not answer."""
 
 STANDBY_TICK_S = 0.2
-"""Time between two ticks of a process on standby."""
+"""Interval between ticks of a standby process."""
 
 STANDBY_REFRESH_INTERVAL_S = 10.0
-"""Time between two reads of the records by a process on standby."""
+"""Interval between reads of the records by a standby process."""
 
 
 class ShardCoordinator:
-    """Coordinators of one shard, and the key that holds their records.
+    """Runs the coordinators of a shard's databases and stores the records.
 
     Parameters
     ----------
     shard : int
         Number of the shard.
     holder : str
-        Name under which this process holds terms.
+        Name of this process in term grants.
     """
 
     def __init__(self, shard: int, holder: str) -> None:
@@ -54,30 +54,30 @@
         self._is_loading = False
         self._storing: ShardRecord | None = None
         self.record = ShardRecord()
-        """Records as the service last held them."""
+        """Records as last read from or written to the service."""
 
         self.pending: list[RecordEdit] = []
-        """Edits that are not stored yet."""
+        """Edits that have not been stored yet."""
 
         self.databases: dict[str, DatabaseCoordinator] = {}
         """Coordinators by the name of the database."""
 
         self.is_acting = False
-        """Whether this process has the duty."""
+        """Whether this process has the shard's duty."""
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the records were read once."""
+        """Whether the records have been read."""
         return self._loaded_at is not None
 
     @property
     def is_busy(self) -> bool:
-        """Whether a promotion or handover runs."""
+        """Whether a promotion or handover is in progress."""
         return any(d.is_busy for d in self.databases.values())
 
     @property
     def tick_interval_s(self) -> float:
-        """Time after which the next tick is due."""
+        """Time until the next tick is due, in seconds."""
         if not self.is_acting:
             return STANDBY_TICK_S
         intervals = (d.tick_interval_s for d in self.databases.values())
@@ -86,7 +86,17 @@
     def on_tick(
         self, contexts: Sequence[TickContext], is_acting: bool, now: float
     ) -> Commands:
-        """Move every database forward, or keep ready on standby."""
+        """Coordinate every database, or prepare for a takeover.
+
+        Parameters
+        ----------
+        contexts : Sequence[TickContext]
+            Inputs for each database of the shard.
+        is_acting : bool
+            Whether this process has the shard's duty.
+        now : float
+            Monotonic time in seconds.
+        """
         self._update_databases(contexts)
         self._update_duty(is_acting)
         if not self.is_loaded:
@@ -103,7 +113,7 @@
     def on_call_done(
         self, done: CallDone, is_acting: bool, now: float
     ) -> Commands:
-        """Take the outcome of a call to a member."""
+        """Process the result of a call to a member."""
         self._update_duty(is_acting)
         coordinator = self.databases.get(done.call.database)
         if coordinator is None or not is_acting:
@@ -111,24 +121,24 @@
         return self._queue_edits(coordinator.on_call_done(done, now), now)
 
     def on_loaded(self, value: bytes, revision: int, now: float) -> Commands:
-        """Take the records as the service holds them."""
+        """Process the result of `LoadShard`."""
         self._is_loading = False
         self._loaded_at = now
         return self._update_record(decode_shard(value), revision, now)
 
     def on_stored(self, revision: int, now: float) -> Commands:
-        """Take the success of a write."""
+        """Process the success of `StoreShard`."""
         stored, self._storing = self._storing, None
         self._loaded_at = now
         return self._update_record(stored, revision, now)
 
     def on_store_outcome_unknown(self, now: float) -> Commands:
-        """Read again after a conflict or a lost answer."""
+        """Read the records again after a conflict or a lost answer."""
         self._storing = None
         return self._load()
 
     def on_service_down(self, now: float) -> Commands:
-        """Try again later."""
+        """Postpone loading and storing while the service is down."""
         self._storing = None
         self._is_loading = False
         self._retry_at = now + SERVICE_RETRY_INTERVAL_S
--- a/packages/core/src/trefoilpulley_core/coordination/succession.py
+++ b/packages/core/src/trefoilpulley_core/coordination/succession.py
@@ -1,4 +1,4 @@
-"""Order in which the hosts take over the duty of a shard."""
+"""Order in which hosts take over the duty of a shard."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
     from trefoilpulley_core.catalog import HostEntry
 
 SUCCESSORS_PER_SHARD = 3
-"""Hosts that keep ready for a duty."""
+"""Number of hosts that stand by for each duty."""
 
 MAX_SHARDS_PER_TICK = 8
-"""Shards whose order is worked out at one tick."""
+"""Number of shards whose order is computed at one tick."""
 
 
 class Succession:
-    """Ranks the hosts for each shard by their hash.
+    """Ranks the hosts for each shard by zone and hash.
 
-    Hosts near to the shard's members come first, and among them those
-    outside the zones of the home primaries: a zone that fails should
-    not take a primary and its coordinator at once. Successors stand in
-    zones of their own where there are enough.
+    Hosts in the zones of the shard's members rank first. Among these,
+    hosts outside the zones of the home primaries rank first, so that
+    the failure of a zone does not stop a primary and its coordinator
+    together. The successors are in different zones where there are
+    enough zones.
     """
 
     def __init__(self) -> None:
@@ -37,14 +38,17 @@
         self._stale: list[int] = []
         self._rankings: dict[int, tuple[str, ...]] = {}
         self.members: dict[int, list[DatabaseEntry]] = {}
-        """Databases of each shard."""
+        """Databases by the number of their shard."""
 
     def update(
         self,
         hosts: Sequence[HostEntry],
         databases: Sequence[DatabaseEntry],
     ) -> None:
-        """Take the present hosts and databases."""
+        """Set the current hosts and databases.
+
+        At each call the order of some changed shards is computed.
+        """
         if tuple(databases) != self._databases:
             self._databases = tuple(databases)
             self._group_by_shard()
@@ -58,23 +62,23 @@
         del self._stale[:MAX_SHARDS_PER_TICK]
 
     def ranking(self, shard: int) -> tuple[str, ...]:
-        """Return the first successors for a duty, the best first."""
+        """Return the standby hosts of a duty in order of succession."""
         return self._rankings.get(shard, ())
 
     def rank(self, shard: int, host: str) -> int:
-        """Return a host's place in the order, from 0."""
+        """Return a host's zero-based rank for a duty."""
         ranking = self.ranking(shard)
         return ranking.index(host) if host in ranking else SUCCESSORS_PER_SHARD
 
     def is_in_home_zone(self, shard: int, host: str) -> bool:
-        """Return whether a host stands where home primaries do."""
+        """Return whether a host shares a zone with a home primary."""
         home_zones = {e.members[0].zone for e in self.members.get(shard, ())}
         return any(
             h.name == host and h.zone in home_zones for h in self._hosts
         )
 
     def shards_of(self, host: str) -> set[int]:
-        """Return the shards for which a host keeps ready."""
+        """Return the shards for whose duty a host stands by."""
         return {s for s, r in self._rankings.items() if host in r}
 
     def _group_by_shard(self) -> None:
@@ -106,7 +110,8 @@
         )
 
     def _candidates(self, near_zones: set[str]) -> list[HostEntry]:
-        # Far hosts come last, so that enough near zones decide alone.
+        # Hosts in other zones rank last. Where the near zones suffice for
+        # all successors, the other hosts need not be scored.
         zones = self._by_zone.keys() & near_zones
         if len(zones) < SUCCESSORS_PER_SHARD:
             zones = self._by_zone.keys()
--- a/packages/core/src/trefoilpulley_core/coordination/terms.py
+++ b/packages/core/src/trefoilpulley_core/coordination/terms.py
@@ -1,4 +1,4 @@
-"""Terms granted ahead, each to one process that may use it once."""
+"""Terms granted in advance, each for one use by one process."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
     from trefoilpulley_core.coordination.shard import DatabaseRecord
 
 TERMS_GRANTED_AHEAD = 3
-"""Terms that a process holds ahead for each database of its shards."""
+"""Unused terms that a process holds for each database of its shards."""
 
 MAX_GRANTS = 30
-"""Grants that a record keeps; the oldest others are dropped first."""
+"""Most grants in a record; the oldest of other processes are dropped."""
 
 
 def holder_name(host: str, incarnation: int) -> str:
-    """Return the name under which one process of a host holds terms."""
+    """Return the name of a host's process in term grants and duties."""
     return f'{host}#{incarnation}'
 
 
 def host_of(holder: str) -> str:
-    """Return the host of a process that holds terms or a duty."""
+    """Return the host part of a process's name."""
     return holder.rpartition('#')[0]
 
 
 def usable_term(record: DatabaseRecord, holder: str, above: int) -> int | None:
-    """Return the lowest term granted to a process above a known one."""
+    """Return a process's lowest granted term above a known term."""
     terms = [
         g.term for g in record.grants if g.holder == holder and g.term > above
     ]
@@ -36,7 +36,7 @@
 
 
 def has_grants(record: DatabaseRecord, holder: str, above: int) -> bool:
-    """Return whether a process holds all the terms it should."""
+    """Return whether a process has enough terms above a known term."""
     own = [g for g in record.grants if g.holder == holder and g.term > above]
     return len(own) >= TERMS_GRANTED_AHEAD
 
@@ -44,8 +44,8 @@
 def _is_kept(grant: TermGrant, holder: str, term: int) -> bool:
     """Return whether another process may still use a grant.
 
-    Terms up to the recorded one are past, and an earlier process of the
-    same host is gone.
+    Terms up to the recorded term can't be used any more, and earlier
+    processes of the same host have ended.
     """
     return grant.term > term and host_of(grant.holder) != host_of(holder)
 
@@ -53,21 +53,21 @@
 def with_grants(
     record: DatabaseRecord, holder: str, above: int
 ) -> DatabaseRecord:
-    """Return the record with a process's grants topped up.
+    """Return the record with the missing grants of a process added.
 
     Parameters
     ----------
     record : DatabaseRecord
-        Record as it stands.
+        Current record.
     holder : str
-        Process that gets the terms.
+        Process that receives the terms.
     above : int
-        Term that the granted ones must exceed.
+        Known term that the granted terms must exceed.
 
     Returns
     -------
     DatabaseRecord
-        A record whose new terms were never granted before.
+        Record in which every added term was never granted before.
     """
     own = [g for g in record.grants if g.holder == holder and g.term > above]
     missing = TERMS_GRANTED_AHEAD - len(own)
