--- a/features/steps/limits_broken_steps.py
+++ b/features/steps/limits_broken_steps.py
@@ -9,7 +9,7 @@
 from behave import when
 
 from trefoilpulley_core.slots import Ticket
-from trefoilpulley_core.slots_deadline import DeadlineSlots
+from trefoilpulley_core.slots_deadline import DeadlineQueue
 from trefoilpulley_core.targets import ClassTargets
 
 NOW = 105.0
@@ -22,7 +22,7 @@
     @given('a queue whose only slot runs work that began 5 s ago')
     def make_queue(context: Any) -> None:
         """Take one piece of work."""
-        context.queue = DeadlineSlots(1, ClassTargets())
+        context.queue = DeadlineQueue(1, ClassTargets())
         began = NOW - 5
         ticket = Ticket(1, 'north', 'filing', NOW + 10, True)
         context.queue.offer(ticket, began)
@@ -33,7 +33,7 @@
     @when('the connection of the running work breaks')
     def break_connection(context: Any) -> None:
         """End the work without a service time."""
-        context.queue.record_broken()
+        context.queue.record_connection_lost()
 
     @staticmethod
     @then('new work of the queue is expected to wait {wait:d} ms')
--- a/features/steps/limits_connections_steps.py
+++ b/features/steps/limits_connections_steps.py
@@ -10,7 +10,7 @@
 from behave import when
 
 from trefoilpulley_core.connection_budget import ConnectionBudget
-from trefoilpulley_core.connection_pacer import ConnectionPacer
+from trefoilpulley_core.connection_pacer import ConnectionRateLimiter
 from trefoilpulley_standins.policy_connections import ConnectionRun
 
 SEEDS = 20
@@ -75,20 +75,20 @@
     )
     def check_shrink(context: Any, idle: int, n: int) -> None:
         """Expect an idle connection to go."""
-        assert context.budget.may_shrink(n, float(idle))
-        assert not context.budget.may_shrink(n, 1.0)
+        assert context.budget.may_close_idle(n, float(idle))
+        assert not context.budget.may_close_idle(n, 1.0)
 
     @staticmethod
     @then('a connection idle for {idle:d} s is kept with {n:d} open for work')
     def check_keep(context: Any, idle: int, n: int) -> None:
         """Expect an idle connection to stay."""
-        assert not context.budget.may_shrink(n, float(idle))
+        assert not context.budget.may_close_idle(n, float(idle))
 
     @staticmethod
     @given('a connection pacer')
     def make_pacer(context: Any) -> None:
         """Make a pacer with seeded jitter."""
-        context.pacer = ConnectionPacer(random.Random(1))
+        context.pacer = ConnectionRateLimiter(random.Random(1))
 
     @staticmethod
     @then('{count:d} of {tries:d} connections open at once')
--- a/features/steps/limits_requests_steps.py
+++ b/features/steps/limits_requests_steps.py
@@ -63,7 +63,7 @@
     @then('"{member}" has {count:d} retries saved')
     def check_saved(context: Any, member: str, count: int) -> None:
         """Compare what another upstream has."""
-        assert context.retries.saved(member) == count
+        assert context.retries.available_retries(member) == count
 
     @staticmethod
     @then('a {kind} request is {answer} after "{code}"')
@@ -191,7 +191,7 @@
         """Sort the classes by their strictness."""
         targets = make_targets()
         ordered = sorted(
-            (c.name for c in CLASSES), key=targets.strictness, reverse=True
+            (c.name for c in CLASSES), key=targets.priority, reverse=True
         )
         assert ordered == names.split(', '), ordered
 
--- a/features/steps/limits_slots_steps.py
+++ b/features/steps/limits_slots_steps.py
@@ -16,9 +16,9 @@
 from features.fakes.routing_trace import make_targets
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_core.failure import RunState
-from trefoilpulley_core.slot_lane import SlotLane
+from trefoilpulley_core.slot_lane import ClassQueue
 from trefoilpulley_core.slots import Ticket
-from trefoilpulley_core.slots_deadline import DeadlineSlots
+from trefoilpulley_core.slots_deadline import DeadlineQueue
 
 EXAMPLES = 150
 """Generated sequences of work."""
@@ -39,19 +39,21 @@
 )
 
 
-class _LastFirstSlots(DeadlineSlots):
+class _LastFirstSlots(DeadlineQueue):
     """Deliberate fault: the latest deadline goes first."""
 
-    def _next_lane(self, now: float, is_writable: bool) -> SlotLane | None:
-        lanes = [
-            lane
-            for lane in self._lanes
-            if len(lane) and (is_writable or not lane.is_write)
+    def _next_class_queue(
+        self, now: float, is_writable: bool
+    ) -> ClassQueue | None:
+        class_queues = [
+            class_queue
+            for class_queue in self._class_queues
+            if len(class_queue) and (is_writable or not class_queue.is_write)
         ]
-        return max(lanes, key=lambda x: x.peek().deadline, default=None)
+        return max(class_queues, key=lambda x: x.peek().deadline, default=None)
 
 
-class _HoldlessSlots(DeadlineSlots):
+class _HoldlessSlots(DeadlineQueue):
     """Deliberate fault: a hold of writes is forgotten."""
 
     def take(self, now: float, is_writable: bool) -> Ticket | None:
@@ -59,20 +61,20 @@
         return super().take(now, True)
 
 
-class _LateSlots(DeadlineSlots):
+class _LateSlots(DeadlineQueue):
     """Deliberate fault: work that is late already still runs."""
 
     def take(self, now: float, is_writable: bool) -> Ticket | None:
         """Return the work to run next, late or not."""
-        lane = self._next_lane(now, is_writable)
-        ticket = lane.pop() if lane else None
+        class_queue = self._next_class_queue(now, is_writable)
+        ticket = class_queue.pop() if class_queue else None
         if ticket is not None:
-            del self._lane_of[ticket.ticket_id]
+            del self._queue_by_ticket[ticket.ticket_id]
         return ticket
 
 
 KINDS = {
-    'a deadline queue': DeadlineSlots,
+    'a deadline queue': DeadlineQueue,
     'a queue that serves the last': _LastFirstSlots,
     'a queue that forgets a hold': _HoldlessSlots,
     'a queue that runs late work': _LateSlots,
@@ -88,7 +90,7 @@
     def make_queue(context: Any, slots: int) -> None:
         """Make an empty queue."""
         context.targets = make_targets()
-        context.queue = DeadlineSlots(slots, context.targets)
+        context.queue = DeadlineQueue(slots, context.targets)
         context.now = 100.0
         context.ids = itertools.count(1)
         context.names = {}
@@ -182,8 +184,8 @@
         queue = context.queue
         assert len(queue) == 0
         assert len(queue._expiries) < 500, len(queue._expiries)
-        for lane in queue._lanes:
-            assert len(lane._heap) < 500, len(lane._heap)
+        for class_queue in queue._class_queues:
+            assert len(class_queue._heap) < 500, len(class_queue._heap)
 
     @staticmethod
     @then('the slots go to "{names}"')
@@ -288,7 +290,7 @@
 
 
 def _check_rules(
-    kind: type[DeadlineSlots], pieces: list[tuple[str, str, float, float]]
+    kind: type[DeadlineQueue], pieces: list[tuple[str, str, float, float]]
 ) -> None:
     """Check order, hold, lateness and that each piece ends once."""
     queue = kind(2, make_targets())
@@ -310,29 +312,29 @@
                 del waiting[taken.ticket_id]
                 _check_taken(taken, waiting, queue, now, action)
                 queue.record_service(taken.work_class, 0.005, True)
-    assert len(queue) + len(queue._hopeless) == len(waiting)
+    assert len(queue) + len(queue._expired) == len(waiting)
 
 
 def _check_taken(
     taken: Ticket,
     waiting: dict[int, Ticket],
-    queue: DeadlineSlots,
+    queue: DeadlineQueue,
     now: float,
     action: str,
 ) -> None:
     """Check one piece against what it left waiting."""
     assert taken.deadline >= now
     assert action == 'take' or not taken.is_write
-    if any(lane.danger for lane in queue._lanes):
+    if any(class_queue.danger for class_queue in queue._class_queues):
         return
     targets = queue._targets
-    strictness = targets.strictness(taken.work_class)
+    priority = targets.priority(taken.work_class)
     for other in waiting.values():
         is_able = other.deadline >= now + _ABLE_S
         is_held = action == 'held' and other.is_write
         if is_held or not is_able:
             continue
-        if targets.strictness(other.work_class) >= strictness:
+        if targets.priority(other.work_class) >= priority:
             assert taken.deadline <= other.deadline + _LEAD_S
 
 
--- a/features/steps/routing_share_steps.py
+++ b/features/steps/routing_share_steps.py
@@ -23,7 +23,7 @@
 from trefoilpulley_core.routing import Route
 from trefoilpulley_core.routing import RouteRequest
 from trefoilpulley_core.routing_targets import TargetRouting
-from trefoilpulley_core.routing_thin import ThinRouting
+from trefoilpulley_core.routing_thin import NearestRouting
 from trefoilpulley_standins.policy_cases import MEMBERS
 from trefoilpulley_standins.policy_cases import overload_of
 from trefoilpulley_standins.policy_deployment import DEPLOYMENTS
@@ -60,7 +60,7 @@
 
 WAYS = {
     'by the targets': TargetRouting,
-    'by the thin policy': ThinRouting,
+    'by the thin policy': NearestRouting,
     'by a policy without terms': _TermlessRouting,
 }
 """Policies by the names that the scenarios give them."""
--- a/packages/core/src/trefoilpulley_core/_json_reader.py
+++ b/packages/core/src/trefoilpulley_core/_json_reader.py
@@ -166,7 +166,7 @@
             if key not in required and key not in optional:
                 self._report_unknown(key)
 
-    def read_int(self, key: str, least: int, most: int) -> int | None:
+    def read_int(self, key: str, minimum: int, maximum: int) -> int | None:
         """Return a whole number within bounds, or ``None``."""
         value = self._values.get(key)
         if value is None and key not in self._values:
@@ -174,9 +174,11 @@
         if not isinstance(value, int) or isinstance(value, bool):
             self._add(key, FaultCode.WRONG_TYPE, 'a whole number is expected')
             return None
-        if not least <= value <= most:
+        if not minimum <= value <= maximum:
             self._add(
-                key, FaultCode.OUT_OF_RANGE, f'{least} to {most} is accepted'
+                key,
+                FaultCode.OUT_OF_RANGE,
+                f'{minimum} to {maximum} is accepted',
             )
             return None
         return value
--- a/packages/core/src/trefoilpulley_core/_routing_rules.py
+++ b/packages/core/src/trefoilpulley_core/_routing_rules.py
@@ -43,14 +43,14 @@
     return not member.is_leaving and member.member not in req.excluded
 
 
-def reaches(last: Position, floor: Position) -> bool:
+def has_reached(last: Position, floor: Position) -> bool:
     """Return whether a log's end is at a floor or beyond it."""
     if last.term != floor.term:
         return last.term > floor.term
     return last.index >= floor.index
 
 
-def settle_floor(floor: Position, digest: MemberDigest) -> Position:
+def translate_floor(floor: Position, digest: MemberDigest) -> Position:
     """Return a floor in the terms of a member's log.
 
     A floor of an older term may name a record that no member kept: a
@@ -76,24 +76,24 @@
     return Position(last.term, digest.term_start)
 
 
-def route_to_primary(
+def primary_route(
     view: DatabaseView, req: RouteRequest
 ) -> Result[Route, Failure]:
     """Return a route to the primary that the digests show."""
     primary = find_primary(view)
     if primary is None or primary.member in req.excluded:
         return Failed(NoUpstream(f'no primary of {view.database}'))
-    floor = settle_floor(req.floor, primary.digest) if req.floor else None
+    floor = translate_floor(req.floor, primary.digest) if req.floor else None
     return Success(
         Route(primary.member, True, 0, floor, primary.round_trip_ms)
     )
 
 
-def route_to_replica(
+def replica_route(
     member: MemberView, req: RouteRequest, wait_ms: int = 0
 ) -> Result[Route, Failure]:
     """Return a route to a replica with the floor in its terms."""
-    floor = settle_floor(req.floor, member.digest)
+    floor = translate_floor(req.floor, member.digest)
     return Success(
         Route(member.member, False, wait_ms, floor, member.round_trip_ms)
     )
--- a/packages/core/src/trefoilpulley_core/admission.py
+++ b/packages/core/src/trefoilpulley_core/admission.py
@@ -16,11 +16,11 @@
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.targets import ClassTargets
 
-REQUEST_LIMIT = 10_000
+MAX_REQUESTS = 10_000
 """Requests that an entry host works on at once."""
 
-_FREE_SHARE = 0.5
-_SINGLE_RESERVE = 0.1
+_UNRESTRICTED_SHARE = 0.5
+_UNREPEATABLE_WRITE_RESERVE = 0.1
 
 
 class Admission:
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, targets: ClassTargets, limit: int = REQUEST_LIMIT
+        self, targets: ClassTargets, limit: int = MAX_REQUESTS
     ) -> None:
         self._targets = targets
         self._limit = limit
@@ -60,10 +60,10 @@
         """
         if deadline <= now:
             return Failed(Overloaded('the deadline has passed'))
-        limit = self._limit_of(work_class)
+        limit = self._class_limit(work_class)
         if self._total >= limit:
             return Failed(Overloaded('the host is full'))
-        if self._is_beyond_share(tenant, limit):
+        if self._is_over_share(tenant, limit):
             return Failed(Overloaded('the tenant is beyond its share'))
         self._total += 1
         self._by_tenant[tenant] += 1
@@ -76,14 +76,14 @@
         if not self._by_tenant[tenant]:
             del self._by_tenant[tenant]
 
-    def _limit_of(self, work_class: str) -> float:
-        if self._targets.strictness(work_class).is_single:
+    def _class_limit(self, work_class: str) -> float:
+        if self._targets.priority(work_class).is_unrepeatable_write:
             return self._limit
-        return self._limit * (1 - _SINGLE_RESERVE)
+        return self._limit * (1 - _UNREPEATABLE_WRITE_RESERVE)
 
-    def _is_beyond_share(self, tenant: str, limit: float) -> bool:
-        if self._total < self._limit * _FREE_SHARE:
+    def _is_over_share(self, tenant: str, limit: float) -> bool:
+        if self._total < self._limit * _UNRESTRICTED_SHARE:
             return False
-        held = self._by_tenant.get(tenant, 0)
-        others = len(self._by_tenant) - (held > 0)
-        return held >= limit / (others + 2)
+        in_use = self._by_tenant.get(tenant, 0)
+        others = len(self._by_tenant) - (in_use > 0)
+        return in_use >= limit / (others + 2)
--- a/packages/core/src/trefoilpulley_core/connection_budget.py
+++ b/packages/core/src/trefoilpulley_core/connection_budget.py
@@ -13,11 +13,11 @@
 RESERVED_CONNECTIONS = 2
 """Connections left free for the control connections of newcomers."""
 
-SETTLE_S = 2.0
+EXCLUSIVE_USE_DELAY_S = 2.0
 """Time for which no other pooler's connection may be seen before a
 pooler takes more than half of the limit, in seconds."""
 
-IDLE_LIMIT_S = 10.0
+IDLE_TIMEOUT_S = 10.0
 """Time after which an idle connection beyond the warm ones is closed."""
 
 
@@ -55,8 +55,8 @@
         self._usable = limit - RESERVED_CONNECTIONS
         self._slots = slots
         self._own = 0
-        self._room = 0
-        self._alone_since: float | None = None
+        self._available = 0
+        self._exclusive_since: float | None = None
         self._counted_at = float('-inf')
 
     def on_status(
@@ -74,22 +74,22 @@
             Monotonic time of the answer, in seconds.
         """
         self._own = own_open
-        self._room = self._usable - connections_open
+        self._available = self._usable - connections_open
         self._counted_at = now
         if connections_open > own_open:
-            self._alone_since = None
-        elif self._alone_since is None:
-            self._alone_since = now
+            self._exclusive_since = None
+        elif self._exclusive_since is None:
+            self._exclusive_since = now
 
     def on_other_pooler(self) -> None:
         """Note that another host may pool the member as well."""
-        self._alone_since = None
+        self._exclusive_since = None
 
     def allowance(self, now: float) -> int:
         """Return the most connections that the pooler may hold."""
-        if self._is_alone(now):
+        if self._is_exclusive(now):
             return self._usable
-        shared = min(self._usable // 2, self._own + self._room // 2)
+        shared = min(self._usable // 2, self._own + self._available // 2)
         return max(CONTROL_CONNECTIONS, shared)
 
     def may_open(self, own_open: int, now: float) -> bool:
@@ -111,18 +111,20 @@
         allowance = self.allowance(now)
         for_work = max(0, allowance - CONTROL_CONNECTIONS)
         warm = min(self._slots + SPARE_CONNECTIONS, for_work)
-        beyond = max(0, own_open - allowance)
-        return ConnectionPlan(allowance, warm, min(idle, beyond))
+        excess = max(0, own_open - allowance)
+        return ConnectionPlan(allowance, warm, min(idle, excess))
 
-    def may_shrink(self, open_for_work: int, idle_s: float) -> bool:
+    def may_close_idle(self, open_for_work: int, idle_s: float) -> bool:
         """Return whether a connection idle for a time may be closed."""
         if open_for_work <= self._slots + SPARE_CONNECTIONS:
             return False
-        return idle_s >= IDLE_LIMIT_S
+        return idle_s >= IDLE_TIMEOUT_S
 
-    def _is_alone(self, now: float) -> bool:
-        if self._alone_since is None:
+    def _is_exclusive(self, now: float) -> bool:
+        if self._exclusive_since is None:
             return False
-        if now - self._counted_at > SETTLE_S:
+        if now - self._counted_at > EXCLUSIVE_USE_DELAY_S:
             return False
-        return self._counted_at - self._alone_since >= SETTLE_S
+        return (
+            self._counted_at - self._exclusive_since >= EXCLUSIVE_USE_DELAY_S
+        )
--- a/packages/core/src/trefoilpulley_core/connection_pacer.py
+++ b/packages/core/src/trefoilpulley_core/connection_pacer.py
@@ -10,17 +10,17 @@
 OPENS_PER_S = 20.0
 """Connections opened a second in the long run."""
 
-BURST_OPENS = 4.0
+MAX_BURST_OPENS = 4.0
 """Connections that may be opened at once after a quiet time."""
 
-OPENING_LIMIT = 2
+MAX_CONCURRENT_OPENS = 2
 """Connections that may be under way at once."""
 
-JITTER_SHARE = 0.5
+JITTER_FACTOR = 0.5
 """Largest part by which a pause is lengthened at random."""
 
 
-class ConnectionPacer:
+class ConnectionRateLimiter:
     """Spreads new connections by a token bucket with jitter.
 
     Parameters
@@ -31,8 +31,8 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._saved = BURST_OPENS
-        self._saved_at: float | None = None
+        self._tokens = MAX_BURST_OPENS
+        self._refilled_at: float | None = None
         self._opening = 0
 
     @property
@@ -50,20 +50,20 @@
             ends; otherwise a pause in seconds.
         """
         self._refill(now)
-        if self._opening < OPENING_LIMIT and self._saved >= 1:
-            self._saved -= 1
+        if self._opening < MAX_CONCURRENT_OPENS and self._tokens >= 1:
+            self._tokens -= 1
             self._opening += 1
             return 0.0
-        missing = max(1 - self._saved, 0.5)
+        missing = max(1 - self._tokens, 0.5)
         pause_s = missing / OPENS_PER_S
-        return pause_s * (1 + JITTER_SHARE * self._rng.random())
+        return pause_s * (1 + JITTER_FACTOR * self._rng.random())
 
     def on_opened(self) -> None:
         """Count a connection as opened or failed."""
         self._opening = max(0, self._opening - 1)
 
     def _refill(self, now: float) -> None:
-        if self._saved_at is not None:
-            earned = (now - self._saved_at) * OPENS_PER_S
-            self._saved = min(BURST_OPENS, self._saved + max(0.0, earned))
-        self._saved_at = now
+        if self._refilled_at is not None:
+            added = (now - self._refilled_at) * OPENS_PER_S
+            self._tokens = min(MAX_BURST_OPENS, self._tokens + max(0.0, added))
+        self._refilled_at = now
--- a/packages/core/src/trefoilpulley_core/declarations_check.py
+++ b/packages/core/src/trefoilpulley_core/declarations_check.py
@@ -29,19 +29,19 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-DOCUMENT_LIMIT_BYTES = 1_000_000
+MAX_DOCUMENT_BYTES = 1_000_000
 """Greatest document; the service holds values up to a megabyte."""
 
 MAX_AGE_LIMIT_MS = 86_400_000
 """Greatest age that a class may accept, in milliseconds: a day."""
 
-WITHIN_LIMIT_MS = 600_000
+MAX_WITHIN_MS = 600_000
 """Longest promptness, in milliseconds: ten minutes."""
 
-COPIES_LEAST = 2
+MIN_COPIES = 2
 """Majority of a group of three members."""
 
-COPIES_MOST = 3
+MAX_COPIES = 3
 """All members of a group of three."""
 
 _FRESHNESS_WORDS = {
@@ -70,11 +70,11 @@
         The declarations, or every fault of the document.
     """
     faults = FaultList()
-    if len(text.encode(errors='surrogatepass')) > DOCUMENT_LIMIT_BYTES:
+    if len(text.encode(errors='surrogatepass')) > MAX_DOCUMENT_BYTES:
         faults.add(
             '$',
             FaultCode.TOO_LARGE,
-            f'limit is {DOCUMENT_LIMIT_BYTES} bytes',
+            f'limit is {MAX_DOCUMENT_BYTES} bytes',
         )
         return Failed(faults.as_tuple())
     try:
@@ -205,7 +205,7 @@
         if inner is None:
             return None
         inner.expect_keys(('within_ms', 'share'))
-        within_ms = inner.read_int('within_ms', 1, WITHIN_LIMIT_MS)
+        within_ms = inner.read_int('within_ms', 1, MAX_WITHIN_MS)
         share = inner.read_share('share')
         if within_ms is None or share is None:
             return None
@@ -228,9 +228,9 @@
                 FaultCode.NOT_APPLICABLE,
                 'a class that reads makes no copies',
             )
-        copies = inner.read_int('copies', COPIES_LEAST, COPIES_MOST)
+        copies = inner.read_int('copies', MIN_COPIES, MAX_COPIES)
         is_repeatable = inner.read_bool('repeatable', is_read)
-        return Safety(copies or COPIES_LEAST, is_repeatable)
+        return Safety(copies or MIN_COPIES, is_repeatable)
 
     def _read_tenant(self, name: str, reader: ObjectReader) -> Tenant | None:
         reader.expect_keys(('ledgers',))
--- a/packages/core/src/trefoilpulley_core/freshness.py
+++ b/packages/core/src/trefoilpulley_core/freshness.py
@@ -12,16 +12,16 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.position import Position
 
-MARK_LIMIT = 256
+MAX_SAMPLES = 256
 """Positions of the primary that are kept to date a replica."""
 
 _LAG_SMOOTHING = 0.2
-_DENSE_RECORDS = 5
-_DECIMALS = 3
+_MIN_RECORDS_BETWEEN_SAMPLES = 5
+_AGE_DECIMALS = 3
 
 
 @dataclass(frozen=True, slots=True)
-class _Mark:
+class _PrimarySample:
     """The primary held at most ``position`` at ``sent_at``."""
 
     sent_at: float
@@ -45,8 +45,8 @@
     """
 
     def __init__(self) -> None:
-        self._marks: deque[_Mark] = deque()
-        self._passed: _Mark | None = None
+        self._samples: deque[_PrimarySample] = deque()
+        self._last_reached: _PrimarySample | None = None
         self._position = BEGINNING
         self._asked_at: float | None = None
         self._lag_s = 0.0
@@ -61,16 +61,16 @@
         position : Position
             End of the primary's log; its term is the one it leads.
         """
-        marks = self._marks
-        newest = marks[-1] if marks else self._passed
+        samples = self._samples
+        newest = samples[-1] if samples else self._last_reached
         if newest and _is_outdated(sent_at, position, newest):
             return
         first_sent_at = sent_at
-        if marks and marks[-1].position == position:
-            first_sent_at = marks.pop().first_sent_at
-        marks.append(_Mark(sent_at, position, first_sent_at))
-        if len(marks) > MARK_LIMIT:
-            self._thin_out()
+        if samples and samples[-1].position == position:
+            first_sent_at = samples.pop().first_sent_at
+        samples.append(_PrimarySample(sent_at, position, first_sent_at))
+        if len(samples) > MAX_SAMPLES:
+            self._drop_alternate_samples()
 
     def on_replica(
         self, position: Position, asked_at: float, fenced_term: int = 0
@@ -90,16 +90,16 @@
             self.reset()
         self._position = position
         self._drop_fenced(fenced_term)
-        self._learn_dense_lag(position, asked_at)
-        while self._marks and self._is_reached(self._marks[0], asked_at):
-            self._learn_sparse_lag(self._marks[0], asked_at)
-            self._passed = self._marks.popleft()
+        self._learn_lag_by_interpolation(position, asked_at)
+        while self._samples and self._is_reached(self._samples[0], asked_at):
+            self._learn_lag_of_sample(self._samples[0], asked_at)
+            self._last_reached = self._samples.popleft()
         self._asked_at = asked_at
 
     def reset(self) -> None:
         """Forget all; the age is unknown until the next probe."""
-        self._marks.clear()
-        self._passed = None
+        self._samples.clear()
+        self._last_reached = None
         self._position = BEGINNING
         self._asked_at = None
 
@@ -111,9 +111,11 @@
         int | None
             Age in milliseconds, or ``None`` where nothing dates it.
         """
-        if self._passed is None:
+        if self._last_reached is None:
             return None
-        age_ms = round((now - self._passed.sent_at) * 1000, _DECIMALS)
+        age_ms = round(
+            (now - self._last_reached.sent_at) * 1000, _AGE_DECIMALS
+        )
         return max(0, math.ceil(age_ms))
 
     def lag_ms(self) -> int:
@@ -128,67 +130,80 @@
             lag_s = max(lag_s, self._asked_at - overdue.first_sent_at)
         return math.ceil(lag_s * 1000)
 
-    def _is_reached(self, mark: _Mark, asked_at: float) -> bool:
-        if mark.sent_at > asked_at:
+    def _is_reached(self, sample: _PrimarySample, asked_at: float) -> bool:
+        if sample.sent_at > asked_at:
             return False
-        return mark.position <= self._position
+        return sample.position <= self._position
 
-    def _first_overdue(self) -> _Mark | None:
+    def _first_overdue(self) -> _PrimarySample | None:
         """Return the oldest mark that the replica was seen without."""
-        if not self._marks or self._marks[0].position <= self._position:
+        if not self._samples or self._samples[0].position <= self._position:
             return None
-        return self._marks[0]
+        return self._samples[0]
 
     def _drop_fenced(self, fenced_term: int) -> None:
-        marks = self._marks
-        while marks and marks[0].position.term < fenced_term:
-            marks.popleft()
+        samples = self._samples
+        while samples and samples[0].position.term < fenced_term:
+            samples.popleft()
 
-    def _learn_dense_lag(self, position: Position, asked_at: float) -> None:
+    def _learn_lag_by_interpolation(
+        self, position: Position, asked_at: float
+    ) -> None:
         """Learn from when the primary passed the replica's position."""
-        before = self._passed
-        for mark in self._marks:
-            if mark.position > position:
+        before = self._last_reached
+        for sample in self._samples:
+            if sample.position > position:
                 break
-            before = mark
+            before = sample
         else:
             return
-        if before is None or not _is_dense(before, mark):
+        if before is None or not _can_interpolate(before, sample):
             return
-        span = mark.position.index - before.position.index
-        part = (position.index - before.position.index) / span
-        passed_at = before.sent_at + part * (mark.sent_at - before.sent_at)
-        self._smooth_lag(asked_at - passed_at)
-
-    def _learn_sparse_lag(self, mark: _Mark, asked_at: float) -> None:
+        span = sample.position.index - before.position.index
+        fraction = (position.index - before.position.index) / span
+        reached_at = before.sent_at + fraction * (
+            sample.sent_at - before.sent_at
+        )
+        self._update_lag(asked_at - reached_at)
+
+    def _learn_lag_of_sample(
+        self, sample: _PrimarySample, asked_at: float
+    ) -> None:
         """Learn from how long a single record took to arrive."""
-        if self._passed is None or _is_dense(self._passed, mark):
+        if self._last_reached is None or _can_interpolate(
+            self._last_reached, sample
+        ):
             return
-        if mark.position == self._passed.position:
+        if sample.position == self._last_reached.position:
             return
-        due_at = mark.first_sent_at
+        due_at = sample.first_sent_at
         middle = (max(self._asked_at, due_at) + asked_at) / 2
-        self._smooth_lag(middle - due_at)
+        self._update_lag(middle - due_at)
 
-    def _smooth_lag(self, lag_s: float) -> None:
+    def _update_lag(self, lag_s: float) -> None:
         self._lag_s += _LAG_SMOOTHING * (max(0.0, lag_s) - self._lag_s)
 
-    def _thin_out(self) -> None:
+    def _drop_alternate_samples(self) -> None:
         """Drop every other mark; the age only grows by that."""
-        newest = self._marks[-1]
-        kept = list(self._marks)[:-1:2]
-        self._marks = deque([*kept, newest])
+        newest = self._samples[-1]
+        kept = list(self._samples)[:-1:2]
+        self._samples = deque([*kept, newest])
 
 
-def _is_outdated(sent_at: float, position: Position, newest: _Mark) -> bool:
+def _is_outdated(
+    sent_at: float, position: Position, newest: _PrimarySample
+) -> bool:
     """Return whether a probe tells less than an earlier one."""
     if position.term < newest.position.term:
         return True
     return sent_at <= newest.sent_at
 
 
-def _is_dense(before: _Mark, after: _Mark) -> bool:
+def _can_interpolate(before: _PrimarySample, after: _PrimarySample) -> bool:
     """Return whether enough records lie between two marks."""
     if before.position.term != after.position.term:
         return False
-    return after.position.index - before.position.index >= _DENSE_RECORDS
+    return (
+        after.position.index - before.position.index
+        >= _MIN_RECORDS_BETWEEN_SAMPLES
+    )
--- a/packages/core/src/trefoilpulley_core/leadership.py
+++ b/packages/core/src/trefoilpulley_core/leadership.py
@@ -4,7 +4,7 @@
 
 import math
 
-_DECIMALS = 3
+_AGE_DECIMALS = 3
 
 
 class LeadershipProof:
@@ -90,7 +90,7 @@
         proven_at = self.proven_at()
         if proven_at is None:
             return None
-        age_ms = round((now - proven_at) * 1000, _DECIMALS)
+        age_ms = round((now - proven_at) * 1000, _AGE_DECIMALS)
         return max(0, math.ceil(age_ms))
 
     def is_proven_since(self, asked_at: float) -> bool:
--- a/packages/core/src/trefoilpulley_core/rendezvous.py
+++ b/packages/core/src/trefoilpulley_core/rendezvous.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-HOST_SETS_CACHED = 256
+MAX_CACHED_HOST_SETS = 256
 """Sets of hosts whose seeds are kept."""
 
 
@@ -50,6 +50,6 @@
     ]
 
 
-@lru_cache(maxsize=HOST_SETS_CACHED)
+@lru_cache(maxsize=MAX_CACHED_HOST_SETS)
 def _seeds(hosts: tuple[str, ...]) -> tuple[tuple[int, str], ...]:
     return tuple((xxh3_64_intdigest(host.encode()), host) for host in hosts)
--- a/packages/core/src/trefoilpulley_core/retry_budget.py
+++ b/packages/core/src/trefoilpulley_core/retry_budget.py
@@ -11,13 +11,13 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.failure import Failure
 
-RETRY_SHARE = 0.1
+RETRIES_PER_REQUEST = 0.1
 """Retries allowed for each fresh request."""
 
-BURST_RETRIES = 10.0
+MAX_SAVED_RETRIES = 10.0
 """Retries that an upstream may save up, and starts with."""
 
-UPSTREAM_LIMIT = 4096
+MAX_UPSTREAMS = 4096
 """Upstreams that are remembered, the latest used."""
 
 
@@ -25,12 +25,15 @@
     """Allows retries to an upstream as a share of its fresh requests."""
 
     def __init__(self) -> None:
-        self._saved: OrderedDict[str, float] = OrderedDict()
+        self._retries: OrderedDict[str, float] = OrderedDict()
 
     def record_fresh(self, upstream: str) -> None:
         """Count a first attempt at an upstream."""
-        saved = self._saved.get(upstream, BURST_RETRIES)
-        self._save(upstream, min(BURST_RETRIES, saved + RETRY_SHARE))
+        available_retries = self._retries.get(upstream, MAX_SAVED_RETRIES)
+        self._store(
+            upstream,
+            min(MAX_SAVED_RETRIES, available_retries + RETRIES_PER_REQUEST),
+        )
 
     def try_retry(
         self, upstream: str, failure: Failure, is_repeatable: bool
@@ -58,21 +61,21 @@
             return False
         if isinstance(failure, ReplicaBehind):
             return True
-        saved = self._saved.get(upstream, BURST_RETRIES)
-        if saved < 1:
+        available_retries = self._retries.get(upstream, MAX_SAVED_RETRIES)
+        if available_retries < 1:
             return False
-        self._save(upstream, saved - 1)
+        self._store(upstream, available_retries - 1)
         return True
 
-    def saved(self, upstream: str) -> float:
+    def available_retries(self, upstream: str) -> float:
         """Return the retries that an upstream may still get."""
-        return self._saved.get(upstream, BURST_RETRIES)
+        return self._retries.get(upstream, MAX_SAVED_RETRIES)
 
-    def _save(self, upstream: str, saved: float) -> None:
-        self._saved[upstream] = saved
-        self._saved.move_to_end(upstream)
-        if len(self._saved) > UPSTREAM_LIMIT:
-            self._saved.popitem(last=False)
+    def _store(self, upstream: str, available_retries: float) -> None:
+        self._retries[upstream] = available_retries
+        self._retries.move_to_end(upstream)
+        if len(self._retries) > MAX_UPSTREAMS:
+            self._retries.popitem(last=False)
 
 
 def may_repeat(failure: Failure, is_repeatable: bool) -> bool:
--- a/packages/core/src/trefoilpulley_core/routing_targets.py
+++ b/packages/core/src/trefoilpulley_core/routing_targets.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
+from trefoilpulley_core._routing_rules import has_reached
 from trefoilpulley_core._routing_rules import is_readable
 from trefoilpulley_core._routing_rules import needs_primary
-from trefoilpulley_core._routing_rules import reaches
-from trefoilpulley_core._routing_rules import route_to_primary
-from trefoilpulley_core._routing_rules import route_to_replica
+from trefoilpulley_core._routing_rules import primary_route
+from trefoilpulley_core._routing_rules import replica_route
 from trefoilpulley_core.declarations import FreshnessKind
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.routing import find_primary
@@ -27,25 +27,25 @@
     from trefoilpulley_core.routing import RouteRequest
     from trefoilpulley_core.targets import ClassTargets
 
-PATIENCE_SHARE = 0.5
+REPLICA_TIME_SHARE = 0.5
 """Share of the time left that a replica may take before the primary."""
 
-DIGEST_LIFETIME_S = 1.0
+MAX_DIGEST_AGE_S = 1.0
 """Time for which a digest counts as new, in seconds."""
 
-STALE_COST_MS = 20.0
+STALE_DIGEST_COST_MS = 20.0
 """Cost of a digest that is no longer new, in milliseconds."""
 
 CROSS_ZONE_COST_MS = 1.0
 """Cost of a link between availability zones beyond its round trip."""
 
-LEAST_WAIT_MS = 1.0
+MIN_WAIT_MS = 1.0
 """Wait expected of a replica that should hold the floor by now."""
 
 WAIT_MARGIN_MS = 10.0
 """Time granted beyond the expected wait for a floor."""
 
-_NEVER = float('inf')
+_INFINITE_MS = float('inf')
 
 
 class TargetRouting(RoutingPolicy):
@@ -70,38 +70,40 @@
     ) -> Result[Route, Failure]:
         """Return the member for a request, or ``NoUpstream``."""
         if needs_primary(req):
-            return route_to_primary(view, req)
+            return primary_route(view, req)
         primary = find_primary(view)
-        patience_ms = self._patience_ms(req, now)
+        replica_budget_ms = self._replica_budget_ms(req, now)
         best = None
-        best_ms = _NEVER
-        grant_ms = 0.0
+        best_ms = _INFINITE_MS
+        floor_wait_ms = 0.0
         for member in view.members:
             if not _may_serve(member, primary, req, now):
                 continue
             wait_ms = _floor_wait_ms(member, primary, req.floor, now)
             margin_ms = WAIT_MARGIN_MS if wait_ms else 0.0
             is_long = wait_ms > WAIT_MARGIN_MS
-            if is_long and _is_likeliest(member, view, primary, req):
-                wait_ms = LEAST_WAIT_MS
+            if is_long and _is_most_advanced(member, view, primary, req):
+                wait_ms = MIN_WAIT_MS
                 margin_ms = 0.0
-            cost_ms = wait_ms + _answer_ms(member, req, now)
+            cost_ms = wait_ms + _expected_answer_ms(member, req, now)
             if cost_ms < best_ms:
                 best, best_ms = member, cost_ms
-                grant_ms = wait_ms + margin_ms
+                floor_wait_ms = wait_ms + margin_ms
         if best is None:
-            return route_to_primary(view, req)
-        if best_ms > patience_ms and _is_faster(primary, req, now, best_ms):
-            return route_to_primary(view, req)
-        return route_to_replica(best, req, round(grant_ms))
-
-    def _patience_ms(self, req: RouteRequest, now: float) -> float:
+            return primary_route(view, req)
+        if best_ms > replica_budget_ms and _is_faster(
+            primary, req, now, best_ms
+        ):
+            return primary_route(view, req)
+        return replica_route(best, req, round(floor_wait_ms))
+
+    def _replica_budget_ms(self, req: RouteRequest, now: float) -> float:
         """Return the time that a replica may take to answer."""
         left_ms = max(0.0, req.deadline - now) * 1000
         if self._targets is None:
-            return left_ms * PATIENCE_SHARE
+            return left_ms * REPLICA_TIME_SHARE
         danger = self._targets.danger(req.work_class.name, now)
-        return left_ms * PATIENCE_SHARE * (1 - danger)
+        return left_ms * REPLICA_TIME_SHARE * (1 - danger)
 
 
 def _may_serve(
@@ -131,7 +133,7 @@
         return True
     if freshness.max_age_ms is None:
         return True
-    if now - member.observed_at > DIGEST_LIFETIME_S:
+    if now - member.observed_at > MAX_DIGEST_AGE_S:
         # Its pooler dates the data anew, and a refusal brings a digest.
         return True
     age_ms = member.digest.age_ms
@@ -146,19 +148,19 @@
 ) -> float:
     """Return the expected wait until a replica holds a floor."""
     digest = member.digest
-    if floor.index == 0 or reaches(digest.last, floor):
+    if floor.index == 0 or has_reached(digest.last, floor):
         return 0.0
     if primary is None or digest.term < primary.digest.term:
-        return _NEVER
-    if reaches(_copied_to(member, primary), floor):
+        return _INFINITE_MS
+    if has_reached(_confirmed_position(member, primary), floor):
         return 0.0
     wait_ms = digest.lag_ms - member.round_trip_ms / 2
-    if reaches(primary.digest.last, floor):
+    if has_reached(primary.digest.last, floor):
         wait_ms -= (now - primary.observed_at) * 1000
-    return max(LEAST_WAIT_MS, wait_ms)
+    return max(MIN_WAIT_MS, wait_ms)
 
 
-def _copied_to(member: MemberView, primary: MemberView) -> Position:
+def _confirmed_position(member: MemberView, primary: MemberView) -> Position:
     """Return what a replica has confirmed to its primary."""
     for copy in primary.digest.copies:
         if copy.member == member.member:
@@ -166,7 +168,7 @@
     return BEGINNING
 
 
-def _is_likeliest(
+def _is_most_advanced(
     member: MemberView,
     view: DatabaseView,
     primary: MemberView | None,
@@ -179,7 +181,7 @@
     """
     if primary is not None and primary.digest.term != req.floor.term:
         return False
-    progress = _progress(member.digest)
+    progress_key = _progress_key(member.digest)
     for other in view.members:
         if other is member or other.member in req.excluded:
             continue
@@ -187,24 +189,26 @@
         if digest is None:
             if primary is not None:
                 return False
-        elif not digest.is_primary and _progress(digest) > progress:
+        elif not digest.is_primary and _progress_key(digest) > progress_key:
             return False
     return True
 
 
-def _progress(digest: MemberDigest) -> tuple[int, int, int]:
+def _progress_key(digest: MemberDigest) -> tuple[int, int, int]:
     """Return a key by which the most advanced replica is greatest."""
     last = digest.last
     return last.term, last.index, -digest.lag_ms
 
 
-def _answer_ms(member: MemberView, req: RouteRequest, now: float) -> float:
+def _expected_answer_ms(
+    member: MemberView, req: RouteRequest, now: float
+) -> float:
     """Return the expected time to an answer without a wait."""
     cost_ms = member.round_trip_ms + member.digest.queue_ms
     if member.zone != req.zone:
         cost_ms += CROSS_ZONE_COST_MS
-    if now - member.observed_at > DIGEST_LIFETIME_S:
-        cost_ms += STALE_COST_MS
+    if now - member.observed_at > MAX_DIGEST_AGE_S:
+        cost_ms += STALE_DIGEST_COST_MS
     return cost_ms
 
 
@@ -217,4 +221,4 @@
     """Return whether the primary should answer sooner than a cost."""
     if primary is None or primary.member in req.excluded:
         return False
-    return _answer_ms(primary, req, now) < cost_ms
+    return _expected_answer_ms(primary, req, now) < cost_ms
--- a/packages/core/src/trefoilpulley_core/routing_thin.py
+++ b/packages/core/src/trefoilpulley_core/routing_thin.py
@@ -6,8 +6,8 @@
 
 from trefoilpulley_core._routing_rules import is_readable
 from trefoilpulley_core._routing_rules import needs_primary
-from trefoilpulley_core._routing_rules import route_to_primary
-from trefoilpulley_core._routing_rules import route_to_replica
+from trefoilpulley_core._routing_rules import primary_route
+from trefoilpulley_core._routing_rules import replica_route
 from trefoilpulley_core.routing import RoutingPolicy
 
 if TYPE_CHECKING:
@@ -19,7 +19,7 @@
     from trefoilpulley_core.routing import RouteRequest
 
 
-class ThinRouting(RoutingPolicy):
+class NearestRouting(RoutingPolicy):
     """Reads at the nearest reachable replica, whatever it holds."""
 
     def choose(
@@ -27,9 +27,9 @@
     ) -> Result[Route, Failure]:
         """Return the member for a request, or ``NoUpstream``."""
         if needs_primary(req):
-            return route_to_primary(view, req)
+            return primary_route(view, req)
         found = [m for m in view.members if is_readable(m, req)]
         if not found:
-            return route_to_primary(view, req)
+            return primary_route(view, req)
         nearest = min(found, key=lambda m: m.round_trip_ms)
-        return route_to_replica(nearest, req)
+        return replica_route(nearest, req)
--- a/packages/core/src/trefoilpulley_core/slot_lane.py
+++ b/packages/core/src/trefoilpulley_core/slot_lane.py
@@ -7,18 +7,18 @@
 
 from trefoilpulley_core.slot_service import ServiceTime
 from trefoilpulley_core.slot_shares import TenantShares
-from trefoilpulley_core.targets import Strictness
+from trefoilpulley_core.targets import ClassPriority
 
 if TYPE_CHECKING:
     from trefoilpulley_core.slots import Ticket
 
-EARLY_SHARE = 0.5
+CRITICAL_TIME_SHARE = 0.5
 """Part of the promptness target left when work becomes critical."""
 
-_SPARE_ENTRIES = 64
+_MAX_STALE_ENTRIES = 64
 
 
-class SlotLane:
+class ClassQueue:
     """Waiting work of one class by deadline, fair between tenants.
 
     Parameters
@@ -38,10 +38,10 @@
         self.is_write = is_write
         """Whether a hold of writes applies."""
 
-        self.strictness = Strictness()
+        self.priority = ClassPriority()
         """How little the class can spare."""
 
-        self.level = 0
+        self.rank = 0
         """Rank of the strictness among the lanes, the loosest 0."""
 
         self.danger = 0.0
@@ -70,13 +70,13 @@
         """Service time of all that waits, in seconds."""
         return len(self._waiting) * self.service.mean_s
 
-    def key_of(self, ticket: Ticket, now: float) -> float:
+    def sort_key(self, ticket: Ticket, now: float) -> float:
         """Return the deadline put back by the tenant's lead."""
         return ticket.deadline + self._shares.lead_s(ticket.tenant, now)
 
     def push(self, ticket: Ticket, now: float) -> None:
         """Add admitted work."""
-        key = self.key_of(ticket, now)
+        key = self.sort_key(ticket, now)
         self._shares.charge(ticket.tenant, self.service.mean_s, now)
         self._last_key = max(key, self._last_key) if self._waiting else key
         self._waiting[ticket.ticket_id] = key
@@ -103,11 +103,11 @@
         """Remove work by its identifier; return whether it waited."""
         if self._waiting.pop(ticket_id, None) is None:
             return False
-        if len(self._heap) > 2 * len(self._waiting) + _SPARE_ENTRIES:
+        if len(self._heap) > 2 * len(self._waiting) + _MAX_STALE_ENTRIES:
             self._compact()
         return True
 
-    def ahead_s(self, key: float) -> float:
+    def work_before_s(self, key: float) -> float:
         """Return the service time of the work before a key, in seconds.
 
         Work between the first and the last key is taken as evenly
@@ -120,37 +120,37 @@
             return 0.0
         if key >= self._last_key:
             return self.backlog_s
-        part = (key - first) / (self._last_key - first)
-        return max(self.service.mean_s, part * self.backlog_s)
+        fraction = (key - first) / (self._last_key - first)
+        return max(self.service.mean_s, fraction * self.backlog_s)
 
-    def due_s(self, until: float) -> float:
+    def work_due_s(self, until: float) -> float:
         """Return the service time that must pass before a time.
 
         Left for later, this much of the work would be late.
         """
         if not self._waiting:
             return 0.0
-        room_s = self._slots * max(0.0, self._last_key - until)
-        return max(0.0, self.backlog_s - room_s)
+        capacity_s = self._slots * max(0.0, self._last_key - until)
+        return max(0.0, self.backlog_s - capacity_s)
 
-    def is_critical(self, now: float, guard_s: float) -> bool:
+    def is_critical(self, now: float, max_service_s: float) -> bool:
         """Return whether the lane must go before looser ones.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
-        guard_s : float
+        max_service_s : float
             Time that other work may hold a slot, in seconds.
         """
         head = self.peek()
         if head is None:
             return False
-        latest = head.deadline - self.service.careful_s
-        drained = self._last_key - self.backlog_s / self._slots
-        early_share = max(EARLY_SHARE, self.danger)
-        margin_s = guard_s + early_share * self.within_s
-        return now + margin_s >= min(latest, drained)
+        latest_start = head.deadline - self.service.upper_estimate_s
+        latest_drain_start = self._last_key - self.backlog_s / self._slots
+        time_share = max(CRITICAL_TIME_SHARE, self.danger)
+        margin_s = max_service_s + time_share * self.within_s
+        return now + margin_s >= min(latest_start, latest_drain_start)
 
     def _compact(self) -> None:
         self._heap = [e for e in self._heap if e[1] in self._waiting]
--- a/packages/core/src/trefoilpulley_core/slot_service.py
+++ b/packages/core/src/trefoilpulley_core/slot_service.py
@@ -7,10 +7,10 @@
 INITIAL_SERVICE_S = 0.005
 """Service time assumed before the first is seen, in seconds."""
 
-LOAD_MEMORY_S = 5.0
+LOAD_TIME_CONSTANT_S = 5.0
 """Time over which the load of a class is remembered, in seconds."""
 
-OUTLIER_FACTOR = 4.0
+MAX_OUTLIER_FACTOR = 4.0
 """Distance from the mean, in careful service times, that one sample may
 add at most: a stall of the process says little of the next statement."""
 
@@ -22,7 +22,7 @@
 
     __slots__ = (
         '_busy_s',
-        '_faded_at',
+        '_decayed_at',
         '_loaded_at',
         'deviation_s',
         'mean_s',
@@ -37,49 +37,51 @@
 
         self._busy_s = 0.0
         self._loaded_at = 0.0
-        self._faded_at = 0.0
+        self._decayed_at = 0.0
 
     @property
-    def careful_s(self) -> float:
+    def upper_estimate_s(self) -> float:
         """Service time that most work stays below, in seconds."""
         return self.mean_s + self.deviation_s
 
     @property
-    def least_s(self) -> float:
+    def lower_estimate_s(self) -> float:
         """Service time that most work exceeds, in seconds."""
         return max(0.0, self.mean_s - 2 * self.deviation_s)
 
     @property
-    def _longest_error_s(self) -> float:
-        return OUTLIER_FACTOR * max(self.careful_s, INITIAL_SERVICE_S)
+    def _max_error_s(self) -> float:
+        return MAX_OUTLIER_FACTOR * max(
+            self.upper_estimate_s, INITIAL_SERVICE_S
+        )
 
     def record(self, service_s: float, now: float) -> None:
         """Learn one service time."""
-        error_s = min(service_s - self.mean_s, self._longest_error_s)
+        error_s = min(service_s - self.mean_s, self._max_error_s)
         self.mean_s += _SMOOTHING * error_s
         self.deviation_s += _SMOOTHING * (abs(error_s) - self.deviation_s)
         self._busy_s = self._decayed_s(now) + service_s
         self._loaded_at = max(now, self._loaded_at)
 
-    def fade(self, now: float) -> None:
+    def decay_estimate(self, now: float) -> None:
         """Let an estimate without new samples return to the initial one.
 
         Work that is refused for a long service time brings no sample
         that could prove the time shorter again.
         """
-        idle_s = now - max(self._loaded_at, self._faded_at)
+        idle_s = now - max(self._loaded_at, self._decayed_at)
         if idle_s <= 0:
             return
-        kept = math.exp(-idle_s / LOAD_MEMORY_S)
+        remaining = math.exp(-idle_s / LOAD_TIME_CONSTANT_S)
         above_s = max(0.0, self.mean_s - INITIAL_SERVICE_S)
-        self.mean_s -= above_s * (1 - kept)
-        self.deviation_s *= kept
-        self._faded_at = now
+        self.mean_s -= above_s * (1 - remaining)
+        self.deviation_s *= remaining
+        self._decayed_at = now
 
     def load(self, now: float) -> float:
         """Return the slots that the class has kept busy of late."""
-        return self._decayed_s(now) / LOAD_MEMORY_S
+        return self._decayed_s(now) / LOAD_TIME_CONSTANT_S
 
     def _decayed_s(self, now: float) -> float:
         elapsed_s = max(0.0, now - self._loaded_at)
-        return self._busy_s * math.exp(-elapsed_s / LOAD_MEMORY_S)
+        return self._busy_s * math.exp(-elapsed_s / LOAD_TIME_CONSTANT_S)
--- a/packages/core/src/trefoilpulley_core/slot_shares.py
+++ b/packages/core/src/trefoilpulley_core/slot_shares.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-LONGEST_LEAD_S = 10.0
+MAX_LEAD_S = 10.0
 """Longest time by which a tenant's work is put back, in seconds."""
 
 PRUNE_INTERVAL_S = 0.1
@@ -36,7 +36,7 @@
         start = max(now, self._finishes.get(tenant, now))
         active = len(self._finishes) + (tenant not in self._finishes)
         finish = start + service_s * active / self._slots
-        self._finishes[tenant] = min(finish, now + LONGEST_LEAD_S)
+        self._finishes[tenant] = min(finish, now + MAX_LEAD_S)
 
     def _prune(self, now: float) -> None:
         if now - self._pruned_at < PRUNE_INTERVAL_S:
--- a/packages/core/src/trefoilpulley_core/slots.py
+++ b/packages/core/src/trefoilpulley_core/slots.py
@@ -66,7 +66,7 @@
         """Learn how long a piece of work held its slot."""
 
     @abc.abstractmethod
-    def record_broken(self) -> None:
+    def record_connection_lost(self) -> None:
         """Count work as ended whose connection broke.
 
         How long it held its slot says nothing of the work.
--- a/packages/core/src/trefoilpulley_core/slots_fifo.py
+++ b/packages/core/src/trefoilpulley_core/slots_fifo.py
@@ -17,7 +17,7 @@
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.slots import Ticket
 
-QUEUE_LIMIT = 10_000
+MAX_QUEUE_LENGTH = 10_000
 """Pieces of work that may wait at once."""
 
 INITIAL_SERVICE_S = 0.005
@@ -26,7 +26,7 @@
 _SMOOTHING = 0.1
 
 
-class FifoSlots(SlotQueue):
+class FifoQueue(SlotQueue):
     """First come, first served; refuses only where the queue is full.
 
     Parameters
@@ -45,7 +45,7 @@
 
     def offer(self, ticket: Ticket, now: float) -> Result[None, Failure]:
         """Queue work, or refuse it with ``Overloaded``."""
-        if len(self._waiting) >= QUEUE_LIMIT:
+        if len(self._waiting) >= MAX_QUEUE_LENGTH:
             return Failed(Overloaded('the queue is full'))
         self._waiting[ticket.ticket_id] = ticket
         return Success(None)
@@ -74,7 +74,7 @@
         """Learn how long a piece of work held its slot."""
         self._service_s += _SMOOTHING * (service_s - self._service_s)
 
-    def record_broken(self) -> None:
+    def record_connection_lost(self) -> None:
         """Learn nothing: the queue does not count running work."""
 
     def expected_wait_ms(self, now: float) -> int:
--- a/packages/core/src/trefoilpulley_core/targets.py
+++ b/packages/core/src/trefoilpulley_core/targets.py
@@ -19,20 +19,20 @@
 """Time over which shares and quantiles are taken, in seconds."""
 
 _BUCKET_S = 1.0
-_LEAST_COUNT = 100
-_LONGEST_US = 120_000_000
-_DIGITS = 2
+_MIN_COUNT = 100
+_MAX_TIME_US = 120_000_000
+_SIGNIFICANT_DIGITS = 2
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Strictness:
+class ClassPriority:
     """How little a class can spare; the greater goes first in need.
 
     A write that may run only once goes before work that its caller may
     repeat; among equals the higher target share goes first.
     """
 
-    is_single: bool = False
+    is_unrepeatable_write: bool = False
     """Whether the class writes and may not be repeated."""
 
     share: float = 0.0
@@ -128,10 +128,10 @@
         window = self._classes.get(work_class)
         return window.danger(now) if window else 0.0
 
-    def strictness(self, work_class: str) -> Strictness:
+    def priority(self, work_class: str) -> ClassPriority:
         """Return how little a class can spare."""
         window = self._classes.get(work_class)
-        return window.strictness if window else Strictness()
+        return window.priority if window else ClassPriority()
 
     def within_s(self, work_class: str) -> float:
         """Return the promptness target of a class, in seconds."""
@@ -174,11 +174,15 @@
         return self.work_class.promptness.within_ms
 
     @property
-    def strictness(self) -> Strictness:
+    def priority(self) -> ClassPriority:
         work_class = self.work_class
         is_write = work_class.work is WorkKind.WRITE
-        is_single = is_write and not work_class.safety.is_repeatable
-        return Strictness(is_single, work_class.promptness.share)
+        is_unrepeatable_write = (
+            is_write and not work_class.safety.is_repeatable
+        )
+        return ClassPriority(
+            is_unrepeatable_write, work_class.promptness.share
+        )
 
     def count(self, now: float, is_in_time: bool) -> None:
         bucket = self._bucket_at(now)
@@ -197,16 +201,16 @@
         self._rotate_times(now)
         if self._times is None:
             self._times = _new_histogram()
-        elapsed_us = max(1, min(_LONGEST_US, int(elapsed_s * 1e6)))
+        elapsed_us = max(1, min(_MAX_TIME_US, int(elapsed_s * 1e6)))
         self._times.record_value(elapsed_us)
 
     def danger(self, now: float) -> float:
-        self._forget(now)
+        self._drop_old_buckets(now)
         late = self._total - self._in_time
         if not late:
             return 0.0
         allowed = 1 - self.work_class.promptness.share
-        budget = allowed * max(self._total, _LEAST_COUNT)
+        budget = allowed * max(self._total, _MIN_COUNT)
         return min(1.0, late / budget) if budget > 0 else 1.0
 
     def report(self, now: float) -> ClassReport:
@@ -225,14 +229,14 @@
         )
 
     def _quantile_ms(self, percentile: float) -> float:
-        both = _new_histogram()
+        merged = _new_histogram()
         for times in (self._earlier_times, self._times):
             if times is not None:
-                both.add(times)
-        return both.get_value_at_percentile(percentile) / 1000
+                merged.add(times)
+        return merged.get_value_at_percentile(percentile) / 1000
 
     def _bucket_at(self, now: float) -> _Bucket:
-        self._forget(now)
+        self._drop_old_buckets(now)
         if self._buckets:
             newest = self._buckets[-1]
             if now - newest.started_at < _BUCKET_S:
@@ -240,7 +244,7 @@
         self._buckets.append(_Bucket(now))
         return self._buckets[-1]
 
-    def _forget(self, now: float) -> None:
+    def _drop_old_buckets(self, now: float) -> None:
         buckets = self._buckets
         while buckets and now - buckets[0].started_at > WINDOW_S:
             oldest = buckets.popleft()
@@ -258,4 +262,4 @@
 
 
 def _new_histogram() -> HdrHistogram:
-    return HdrHistogram(1, _LONGEST_US, _DIGITS)
+    return HdrHistogram(1, _MAX_TIME_US, _SIGNIFICANT_DIGITS)
--- a/packages/core/src/trefoilpulley_core/token.py
+++ b/packages/core/src/trefoilpulley_core/token.py
@@ -22,10 +22,10 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-TOKEN_LIMIT_BYTES = 8192
+MAX_TOKEN_BYTES = 8192
 """Size of the largest token that is read."""
 
-FLOOR_LIMIT = 64
+MAX_FLOORS = 64
 """Databases whose floors a token lists."""
 
 _SALT = b'trefoilpulley.session'
@@ -80,8 +80,8 @@
             return self
         others = tuple(f for f in self.floors if f.database != database)
         floors = (*others, Floor(database, position))
-        is_partial = self.is_partial or len(floors) > FLOOR_LIMIT
-        return SessionToken(self.tenant, floors[-FLOOR_LIMIT:], is_partial)
+        is_partial = self.is_partial or len(floors) > MAX_FLOORS
+        return SessionToken(self.tenant, floors[-MAX_FLOORS:], is_partial)
 
     def merge(self, other: SessionToken) -> SessionToken:
         """Return a token that holds the floors of two."""
@@ -123,7 +123,7 @@
         self, data: bytes, tenant: str
     ) -> Result[SessionToken, Failure]:
         """Verify a signed token of a tenant."""
-        if len(data) > TOKEN_LIMIT_BYTES:
+        if len(data) > MAX_TOKEN_BYTES:
             return Failed(InvalidToken('token is too large'))
         try:
             body = cbor2.loads(self._signer.unsign(data))
@@ -148,7 +148,7 @@
 
 
 def _read_floors(entries: Any) -> tuple[Floor, ...] | None:
-    if not isinstance(entries, list) or len(entries) > FLOOR_LIMIT:
+    if not isinstance(entries, list) or len(entries) > MAX_FLOORS:
         return None
     if not all(_is_floor(entry) for entry in entries):
         return None
--- a/packages/node/src/trefoilpulley_node/policies.py
+++ b/packages/node/src/trefoilpulley_node/policies.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from trefoilpulley_core.routing_plain import PlainRouting
+from trefoilpulley_core.routing_plain import RoundRobinRouting
 from trefoilpulley_core.routing_targets import TargetRouting
-from trefoilpulley_core.routing_thin import ThinRouting
-from trefoilpulley_core.slots_deadline import DeadlineSlots
-from trefoilpulley_core.slots_fifo import FifoSlots
+from trefoilpulley_core.routing_thin import NearestRouting
+from trefoilpulley_core.slots_deadline import DeadlineQueue
+from trefoilpulley_core.slots_fifo import FifoQueue
 
 if TYPE_CHECKING:
     from trefoilpulley_core.catalog import MemberEntry
@@ -20,9 +20,9 @@
 def make_routing(name: str, targets: ClassTargets) -> RoutingPolicy:
     """Return the routing policy with a name."""
     if name == 'plain':
-        return PlainRouting()
+        return RoundRobinRouting()
     if name == 'thin':
-        return ThinRouting()
+        return NearestRouting()
     return TargetRouting(targets)
 
 
@@ -31,5 +31,5 @@
 ) -> SlotQueue:
     """Return the slot queue with a name for a member."""
     if name == 'fifo':
-        return FifoSlots(member.slots)
-    return DeadlineSlots(member.slots, targets)
+        return FifoQueue(member.slots)
+    return DeadlineQueue(member.slots, targets)
--- a/packages/node/src/trefoilpulley_node/pooler/member_connections.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_connections.py
@@ -18,7 +18,7 @@
     from trefoilpulley_core.catalog import MemberEntry
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.connection_budget import ConnectionBudget
-    from trefoilpulley_core.connection_pacer import ConnectionPacer
+    from trefoilpulley_core.connection_pacer import ConnectionRateLimiter
     from trefoilpulley_core.upstream import MemberStatus
     from trefoilpulley_node.pooler.member_link import MemberLink
 
@@ -35,7 +35,7 @@
         Member and its limits.
     budget : ConnectionBudget
         Connections that this host may hold.
-    pacer : ConnectionPacer
+    pacer : ConnectionRateLimiter
         Pace of new connections.
     clock : Clock
         Monotonic time.
@@ -45,7 +45,7 @@
         self,
         member: MemberEntry,
         budget: ConnectionBudget,
-        pacer: ConnectionPacer,
+        pacer: ConnectionRateLimiter,
         clock: Clock,
     ) -> None:
         self._member = member
--- a/packages/node/src/trefoilpulley_node/pooler/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_pool.py
@@ -136,7 +136,7 @@
         if lease.link.is_open:
             self._queue.record_service(work_class, held_s, is_in_time)
         else:
-            self._queue.record_broken()
+            self._queue.record_connection_lost()
         self._connections.give_back(lease.link)
         self._free_slot(lease.ticket)
 
@@ -199,7 +199,7 @@
     def _connect(self, ticket: Ticket) -> Result[SlotLease, Failure]:
         lent = self._connections.lend(ticket.deadline)
         if not isinstance(lent, Success):
-            self._queue.record_broken()
+            self._queue.record_connection_lost()
             self._free_slot(ticket)
             return Failed(NoUpstream('member can not be connected'))
         return Success(SlotLease(lent.unwrap(), ticket, self._clock.now()))
--- a/packages/node/src/trefoilpulley_node/pooler/pooled_member.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooled_member.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from trefoilpulley_core.connection_budget import ConnectionBudget
-from trefoilpulley_core.connection_pacer import ConnectionPacer
+from trefoilpulley_core.connection_pacer import ConnectionRateLimiter
 from trefoilpulley_core.freshness import AgeTracker
 from trefoilpulley_core.peer import MemberDigest
 from trefoilpulley_core.position import BEGINNING
@@ -87,7 +87,7 @@
         connections = MemberConnections(
             entry,
             ConnectionBudget(entry.connections, entry.slots),
-            ConnectionPacer(rng),
+            ConnectionRateLimiter(rng),
             clock,
         )
         self.pool = MemberPool(entry, queue, connections, clock)
--- a/packages/standins/src/trefoilpulley_standins/policy_connections.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_connections.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from trefoilpulley_core.connection_budget import CONTROL_CONNECTIONS
-from trefoilpulley_core.connection_pacer import ConnectionPacer
+from trefoilpulley_core.connection_pacer import ConnectionRateLimiter
 from trefoilpulley_standins.policy_loop import VirtualLoop
 
 if TYPE_CHECKING:
@@ -94,7 +94,7 @@
         self._loop = loop
         self._door = door
         self._budget = budget
-        self._pacer = ConnectionPacer(rng)
+        self._pacer = ConnectionRateLimiter(rng)
         self._wanted = slots + 1
         self._connect_s = connect_s
         self._started_at = 0.0
--- a/packages/standins/src/trefoilpulley_standins/policy_run.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_run.py
@@ -12,11 +12,11 @@
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.position import Position
 from trefoilpulley_core.routing import RouteRequest
-from trefoilpulley_core.routing_plain import PlainRouting
+from trefoilpulley_core.routing_plain import RoundRobinRouting
 from trefoilpulley_core.routing_targets import TargetRouting
-from trefoilpulley_core.routing_thin import ThinRouting
-from trefoilpulley_core.slots_deadline import DeadlineSlots
-from trefoilpulley_core.slots_fifo import FifoSlots
+from trefoilpulley_core.routing_thin import NearestRouting
+from trefoilpulley_core.slots_deadline import DeadlineQueue
+from trefoilpulley_core.slots_fifo import FifoQueue
 from trefoilpulley_core.targets import ClassTargets
 from trefoilpulley_standins.policy_deployment import READ_SERVICE_S
 from trefoilpulley_standins.policy_deployment import WRITE_SERVICE_S
@@ -131,13 +131,17 @@
     def _make_routing(self) -> RoutingPolicy:
         if self._policy == 'targets':
             return TargetRouting(self._targets)
-        return PlainRouting() if self._policy == 'plain' else ThinRouting()
+        return (
+            RoundRobinRouting()
+            if self._policy == 'plain'
+            else NearestRouting()
+        )
 
     def _make_queue(self) -> SlotQueue:
         slots = self._deployment.slots
         if self._policy != 'targets':
-            return FifoSlots(slots)
-        return DeadlineSlots(slots, self._make_targets())
+            return FifoQueue(slots)
+        return DeadlineQueue(slots, self._make_targets())
 
     def _make_poolers(self) -> tuple[FakePooler, ...]:
         deployment = self._deployment
--- a/packages/standins/src/trefoilpulley_standins/policy_shares.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_shares.py
@@ -9,8 +9,8 @@
 from typing import Any
 from typing import TYPE_CHECKING
 
-from trefoilpulley_core.slots_deadline import DeadlineSlots
-from trefoilpulley_core.slots_fifo import FifoSlots
+from trefoilpulley_core.slots_deadline import DeadlineQueue
+from trefoilpulley_core.slots_fifo import FifoQueue
 from trefoilpulley_core.targets import ClassTargets
 from trefoilpulley_standins.policy_deployment import READ_SERVICE_S
 from trefoilpulley_standins.policy_deployment import WRITE_SERVICE_S
@@ -149,7 +149,7 @@
         targets = ClassTargets()
         targets.declare(self.deployment.classes)
         count = self.deployment.slots
-        queue = DeadlineSlots(count, targets)
+        queue = DeadlineQueue(count, targets)
         self._slots = FakeSlots(self.loop, queue, count)
 
     def serve(self, host: int, due: DueWork) -> Generator[Any, Any, bool]:
@@ -175,7 +175,7 @@
         """Make each host's connections and the member's own slots."""
         share = self.deployment.connections // HOSTS
         self._connections = [
-            FakeSlots(self.loop, FifoSlots(share), share) for _ in range(HOSTS)
+            FakeSlots(self.loop, FifoQueue(share), share) for _ in range(HOSTS)
         ]
         self._free = self.deployment.slots
         self._waiting: deque[Signal] = deque()
--- a/packages/standins/src/trefoilpulley_standins/policy_timing.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_timing.py
@@ -19,7 +19,7 @@
 from trefoilpulley_core.routing import RouteRequest
 from trefoilpulley_core.routing_targets import TargetRouting
 from trefoilpulley_core.slots import Ticket
-from trefoilpulley_core.slots_deadline import DeadlineSlots
+from trefoilpulley_core.slots_deadline import DeadlineQueue
 from trefoilpulley_core.targets import ClassTargets
 from trefoilpulley_standins.policy_deployment import KARAMANLIS
 
@@ -68,7 +68,7 @@
     return time.process_time() - started_at
 
 
-def _fill(queue: DeadlineSlots) -> float:
+def _fill(queue: DeadlineQueue) -> float:
     classes = KARAMANLIS.classes
     tickets = [
         Ticket(
@@ -87,11 +87,11 @@
 
 
 def _time_offer() -> float:
-    return _fill(DeadlineSlots(KARAMANLIS.slots, _make_targets()))
+    return _fill(DeadlineQueue(KARAMANLIS.slots, _make_targets()))
 
 
 def _time_take() -> float:
-    queue = DeadlineSlots(KARAMANLIS.slots, _make_targets())
+    queue = DeadlineQueue(KARAMANLIS.slots, _make_targets())
     _fill(queue)
     name = KARAMANLIS.aged_read.name
     started_at = time.process_time()
