--- a/packages/core/src/trefoilpulley_core/_routing_rules.py
+++ b/packages/core/src/trefoilpulley_core/_routing_rules.py
@@ -1,4 +1,4 @@
-"""Rules that every routing policy keeps."""
+"""Rules that all routing policies share."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 def needs_primary(req: RouteRequest) -> bool:
     """Return whether only a primary may serve a request.
 
-    A request without a token may belong to any session, so that its
-    floor is the primary's position at arrival.
+    A request without a token may belong to any session, so its floor is
+    the primary's position when the request arrives.
     """
     if req.floor is None or req.work_class.work is WorkKind.WRITE:
         return True
@@ -36,7 +36,7 @@
 
 
 def is_readable(member: MemberView, req: RouteRequest) -> bool:
-    """Return whether a member is a replica that may get a read."""
+    """Return whether a member is a replica that may serve a read."""
     digest = member.digest
     if digest is None or digest.is_primary or not digest.is_reachable:
         return False
@@ -44,26 +44,26 @@
 
 
 def has_reached(last: Position, floor: Position) -> bool:
-    """Return whether a log's end is at a floor or beyond it."""
+    """Return whether a log's end is at or after a floor."""
     if last.term != floor.term:
         return last.term > floor.term
     return last.index >= floor.index
 
 
 def translate_floor(floor: Position, digest: MemberDigest) -> Position:
-    """Return a floor in the terms of a member's log.
+    """Translate a floor of an older term to a position of a member's log.
 
-    A floor of an older term may name a record that no member kept: a
-    read saw it before it had its copies. Everything that was
-    acknowledged in older terms stands before the first record of the
-    newer one, which takes the floor's place.
+    The floor may refer to a record that was lost in a promotion,
+    because a read saw the record before enough members held it. All
+    records that were acknowledged in older terms precede the first
+    record of the newer term, so that record replaces the floor.
 
     Parameters
     ----------
     floor : Position
         Floor of the session.
     digest : MemberDigest
-        Member that is to serve.
+        Digest of the member that will serve the request.
 
     Returns
     -------
@@ -79,7 +79,7 @@
 def primary_route(
     view: DatabaseView, req: RouteRequest
 ) -> Result[Route, Failure]:
-    """Return a route to the primary that the digests show."""
+    """Return a route to the primary, as known from the digests."""
     primary = find_primary(view)
     if primary is None or primary.member in req.excluded:
         return Failed(NoUpstream(f'no primary of {view.database}'))
@@ -92,7 +92,7 @@
 def replica_route(
     member: MemberView, req: RouteRequest, wait_ms: int = 0
 ) -> Result[Route, Failure]:
-    """Return a route to a replica with the floor in its terms."""
+    """Return a route to a replica with the floor translated to its log."""
     floor = translate_floor(req.floor, member.digest)
     return Success(
         Route(member.member, False, wait_ms, floor, member.round_trip_ms)
--- a/packages/core/src/trefoilpulley_core/admission.py
+++ b/packages/core/src/trefoilpulley_core/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests at an entry host."""
+"""Admission control of requests at an entry host."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
     from trefoilpulley_core.targets import ClassTargets
 
 MAX_REQUESTS = 10_000
-"""Requests that an entry host works on at once."""
+"""Requests that an entry host processes concurrently."""
 
 _UNRESTRICTED_SHARE = 0.5
 _UNREPEATABLE_WRITE_RESERVE = 0.1
 
 
 class Admission:
-    """Bounds the requests in work, fair between tenants.
+    """Limits the concurrent requests, with fair shares for tenants.
 
-    A tenant may use what is free up to half of the limit; beyond that
-    each active tenant has an equal share, and so has a tenant that may
-    come. The last part is kept for writes that may not be repeated.
+    Up to half of the limit is not divided between tenants. Above that,
+    each active tenant may use an equal share, and one more share is
+    reserved for a tenant that is not active yet. The last part of the
+    limit is reserved for writes that may not be repeated.
 
     Parameters
     ----------
     targets : ClassTargets
         Declared classes of work.
     limit : int
-        Requests in work at once.
+        Number of concurrent requests.
     """
 
     def __init__(
@@ -48,29 +49,29 @@
 
     @property
     def total(self) -> int:
-        """Requests in work."""
+        """Number of requests in progress."""
         return self._total
 
     def admit(
         self, tenant: str, work_class: str, deadline: float, now: float
     ) -> Result[None, Failure]:
-        """Take a request in, or refuse it with ``Overloaded``.
+        """Admit a request, or refuse it with ``Overloaded``.
 
-        Each admitted request ends with `finish`.
+        The caller must call `finish` after each admitted request.
         """
         if deadline <= now:
             return Failed(Overloaded('the deadline has passed'))
         limit = self._class_limit(work_class)
         if self._total >= limit:
-            return Failed(Overloaded('the host is full'))
+            return Failed(Overloaded('the host has reached its request limit'))
         if self._is_over_share(tenant, limit):
-            return Failed(Overloaded('the tenant is beyond its share'))
+            return Failed(Overloaded('the tenant has used up its share'))
         self._total += 1
         self._by_tenant[tenant] += 1
         return Success(None)
 
     def finish(self, tenant: str) -> None:
-        """Count an admitted request as ended."""
+        """Record the end of an admitted request."""
         self._total -= 1
         self._by_tenant[tenant] -= 1
         if not self._by_tenant[tenant]:
--- a/packages/core/src/trefoilpulley_core/connection_budget.py
+++ b/packages/core/src/trefoilpulley_core/connection_budget.py
@@ -1,54 +1,56 @@
-"""Shares of a member's connection limit between poolers."""
+"""Division of a member's connection limit between poolers."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 CONTROL_CONNECTIONS = 1
-"""Connections of a pooler that carry status and control alone."""
+"""Connections of a pooler that carry only status and control messages."""
 
 SPARE_CONNECTIONS = 1
-"""Idle connections kept beyond the slots."""
+"""Idle connections that are kept in addition to one for each slot."""
 
 RESERVED_CONNECTIONS = 2
-"""Connections left free for the control connections of newcomers."""
+"""Connections that are left free for the control connections of others."""
 
 EXCLUSIVE_USE_DELAY_S = 2.0
-"""Time for which no other pooler's connection may be seen before a
-pooler takes more than half of the limit, in seconds."""
+"""Time without another pooler's connection before the full limit is used.
+
+Until then a pooler uses at most half of the limit. In seconds.
+"""
 
 IDLE_TIMEOUT_S = 10.0
-"""Time after which an idle connection beyond the warm ones is closed."""
+"""Time after which an idle connection above the minimum is closed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionPlan:
-    """What a pooler should do about its connections to a member."""
+    """Connections to a member that a pooler should open and close."""
 
     allowance: int
-    """Most connections that the pooler may hold, control included."""
+    """Maximum of the pooler's connections, including control."""
 
     warm: int
-    """Connections for work that should be open."""
+    """Connections for work that should be kept open."""
 
     surplus: int
-    """Idle connections to close at once."""
+    """Idle connections that must be closed now."""
 
 
 class ConnectionBudget:
     """Keeps several poolers of one member within its connection limit.
 
-    A pooler holds at most half of the limit until the member has shown
-    no connection but the pooler's own for a while. Between two counts
-    of the member it takes at most half of the room that is left, so
-    that two newcomers stay within the limit as well.
+    A pooler uses at most half of the limit until the member has reported
+    no connections of other poolers for some time. Between two reports
+    the pooler opens at most half of the free connections, so that two
+    poolers that start at the same time stay within the limit together.
 
     Parameters
     ----------
     limit : int
-        Connections that the member allows.
+        Number of connections that the member allows.
     slots : int
-        Pieces of work that the member runs at once.
+        Number of statements that the member runs concurrently.
     """
 
     def __init__(self, limit: int, slots: int) -> None:
@@ -62,14 +64,14 @@
     def on_status(
         self, connections_open: int, own_open: int, now: float
     ) -> None:
-        """Take the member's count of its open connections.
+        """Process the member's report of its open connections.
 
         Parameters
         ----------
         connections_open : int
-            Connections open at the member, by its own count.
+            Open connections that the member counted.
         own_open : int
-            Connections that this pooler had open when it asked.
+            Open connections of this pooler at the time of the request.
         now : float
             Monotonic time of the answer, in seconds.
         """
@@ -82,11 +84,11 @@
             self._exclusive_since = now
 
     def on_other_pooler(self) -> None:
-        """Note that another host may pool the member as well."""
+        """Record that another host may pool the member as well."""
         self._exclusive_since = None
 
     def allowance(self, now: float) -> int:
-        """Return the most connections that the pooler may hold."""
+        """Return the maximum of the pooler's connections."""
         if self._is_exclusive(now):
             return self._usable
         shared = min(self._usable // 2, self._own + self._available // 2)
@@ -97,14 +99,14 @@
         return own_open < self.allowance(now)
 
     def plan(self, own_open: int, idle: int, now: float) -> ConnectionPlan:
-        """Return what to open and what to close.
+        """Return the connections to open and to close.
 
         Parameters
         ----------
         own_open : int
-            Connections open, control included.
+            Open connections of this pooler, including control.
         idle : int
-            Connections open without work.
+            Open connections without work.
         now : float
             Monotonic time in seconds.
         """
@@ -115,7 +117,7 @@
         return ConnectionPlan(allowance, warm, min(idle, excess))
 
     def may_close_idle(self, open_for_work: int, idle_s: float) -> bool:
-        """Return whether a connection idle for a time may be closed."""
+        """Return whether a connection may be closed after an idle time."""
         if open_for_work <= self._slots + SPARE_CONNECTIONS:
             return False
         return idle_s >= IDLE_TIMEOUT_S
--- a/packages/core/src/trefoilpulley_core/connection_pacer.py
+++ b/packages/core/src/trefoilpulley_core/connection_pacer.py
@@ -1,4 +1,4 @@
-"""Pace of new connections to one member."""
+"""Rate limit of new connections to one member."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
     import random
 
 OPENS_PER_S = 20.0
-"""Connections opened a second in the long run."""
+"""Sustained rate of new connections, per second."""
 
 MAX_BURST_OPENS = 4.0
-"""Connections that may be opened at once after a quiet time."""
+"""Connections that may be opened in a burst after an idle period."""
 
 MAX_CONCURRENT_OPENS = 2
-"""Connections that may be under way at once."""
+"""Connections that may be opened concurrently."""
 
 JITTER_FACTOR = 0.5
-"""Largest part by which a pause is lengthened at random."""
+"""Largest random extension of a pause, as a fraction of the pause."""
 
 
 class ConnectionRateLimiter:
-    """Spreads new connections by a token bucket with jitter.
+    """Limits new connections by a token bucket with jitter.
 
     Parameters
     ----------
     rng : random.Random
-        Source of the jitter.
+        Random generator for the jitter.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -37,17 +37,18 @@
 
     @property
     def opening(self) -> int:
-        """Connections under way."""
+        """Number of connections that are being opened."""
         return self._opening
 
     def try_open(self, now: float) -> float:
-        """Begin one connection, or return the pause before the next try.
+        """Reserve one new connection, or return the pause before a retry.
 
         Returns
         -------
         float
-            0 where the connection may be opened now, which `on_opened`
-            ends; otherwise a pause in seconds.
+            0 if the connection may be opened now; the caller must then
+            call `on_opened` at the end of the attempt. Otherwise the
+            pause in seconds.
         """
         self._refill(now)
         if self._opening < MAX_CONCURRENT_OPENS and self._tokens >= 1:
@@ -59,7 +60,7 @@
         return pause_s * (1 + JITTER_FACTOR * self._rng.random())
 
     def on_opened(self) -> None:
-        """Count a connection as opened or failed."""
+        """Record that a connection was opened or has failed."""
         self._opening = max(0, self._opening - 1)
 
     def _refill(self, now: float) -> None:
--- a/packages/core/src/trefoilpulley_core/copies.py
+++ b/packages/core/src/trefoilpulley_core/copies.py
@@ -1,4 +1,4 @@
-"""Counts the members that hold a record."""
+"""Number of members that hold a record."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 
 def count_copies(status: MemberStatus, position: Position) -> int:
-    """Return how many members hold a record under the primary's term.
+    """Return the number of members that hold a record.
 
-    Records of earlier terms count only with the first record of the
-    current term: until that has its copies, a later promotion could
-    still choose a member that lacks them (Ongaro and Ousterhout, "In
-    Search of an Understandable Consensus Algorithm", section 5.4.2).
+    A member counts for a record of an earlier term only if it also holds
+    the first record of the current term. Until a majority holds that
+    first record, a later promotion could still choose a member without
+    the earlier records (Ongaro and Ousterhout, "In Search of an
+    Understandable Consensus Algorithm", section 5.4.2).
 
     Parameters
     ----------
@@ -27,8 +28,8 @@
     Returns
     -------
     int
-        Members that hold the record, the primary included; 0 where the
-        status is not that of a primary whose log holds the record.
+        Number of members, including the primary; 0 where the status is
+        not of a primary whose log contains the record.
     """
     if not status.is_primary or not status.history.starts:
         return 0
--- a/packages/core/src/trefoilpulley_core/freshness.py
+++ b/packages/core/src/trefoilpulley_core/freshness.py
@@ -1,4 +1,4 @@
-"""Age of a replica's data, taken on the careful side."""
+"""Upper bound of the age of a replica's data."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from trefoilpulley_core.position import Position
 
 MAX_SAMPLES = 256
-"""Positions of the primary that are kept to date a replica."""
+"""Positions of the primary that are kept to determine a replica's age."""
 
 _LAG_SMOOTHING = 0.2
 _MIN_RECORDS_BETWEEN_SAMPLES = 5
@@ -22,26 +22,26 @@
 
 @dataclass(frozen=True, slots=True)
 class _PrimarySample:
-    """The primary held at most ``position`` at ``sent_at``."""
+    """Position that the primary had not exceeded at ``sent_at``."""
 
     sent_at: float
     position: Position
     first_sent_at: float
-    """When the first probe left that brought the same position."""
+    """Time at which the first probe with the same position was sent."""
 
 
 class AgeTracker:
-    """Dates a replica's position by probes of its primary.
+    """Determines the age of a replica's data from probes of its primary.
 
-    A probe that left at a time and brought a position shows that the
-    primary held no later record at that time. A replica that holds the
-    position has all that the primary held when the probe left.
+    A probe that returns a position proves that the primary held no later
+    record when the probe was sent. A replica that has reached the
+    position thus has all records that the primary held at that time.
 
-    A primary that was replaced behind a network partition would date
-    its replica falsely. A mark counts only once the replica, asked
-    after the probe left, is not fenced above the primary's term: in a
-    group of three, primary and replica are then a majority that no
-    promotion had fenced when the probe left.
+    A primary that was replaced during a network partition would yield a
+    wrong age. A sample is therefore used only after the replica, asked
+    after the probe was sent, is not fenced above the primary's term. In
+    a group of three, primary and replica then form a majority that no
+    promotion had fenced when the probe was sent.
     """
 
     def __init__(self) -> None:
@@ -52,14 +52,14 @@
         self._lag_s = 0.0
 
     def on_probe(self, sent_at: float, position: Position) -> None:
-        """Take the primary's answer to a probe.
+        """Process the primary's answer to a probe.
 
         Parameters
         ----------
         sent_at : float
-            Monotonic time at which the probe left, in seconds.
+            Monotonic time at which the probe was sent, in seconds.
         position : Position
-            End of the primary's log; its term is the one it leads.
+            End of the primary's log, in the primary's term.
         """
         samples = self._samples
         newest = samples[-1] if samples else self._last_reached
@@ -75,14 +75,15 @@
     def on_replica(
         self, position: Position, asked_at: float, fenced_term: int = 0
     ) -> None:
-        """Take the replica's answer to a status request.
+        """Process the replica's answer to a status request.
 
         Parameters
         ----------
         position : Position
-            End of the replica's log; less than before after a rebuild.
+            End of the replica's log. A rebuild of the replica may set it
+            back.
         asked_at : float
-            Monotonic time at which the request left, in seconds.
+            Monotonic time at which the request was sent, in seconds.
         fenced_term : int
             Lowest term that the replica still accepts.
         """
@@ -97,19 +98,19 @@
         self._asked_at = asked_at
 
     def reset(self) -> None:
-        """Forget all; the age is unknown until the next probe."""
+        """Discard all samples; the age is unknown until the next probe."""
         self._samples.clear()
         self._last_reached = None
         self._position = BEGINNING
         self._asked_at = None
 
     def age_ms(self, now: float) -> int | None:
-        """Return the greatest age of the replica's data.
+        """Return the upper bound of the age of the replica's data.
 
         Returns
         -------
         int | None
-            Age in milliseconds, or ``None`` where nothing dates it.
+            Age in milliseconds, or ``None`` where it is unknown.
         """
         if self._last_reached is None:
             return None
@@ -119,10 +120,10 @@
         return max(0, math.ceil(age_ms))
 
     def lag_ms(self) -> int:
-        """Return the time that the replica takes to follow its primary.
+        """Return the replication lag of the replica, in milliseconds.
 
-        A position that the replica was still without when last asked
-        counts for as long as it had been due.
+        If the replica had not reached a sample at its last answer, the
+        lag is at least the time since that sample was taken.
         """
         lag_s = self._lag_s
         overdue = self._first_overdue()
@@ -136,7 +137,7 @@
         return sample.position <= self._position
 
     def _first_overdue(self) -> _PrimarySample | None:
-        """Return the oldest mark that the replica was seen without."""
+        """Return the oldest sample that the replica has not reached."""
         if not self._samples or self._samples[0].position <= self._position:
             return None
         return self._samples[0]
@@ -149,7 +150,11 @@
     def _learn_lag_by_interpolation(
         self, position: Position, asked_at: float
     ) -> None:
-        """Learn from when the primary passed the replica's position."""
+        """Update the lag from the time the primary reached the position.
+
+        The time is interpolated between the samples before and after
+        the replica's position.
+        """
         before = self._last_reached
         for sample in self._samples:
             if sample.position > position:
@@ -169,7 +174,7 @@
     def _learn_lag_of_sample(
         self, sample: _PrimarySample, asked_at: float
     ) -> None:
-        """Learn from how long a single record took to arrive."""
+        """Update the lag from the time a sample took to be replicated."""
         if self._last_reached is None or _can_interpolate(
             self._last_reached, sample
         ):
@@ -184,7 +189,7 @@
         self._lag_s += _LAG_SMOOTHING * (max(0.0, lag_s) - self._lag_s)
 
     def _drop_alternate_samples(self) -> None:
-        """Drop every other mark; the age only grows by that."""
+        """Drop every other sample; the age can only become larger."""
         newest = self._samples[-1]
         kept = list(self._samples)[:-1:2]
         self._samples = deque([*kept, newest])
@@ -193,14 +198,14 @@
 def _is_outdated(
     sent_at: float, position: Position, newest: _PrimarySample
 ) -> bool:
-    """Return whether a probe tells less than an earlier one."""
+    """Return whether a probe is older than the newest sample."""
     if position.term < newest.position.term:
         return True
     return sent_at <= newest.sent_at
 
 
 def _can_interpolate(before: _PrimarySample, after: _PrimarySample) -> bool:
-    """Return whether enough records lie between two marks."""
+    """Return whether enough records lie between two samples."""
     if before.position.term != after.position.term:
         return False
     return (
--- a/packages/core/src/trefoilpulley_core/leadership.py
+++ b/packages/core/src/trefoilpulley_core/leadership.py
@@ -1,4 +1,4 @@
-"""Proof that a primary still led at a given time."""
+"""Proof that a primary was not replaced before a given time."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class LeadershipProof:
-    """Dates the last time at which a primary surely led its term.
+    """Determines the latest time at which a primary is proven to have led.
 
-    A promotion fences a majority of the members at a higher term first.
-    While the primary and enough replicas to make a majority with it are
-    not fenced above the primary's term, nobody else can have led.
+    A promotion first fences a majority of the members at a higher term.
+    While a majority, including the primary, is not fenced above the
+    primary's term, no other member can have become the primary.
 
     Parameters
     ----------
     members : int
-        Members of the database group, the primary included.
+        Number of members of the database group, including the primary.
     """
 
     def __init__(self, members: int) -> None:
@@ -27,16 +27,16 @@
         self._replicas: dict[str, float] = {}
 
     def on_primary(self, term: int, fenced_term: int, asked_at: float) -> None:
-        """Take the primary's answer to a status request.
+        """Process the primary's answer to a status request.
 
         Parameters
         ----------
         term : int
-            Term that the member leads.
+            Term of the primary.
         fenced_term : int
-            Lowest term that the member still accepts.
+            Lowest term that the primary still accepts.
         asked_at : float
-            Monotonic time at which the request left, in seconds.
+            Monotonic time at which the request was sent, in seconds.
         """
         if term != self._term:
             self.reset()
@@ -47,7 +47,7 @@
     def on_replica(
         self, member: str, fenced_term: int, asked_at: float
     ) -> None:
-        """Take a replica's answer to a status request."""
+        """Process a replica's answer to a status request."""
         if fenced_term > self._term:
             self._replicas.pop(member, None)
             return
@@ -55,12 +55,12 @@
         self._replicas[member] = max(known, asked_at)
 
     def reset(self) -> None:
-        """Forget all, as after a change of the primary."""
+        """Discard all answers, for example after a change of the primary."""
         self._primary_at = None
         self._replicas.clear()
 
     def proven_at(self) -> float | None:
-        """Return the latest time at which the primary surely led.
+        """Return the latest time at which the primary provably led.
 
         Returns
         -------
@@ -77,10 +77,11 @@
         return min(self._primary_at, newest[self._replicas_needed - 1])
 
     def age_ms(self, now: float) -> int | None:
-        """Return the greatest age of the primary's own data.
+        """Return the upper bound of the age of the primary's data.
 
-        A primary that was replaced behind a network partition holds old
-        data; what it held when it surely led was all there was.
+        A primary that was replaced during a network partition holds
+        outdated data. At the last time at which it provably led, its
+        data was complete.
 
         Returns
         -------
@@ -94,6 +95,6 @@
         return max(0, math.ceil(age_ms))
 
     def is_proven_since(self, asked_at: float) -> bool:
-        """Return whether the primary surely led at a time."""
+        """Return whether the primary provably led at a time."""
         proven_at = self.proven_at()
         return proven_at is not None and proven_at >= asked_at
--- a/packages/core/src/trefoilpulley_core/retry_budget.py
+++ b/packages/core/src/trefoilpulley_core/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries as a share of fresh traffic."""
+"""Limit of retries in proportion to first attempts."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     from trefoilpulley_core.failure import Failure
 
 RETRIES_PER_REQUEST = 0.1
-"""Retries allowed for each fresh request."""
+"""Number of retries that each first attempt adds to the budget."""
 
 MAX_SAVED_RETRIES = 10.0
-"""Retries that an upstream may save up, and starts with."""
+"""Largest and initial retry budget of an upstream."""
 
 MAX_UPSTREAMS = 4096
-"""Upstreams that are remembered, the latest used."""
+"""Number of upstreams, the most recently used, whose budgets are kept."""
 
 
 class RetryBudget:
-    """Allows retries to an upstream as a share of its fresh requests."""
+    """Limits the retries to an upstream to a share of its first attempts."""
 
     def __init__(self) -> None:
         self._retries: OrderedDict[str, float] = OrderedDict()
 
     def record_fresh(self, upstream: str) -> None:
-        """Count a first attempt at an upstream."""
+        """Record a first attempt at an upstream."""
         available_retries = self._retries.get(upstream, MAX_SAVED_RETRIES)
         self._store(
             upstream,
@@ -38,17 +38,18 @@
     def try_retry(
         self, upstream: str, failure: Failure, is_repeatable: bool
     ) -> bool:
-        """Spend one retry on an upstream where a failure allows it.
+        """Use one retry of an upstream's budget where a failure permits it.
 
-        A replica that is behind refuses before it takes a slot, and is
-        not asked twice, so that going on to another costs no retry.
+        A replica that is behind refuses a request before using a slot
+        and does not receive the request again, so a retry at another
+        member is free.
 
         Parameters
         ----------
         upstream : str
-            Member that the retry would go to.
+            Member that the retry would be sent to.
         failure : Failure
-            How the attempt before ended.
+            Failure of the previous attempt.
         is_repeatable : bool
             Whether the request may run more than once.
 
@@ -68,7 +69,7 @@
         return True
 
     def available_retries(self, upstream: str) -> float:
-        """Return the retries that an upstream may still get."""
+        """Return the remaining retry budget of an upstream."""
         return self._retries.get(upstream, MAX_SAVED_RETRIES)
 
     def _store(self, upstream: str, available_retries: float) -> None:
@@ -84,7 +85,7 @@
     Parameters
     ----------
     failure : Failure
-        How the attempt before ended.
+        Failure of the previous attempt.
     is_repeatable : bool
         Whether the request may run more than once.
     """
--- a/packages/core/src/trefoilpulley_core/routing.py
+++ b/packages/core/src/trefoilpulley_core/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the member that serves a request."""
+"""Interface and data of the routing policies."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """What an entry host knows of one member."""
+    """State of one member, as known to an entry host."""
 
     member: str
     """Name of the member."""
@@ -27,13 +27,13 @@
     """Availability zone of the member."""
 
     digest: MemberDigest | None
-    """Newest digest, or ``None`` before the first."""
+    """Latest digest, or ``None`` before the first one."""
 
     observed_at: float
-    """Monotonic time at which the digest's request left, in seconds."""
+    """Monotonic time at which the digest was requested, in seconds."""
 
     round_trip_ms: float
-    """Recent time to the member's pooler and back."""
+    """Recent round trip time to the member's pooler, in milliseconds."""
 
     is_leaving: bool
     """Whether the member is leaving or in a planned stop."""
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatabaseView:
-    """What an entry host knows of one database."""
+    """State of one database, as known to an entry host."""
 
     database: str
     """Name of the database."""
@@ -52,13 +52,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRequest:
-    """What a request asks of its member."""
+    """Requirements of a request on the member that serves it."""
 
     work_class: WorkClass
     """Class of work and its targets."""
 
     floor: Position | None
-    """Position that the member must hold; ``None`` where unknown."""
+    """Position that the member's log must contain, or ``None`` if unknown."""
 
     zone: str
     """Availability zone of the entry host."""
@@ -67,7 +67,7 @@
     """Monotonic time at which the answer is due, in seconds."""
 
     excluded: frozenset[str] = frozenset()
-    """Members that have refused this request."""
+    """Members that have already refused this request."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,24 +78,24 @@
     """Name of the member."""
 
     is_primary: bool
-    """Whether the member is taken for the primary."""
+    """Whether the member was chosen as the primary."""
 
     wait_ms: int = 0
-    """Longest wait at the member for the floor."""
+    """Time limit for the member to reach the floor, in milliseconds."""
 
     floor: Position | None = None
-    """The request's floor in the terms of the member's log.
+    """The request's floor, translated to the member's log.
 
-    ``None`` where the request's floor is unknown; the primary's position
-    then takes its place.
+    ``None`` where the request's floor is unknown. The primary's position
+    is then used instead.
     """
 
     round_trip_ms: float = 0.0
-    """Recent time to the member's pooler and back."""
+    """Recent round trip time to the member's pooler, in milliseconds."""
 
 
 class RoutingPolicy(abc.ABC):
-    """Way to choose a member."""
+    """Chooses the member that serves a request."""
 
     @abc.abstractmethod
     def choose(
@@ -105,10 +105,10 @@
 
 
 def find_primary(view: DatabaseView) -> MemberView | None:
-    """Return the reachable member that leads the highest term seen.
+    """Return the reachable primary of the highest known term.
 
-    A leader of a lower term than another member leads or follows has
-    been deposed and is no primary.
+    A primary whose term is lower than that of another member has been
+    replaced and is ignored.
     """
     found = None
     highest = 0
--- a/packages/core/src/trefoilpulley_core/routing_plain.py
+++ b/packages/core/src/trefoilpulley_core/routing_plain.py
@@ -1,4 +1,4 @@
-"""Plain policy: reads round robin over replicas that pass the floor."""
+"""Plain routing policy: round robin over up-to-date replicas."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RoundRobinRouting(RoutingPolicy):
-    """Reads round robin over the replicas that pass the floor."""
+    """Distributes reads round robin over replicas that reached the floor."""
 
     def __init__(self) -> None:
         self._counter = itertools.count()
@@ -42,7 +42,7 @@
 
 
 def _may_serve(member: MemberView, req: RouteRequest) -> bool:
-    """Return whether a replica holds the floor by its digest."""
+    """Return whether a replica has reached the floor by its digest."""
     return is_readable(member, req) and has_reached(
         member.digest.last, req.floor
     )
--- a/packages/core/src/trefoilpulley_core/routing_targets.py
+++ b/packages/core/src/trefoilpulley_core/routing_targets.py
@@ -1,4 +1,4 @@
-"""Routing by the targets of the classes of work."""
+"""Routing policy that uses the targets of the classes of work."""
 
 from __future__ import annotations
 
@@ -28,38 +28,42 @@
     from trefoilpulley_core.targets import ClassTargets
 
 REPLICA_TIME_SHARE = 0.5
-"""Share of the time left that a replica may take before the primary."""
+"""Share of the remaining time that a replica may take to answer.
+
+Where the best replica needs longer, the primary serves if it is faster.
+"""
 
 MAX_DIGEST_AGE_S = 1.0
-"""Time for which a digest counts as new, in seconds."""
+"""Age up to which a digest is considered fresh, in seconds."""
 
 STALE_DIGEST_COST_MS = 20.0
-"""Cost of a digest that is no longer new, in milliseconds."""
+"""Penalty for a member whose digest is not fresh, in milliseconds."""
 
 CROSS_ZONE_COST_MS = 1.0
-"""Cost of a link between availability zones beyond its round trip."""
+"""Penalty for a link between zones, in addition to its round trip time."""
 
 MIN_WAIT_MS = 1.0
-"""Wait expected of a replica that should hold the floor by now."""
+"""Expected wait at a replica that should have reached the floor by now."""
 
 WAIT_MARGIN_MS = 10.0
-"""Time granted beyond the expected wait for a floor."""
+"""Time allowed in addition to the expected wait for a floor."""
 
 _INFINITE_MS = float('inf')
 
 
 class TargetRouting(RoutingPolicy):
-    """Replicas first, as long as the class's promptness allows.
+    """Prefers replicas as long as the class's promptness target allows.
 
-    A replica serves where it should hold the floor and answer within
-    the share of the time left that the class can spare; that share
-    shrinks as the class's target comes into danger. Otherwise the
-    member that should answer first serves, the primary included.
+    A replica serves a read if it is expected to reach the floor and
+    answer within a share of the remaining time. The share shrinks as
+    the class uses up its allowed late answers. Otherwise the member
+    with the shortest expected answer time serves, which may be the
+    primary.
 
     Parameters
     ----------
     targets : ClassTargets | None
-        How the classes do against their targets at this host.
+        Results of the classes against their targets at this host.
     """
 
     def __init__(self, targets: ClassTargets | None = None) -> None:
@@ -98,7 +102,7 @@
         return replica_route(best, req, round(floor_wait_ms))
 
     def _replica_budget_ms(self, req: RouteRequest, now: float) -> float:
-        """Return the time that a replica may take to answer."""
+        """Return the time that a replica may take to answer, in ms."""
         left_ms = max(0.0, req.deadline - now) * 1000
         if self._targets is None:
             return left_ms * REPLICA_TIME_SHARE
@@ -112,7 +116,7 @@
     req: RouteRequest,
     now: float,
 ) -> bool:
-    """Return whether a replica may serve a read at all."""
+    """Return whether a replica is eligible for a read."""
     if not is_readable(member, req):
         return False
     if primary and _has_diverged(member.digest, primary.digest):
@@ -121,20 +125,21 @@
 
 
 def _has_diverged(digest: MemberDigest, primary: MemberDigest) -> bool:
-    """Return whether a log holds records that its primary replaced."""
+    """Return whether a log holds records that its primary's log lacks."""
     if digest.last.term >= primary.last.term:
         return False
     return digest.last.index >= primary.term_start
 
 
 def _is_fresh(member: MemberView, freshness: Freshness, now: float) -> bool:
-    """Return whether a replica's data should be young enough."""
+    """Return whether a replica's data is expected to be fresh enough."""
     if freshness.kind is not FreshnessKind.AGE:
         return True
     if freshness.max_age_ms is None:
         return True
     if now - member.observed_at > MAX_DIGEST_AGE_S:
-        # Its pooler dates the data anew, and a refusal brings a digest.
+        # The digest is too old to tell. The replica's pooler checks the
+        # age again, and a refusal carries a new digest.
         return True
     age_ms = member.digest.age_ms
     return age_ms is not None and age_ms <= freshness.max_age_ms
@@ -146,7 +151,7 @@
     floor: Position,
     now: float,
 ) -> float:
-    """Return the expected wait until a replica holds a floor."""
+    """Return the expected time until a replica reaches a floor, in ms."""
     digest = member.digest
     if floor.index == 0 or has_reached(digest.last, floor):
         return 0.0
@@ -161,7 +166,7 @@
 
 
 def _confirmed_position(member: MemberView, primary: MemberView) -> Position:
-    """Return what a replica has confirmed to its primary."""
+    """Return the position that a replica has confirmed to its primary."""
     for copy in primary.digest.copies:
         if copy.member == member.member:
             return copy.position
@@ -174,10 +179,12 @@
     primary: MemberView | None,
     req: RouteRequest,
 ) -> bool:
-    """Return whether a replica is the likeliest to hold the floor.
+    """Return whether a replica has the most advanced log of all replicas.
 
-    A floor stands for an acknowledged write, which a majority holds: in
-    a group of three, the primary of its term and one of the replicas.
+    Such a replica most likely holds the floor: the floor is the position
+    of an acknowledged write, which a majority of the members holds. In a
+    group of three these are the primary of the floor's term and one of
+    the replicas.
     """
     if primary is not None and primary.digest.term != req.floor.term:
         return False
@@ -195,7 +202,7 @@
 
 
 def _progress_key(digest: MemberDigest) -> tuple[int, int, int]:
-    """Return a key by which the most advanced replica is greatest."""
+    """Return a sort key, greatest for the most advanced replica."""
     last = digest.last
     return last.term, last.index, -digest.lag_ms
 
@@ -203,7 +210,7 @@
 def _expected_answer_ms(
     member: MemberView, req: RouteRequest, now: float
 ) -> float:
-    """Return the expected time to an answer without a wait."""
+    """Return the expected answer time without waiting for a floor, in ms."""
     cost_ms = member.round_trip_ms + member.digest.queue_ms
     if member.zone != req.zone:
         cost_ms += CROSS_ZONE_COST_MS
@@ -218,7 +225,7 @@
     now: float,
     cost_ms: float,
 ) -> bool:
-    """Return whether the primary should answer sooner than a cost."""
+    """Return whether the primary is expected to answer within a time."""
     if primary is None or primary.member in req.excluded:
         return False
     return _expected_answer_ms(primary, req, now) < cost_ms
--- a/packages/core/src/trefoilpulley_core/routing_thin.py
+++ b/packages/core/src/trefoilpulley_core/routing_thin.py
@@ -1,4 +1,4 @@
-"""Policy of the first thin version: the nearest replica, no waiting."""
+"""Thin routing policy of the first version: nearest replica, no wait."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 class NearestRouting(RoutingPolicy):
-    """Reads at the nearest reachable replica, whatever it holds."""
+    """Sends reads to the reachable replica with the shortest round trip.
+
+    The replica refuses a read whose floor it has not reached.
+    """
 
     def choose(
         self, view: DatabaseView, req: RouteRequest, now: float
--- a/packages/core/src/trefoilpulley_core/slot_lane.py
+++ b/packages/core/src/trefoilpulley_core/slot_lane.py
@@ -1,4 +1,4 @@
-"""Waiting work of one class, in the order in which it gets slots."""
+"""Queue of the waiting work of one class."""
 
 from __future__ import annotations
 
@@ -13,48 +13,54 @@
     from trefoilpulley_core.slots import Ticket
 
 CRITICAL_TIME_SHARE = 0.5
-"""Part of the promptness target left when work becomes critical."""
+"""Share of the promptness target at which waiting work becomes critical.
+
+Work is critical once the slack before its latest start falls below this
+share of the target.
+"""
 
 _MAX_STALE_ENTRIES = 64
 
 
 class ClassQueue:
-    """Waiting work of one class by deadline, fair between tenants.
+    """Orders the waiting work of one class by deadline.
+
+    The work of a tenant above its fair share is deferred.
 
     Parameters
     ----------
     work_class : str
-        Class of work.
+        Name of the class of work.
     is_write : bool
-        Whether a hold of writes applies.
+        Whether the class's work must wait while writes are paused.
     slots : int
-        Pieces of work that the member runs at once.
+        Number of statements that the member runs concurrently.
     """
 
     def __init__(self, work_class: str, is_write: bool, slots: int) -> None:
         self.work_class = work_class
-        """Class of work."""
+        """Name of the class of work."""
 
         self.is_write = is_write
-        """Whether a hold of writes applies."""
+        """Whether the class's work must wait while writes are paused."""
 
         self.priority = ClassPriority()
-        """How little the class can spare."""
+        """Priority of the class when its work becomes critical."""
 
         self.rank = 0
-        """Rank of the strictness among the lanes, the loosest 0."""
+        """Rank of the priority among all queues; 0 is the lowest."""
 
         self.danger = 0.0
-        """Part of the allowed late answers that is used up."""
+        """Share of the allowed late answers that is used up."""
 
         self.within_s = 0.0
-        """Promptness target in seconds."""
+        """Promptness target, in seconds."""
 
         self.load = 0.0
-        """Slots that the class has kept busy of late."""
+        """Number of slots that the class has recently kept busy."""
 
         self.service = ServiceTime()
-        """Service times of the class."""
+        """Statistics of the class's service times."""
 
         self._slots = slots
         self._shares = TenantShares(slots)
@@ -67,15 +73,15 @@
 
     @property
     def backlog_s(self) -> float:
-        """Service time of all that waits, in seconds."""
+        """Expected service time of all waiting work, in seconds."""
         return len(self._waiting) * self.service.mean_s
 
     def sort_key(self, ticket: Ticket, now: float) -> float:
-        """Return the deadline put back by the tenant's lead."""
+        """Return the deadline, deferred by the tenant's excess use."""
         return ticket.deadline + self._shares.lead_s(ticket.tenant, now)
 
     def push(self, ticket: Ticket, now: float) -> None:
-        """Add admitted work."""
+        """Add work to the queue."""
         key = self.sort_key(ticket, now)
         self._shares.charge(ticket.tenant, self.service.mean_s, now)
         self._last_key = max(key, self._last_key) if self._waiting else key
@@ -83,7 +89,7 @@
         heapq.heappush(self._heap, (key, ticket.ticket_id, ticket))
 
     def peek(self) -> Ticket | None:
-        """Return the work that is next, or ``None``."""
+        """Return the next work without removing it, or ``None``."""
         heap = self._heap
         while heap:
             if heap[0][1] in self._waiting:
@@ -92,7 +98,7 @@
         return None
 
     def pop(self) -> Ticket | None:
-        """Remove and return the work that is next, or ``None``."""
+        """Remove and return the next work, or ``None``."""
         ticket = self.peek()
         if ticket is not None:
             heapq.heappop(self._heap)
@@ -100,7 +106,7 @@
         return ticket
 
     def remove(self, ticket_id: int) -> bool:
-        """Remove work by its identifier; return whether it waited."""
+        """Remove work by its identifier and return whether it was queued."""
         if self._waiting.pop(ticket_id, None) is None:
             return False
         if len(self._heap) > 2 * len(self._waiting) + _MAX_STALE_ENTRIES:
@@ -108,10 +114,10 @@
         return True
 
     def work_before_s(self, key: float) -> float:
-        """Return the service time of the work before a key, in seconds.
+        """Return the service time of the work before a sort key, in seconds.
 
-        Work between the first and the last key is taken as evenly
-        spread.
+        Assumes that the keys of the work are evenly distributed between
+        the first and the last key.
         """
         if self.peek() is None:
             return 0.0
@@ -124,9 +130,10 @@
         return max(self.service.mean_s, fraction * self.backlog_s)
 
     def work_due_s(self, until: float) -> float:
-        """Return the service time that must pass before a time.
+        """Return the service time that must be spent before a time.
 
-        Left for later, this much of the work would be late.
+        The remaining work can be done after that time without being
+        late. The result is in seconds.
         """
         if not self._waiting:
             return 0.0
@@ -134,14 +141,14 @@
         return max(0.0, self.backlog_s - capacity_s)
 
     def is_critical(self, now: float, max_service_s: float) -> bool:
-        """Return whether the lane must go before looser ones.
+        """Return whether the queue must precede those of lower priority.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         max_service_s : float
-            Time that other work may hold a slot, in seconds.
+            Longest expected service time of other work, in seconds.
         """
         head = self.peek()
         if head is None:
--- a/packages/core/src/trefoilpulley_core/slot_service.py
+++ b/packages/core/src/trefoilpulley_core/slot_service.py
@@ -1,24 +1,27 @@
-"""Service times of a class of work, as seen at one member."""
+"""Statistics of the service times of a class of work at one member."""
 
 from __future__ import annotations
 
 import math
 
 INITIAL_SERVICE_S = 0.005
-"""Service time assumed before the first is seen, in seconds."""
+"""Service time assumed before the first sample, in seconds."""
 
 LOAD_TIME_CONSTANT_S = 5.0
-"""Time over which the load of a class is remembered, in seconds."""
+"""Time constant of the exponential decay of a class's load, in seconds."""
 
 MAX_OUTLIER_FACTOR = 4.0
-"""Distance from the mean, in careful service times, that one sample may
-add at most: a stall of the process says little of the next statement."""
+"""Limit of a sample's deviation, in multiples of the upper estimate.
+
+A stall of the process lengthens one sample but says little about the
+next statement.
+"""
 
 _SMOOTHING = 0.1
 
 
 class ServiceTime:
-    """Mean, spread and load of the service times of one class."""
+    """Mean, deviation and load of the service times of one class."""
 
     __slots__ = (
         '_busy_s',
@@ -30,10 +33,10 @@
 
     def __init__(self) -> None:
         self.mean_s = INITIAL_SERVICE_S
-        """Smoothed service time in seconds."""
+        """Smoothed service time, in seconds."""
 
         self.deviation_s = 0.0
-        """Smoothed distance from the mean, in seconds."""
+        """Smoothed absolute deviation from the mean, in seconds."""
 
         self._busy_s = 0.0
         self._loaded_at = 0.0
@@ -41,12 +44,12 @@
 
     @property
     def upper_estimate_s(self) -> float:
-        """Service time that most work stays below, in seconds."""
+        """Service time that most work does not exceed, in seconds."""
         return self.mean_s + self.deviation_s
 
     @property
     def lower_estimate_s(self) -> float:
-        """Service time that most work exceeds, in seconds."""
+        """Service time that most work needs at least, in seconds."""
         return max(0.0, self.mean_s - 2 * self.deviation_s)
 
     @property
@@ -56,7 +59,7 @@
         )
 
     def record(self, service_s: float, now: float) -> None:
-        """Learn one service time."""
+        """Add one service time, in seconds."""
         error_s = min(service_s - self.mean_s, self._max_error_s)
         self.mean_s += _SMOOTHING * error_s
         self.deviation_s += _SMOOTHING * (abs(error_s) - self.deviation_s)
@@ -64,10 +67,10 @@
         self._loaded_at = max(now, self._loaded_at)
 
     def decay_estimate(self, now: float) -> None:
-        """Let an estimate without new samples return to the initial one.
+        """Decay the estimate towards the initial one without new samples.
 
-        Work that is refused for a long service time brings no sample
-        that could prove the time shorter again.
+        Work that is refused because of a long estimate provides no
+        sample, so the estimate would otherwise never fall again.
         """
         idle_s = now - max(self._loaded_at, self._decayed_at)
         if idle_s <= 0:
@@ -79,7 +82,7 @@
         self._decayed_at = now
 
     def load(self, now: float) -> float:
-        """Return the slots that the class has kept busy of late."""
+        """Return the number of slots that the class has recently used."""
         return self._decayed_s(now) / LOAD_TIME_CONSTANT_S
 
     def _decayed_s(self, now: float) -> float:
--- a/packages/core/src/trefoilpulley_core/slot_shares.py
+++ b/packages/core/src/trefoilpulley_core/slot_shares.py
@@ -1,19 +1,20 @@
-"""Fair shares of one class of work between tenants."""
+"""Fair sharing of one class of work between tenants."""
 
 from __future__ import annotations
 
 MAX_LEAD_S = 10.0
-"""Longest time by which a tenant's work is put back, in seconds."""
+"""Longest time by which a tenant's work is deferred, in seconds."""
 
 PRUNE_INTERVAL_S = 0.1
-"""Time between two looks for tenants that have gone quiet, in seconds."""
+"""Interval at which inactive tenants are removed, in seconds."""
 
 
 class TenantShares:
-    """Dates each tenant's work as if it came at the tenant's fair rate.
+    """Defers the work of tenants that exceed their fair share.
 
-    A tenant that stays within its share is never put back. Work of a
-    tenant beyond its share is put back by the time that it is ahead.
+    For each tenant the finish time of its work at the tenant's fair
+    rate is tracked. Work is deferred by the time until that finish, so
+    the work of a tenant within its share is never deferred.
     """
 
     __slots__ = ('_finishes', '_pruned_at', '_slots')
@@ -27,11 +28,11 @@
         return len(self._finishes)
 
     def lead_s(self, tenant: str, now: float) -> float:
-        """Return by how long a tenant is ahead of its share."""
+        """Return the time by which a tenant's work is deferred, in seconds."""
         return max(0.0, self._finishes.get(tenant, now) - now)
 
     def charge(self, tenant: str, service_s: float, now: float) -> None:
-        """Charge admitted work to its tenant."""
+        """Charge the expected service time of queued work to its tenant."""
         self._prune(now)
         start = max(now, self._finishes.get(tenant, now))
         active = len(self._finishes) + (tenant not in self._finishes)
--- a/packages/core/src/trefoilpulley_core/slots.py
+++ b/packages/core/src/trefoilpulley_core/slots.py
@@ -1,4 +1,4 @@
-"""Order in which waiting work gets the slots of a member."""
+"""Interface of the queues of work that waits for a member's slots."""
 
 from __future__ import annotations
 
@@ -14,64 +14,74 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """One piece of work that waits for a slot."""
+    """Statement or transaction that waits for a slot."""
 
     ticket_id: int
-    """Identifier, unique at the pooler."""
+    """Identifier, unique within the pooler."""
 
     tenant: str
     """Tenant of the caller."""
 
     work_class: str
-    """Class of work."""
+    """Name of the class of work."""
 
     deadline: float
     """Monotonic time at which the answer is due, in seconds."""
 
     is_write: bool
-    """Whether a hold of writes applies."""
+    """Whether the work must wait while writes are paused."""
 
 
 class SlotQueue(abc.ABC):
-    """Queue of the work that waits for the slots of one member."""
+    """Queue of work that waits for the slots of one member."""
 
     @abc.abstractmethod
     def offer(self, ticket: Ticket, now: float) -> Result[None, Failure]:
-        """Queue work, or refuse it with ``Overloaded``."""
+        """Add work to the queue, or refuse it with ``Overloaded``."""
 
     @abc.abstractmethod
     def take(self, now: float, is_writable: bool) -> Ticket | None:
-        """Return the work to run next, or ``None``.
+        """Remove and return the work to run next, or ``None``.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         is_writable : bool
-            Whether writes may be taken; false during a hold.
+            Whether writes may run; false while writes are paused.
         """
 
     @abc.abstractmethod
     def expire(self, now: float) -> tuple[Ticket, ...]:
-        """Remove and return work that can no longer be in time."""
+        """Remove and return work that can't meet its deadline any more."""
 
     @abc.abstractmethod
     def cancel(self, ticket_id: int) -> None:
-        """Remove work whose caller has gone."""
+        """Remove work whose caller has disconnected."""
 
     @abc.abstractmethod
     def record_service(
         self, work_class: str, service_s: float, is_in_time: bool
     ) -> None:
-        """Learn how long a piece of work held its slot."""
+        """Record the service time of completed work.
+
+        Parameters
+        ----------
+        work_class : str
+            Name of the class of work.
+        service_s : float
+            Time for which the work held its slot, in seconds.
+        is_in_time : bool
+            Whether the work was completed before its deadline.
+        """
 
     @abc.abstractmethod
     def record_connection_lost(self) -> None:
-        """Count work as ended whose connection broke.
+        """Record the end of work whose connection was lost.
 
-        How long it held its slot says nothing of the work.
+        Its service time is not used for the statistics.
         """
 
     @abc.abstractmethod
     def expected_wait_ms(self, now: float) -> int:
-        """Return the expected wait of new work, in milliseconds."""
+        """Return the expected queueing time of new work, in milliseconds."""
--- a/packages/core/src/trefoilpulley_core/slots_deadline.py
+++ b/packages/core/src/trefoilpulley_core/slots_deadline.py
@@ -1,4 +1,4 @@
-"""Slots by earliest deadline, classes in danger first."""
+"""Slot queue ordered by deadline, with precedence for critical classes."""
 
 from __future__ import annotations
 
@@ -21,31 +21,32 @@
     from trefoilpulley_core.slots import Ticket
 
 MAX_QUEUE_LENGTH = 10_000
-"""Pieces of work that may wait at once."""
+"""Number of statements and transactions that may wait."""
 
 TARGETS_REFRESH_INTERVAL_S = 0.1
-"""Time between two looks at the targets of the classes, in seconds."""
+"""Interval at which the classes' targets are read again, in seconds."""
 
 MAX_RUNNING_S = 20.0
-"""Time after which work that never ended counts as gone, in seconds."""
+"""Time after which running work is assumed to have ended, in seconds."""
 
 _MAX_LOAD = 0.9
 _MAX_STALE_ENTRIES = 64
 
 
 class DeadlineQueue(SlotQueue):
-    """Earliest deadline first, but stricter classes in danger before.
+    """Runs the earliest deadline first, except for critical classes.
 
-    Work that could not be in time is refused at once: what must run
-    before it, at the service times seen, would end too late.
+    Critical work of a class with higher priority runs before all other
+    work. New work is refused at once if, by the measured service times,
+    the work ahead of it would make it miss its deadline.
 
     Parameters
     ----------
     slots : int
-        Pieces of work that the member runs at once.
+        Number of statements that the member runs concurrently.
     targets : ClassTargets
-        Declared classes, and how they do at this host. The queue keeps
-        counts of its own member beside them.
+        Declared classes and their results at this host. The queue also
+        keeps separate results for its own member.
     """
 
     def __init__(self, slots: int, targets: ClassTargets) -> None:
@@ -66,7 +67,7 @@
         return len(self._queue_by_ticket)
 
     def offer(self, ticket: Ticket, now: float) -> Result[None, Failure]:
-        """Queue work, or refuse it with ``Overloaded``."""
+        """Add work to the queue, or refuse it with ``Overloaded``."""
         self._refresh(now)
         if len(self._queue_by_ticket) >= MAX_QUEUE_LENGTH:
             return self._refuse(ticket, 'the queue is full')
@@ -85,7 +86,7 @@
         return Success(None)
 
     def take(self, now: float, is_writable: bool) -> Ticket | None:
-        """Return the work to run next, or ``None``."""
+        """Remove and return the work to run next, or ``None``."""
         self._refresh(now)
         while True:
             class_queue = self._next_class_queue(now, is_writable)
@@ -99,7 +100,7 @@
             self._expired.append(ticket)
 
     def expire(self, now: float) -> tuple[Ticket, ...]:
-        """Remove and return work that can no longer be in time."""
+        """Remove and return work that can't meet its deadline any more."""
         late, self._expired = self._expired, []
         expiries = self._expiries
         while expiries and expiries[0][0] < now:
@@ -111,13 +112,13 @@
         return tuple(late)
 
     def cancel(self, ticket_id: int) -> None:
-        """Remove work whose caller has gone."""
+        """Remove work whose caller has disconnected."""
         self._remove(ticket_id)
 
     def record_service(
         self, work_class: str, service_s: float, is_in_time: bool
     ) -> None:
-        """Learn how long a piece of work held its slot."""
+        """Record the service time of completed work."""
         self.record_connection_lost()
         self._member_targets.record_outcome(work_class, is_in_time, self._now)
         for class_queue in self._class_queues:
@@ -125,12 +126,12 @@
                 class_queue.service.record(service_s, self._now)
 
     def record_connection_lost(self) -> None:
-        """Count work as ended whose connection broke."""
+        """Record the end of work whose connection was lost."""
         if self._started_at:
             self._started_at.popleft()
 
     def expected_wait_ms(self, now: float) -> int:
-        """Return the expected wait of new work, in milliseconds."""
+        """Return the expected queueing time of new work, in milliseconds."""
         self._refresh(now)
         backlog_s = sum(
             class_queue.backlog_s for class_queue in self._class_queues
@@ -203,10 +204,11 @@
     def _next_class_queue(
         self, now: float, is_writable: bool
     ) -> ClassQueue | None:
-        """Return the lane whose head is next.
+        """Return the queue whose first work should run next.
 
-        The strictest class with critical work goes first, by deadline
-        among equals; without critical work the deadline alone counts.
+        The class of highest priority with critical work goes first;
+        among equal priorities the earliest deadline decides. Without
+        critical work only the deadline decides.
         """
         critical: ClassQueue | None = None
         critical_at = earliest_at = float('inf')
@@ -228,7 +230,7 @@
         return critical or earliest
 
     def _wait_s(self, class_queue: ClassQueue, key: float) -> float:
-        """Return the time until work of a lane would get a slot."""
+        """Return the expected wait for a slot at a sort key, in seconds."""
         work_before_s = class_queue.work_before_s(key)
         higher_load = 0.0
         for other in self._class_queues:
@@ -244,7 +246,7 @@
         return wait_s / (1 - load)
 
     def _residual_s(self) -> float:
-        """Return the time until a busy member frees a slot."""
+        """Return the expected time until a slot is free, in seconds."""
         if len(self._started_at) < self._slots:
             return 0.0
         return self._max_service_s / (2 * self._slots)
--- a/packages/core/src/trefoilpulley_core/slots_fifo.py
+++ b/packages/core/src/trefoilpulley_core/slots_fifo.py
@@ -1,4 +1,4 @@
-"""Plain order of the slots: first come, first served."""
+"""Slot queue in the order of arrival."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
     from trefoilpulley_core.slots import Ticket
 
 MAX_QUEUE_LENGTH = 10_000
-"""Pieces of work that may wait at once."""
+"""Number of statements and transactions that may wait."""
 
 INITIAL_SERVICE_S = 0.005
-"""Service time assumed before the first is seen, in seconds."""
+"""Service time assumed before the first sample, in seconds."""
 
 _SMOOTHING = 0.1
 
 
 class FifoQueue(SlotQueue):
-    """First come, first served; refuses only where the queue is full.
+    """Runs work in the order of arrival and refuses only when full.
 
     Parameters
     ----------
     slots : int
-        Pieces of work that the member runs at once.
+        Number of statements that the member runs concurrently.
     """
 
     def __init__(self, slots: int) -> None:
@@ -44,14 +44,14 @@
         return len(self._waiting)
 
     def offer(self, ticket: Ticket, now: float) -> Result[None, Failure]:
-        """Queue work, or refuse it with ``Overloaded``."""
+        """Add work to the queue, or refuse it with ``Overloaded``."""
         if len(self._waiting) >= MAX_QUEUE_LENGTH:
             return Failed(Overloaded('the queue is full'))
         self._waiting[ticket.ticket_id] = ticket
         return Success(None)
 
     def take(self, now: float, is_writable: bool) -> Ticket | None:
-        """Return the oldest work that may run, or ``None``."""
+        """Remove and return the oldest work that may run, or ``None``."""
         for ticket in self._waiting.values():
             if is_writable or not ticket.is_write:
                 return self._waiting.pop(ticket.ticket_id)
@@ -65,19 +65,19 @@
         return tuple(late)
 
     def cancel(self, ticket_id: int) -> None:
-        """Remove work whose caller has gone."""
+        """Remove work whose caller has disconnected."""
         self._waiting.pop(ticket_id, None)
 
     def record_service(
         self, work_class: str, service_s: float, is_in_time: bool
     ) -> None:
-        """Learn how long a piece of work held its slot."""
+        """Record the service time of completed work."""
         self._service_s += _SMOOTHING * (service_s - self._service_s)
 
     def record_connection_lost(self) -> None:
-        """Learn nothing: the queue does not count running work."""
+        """Do nothing, since this queue does not track running work."""
 
     def expected_wait_ms(self, now: float) -> int:
-        """Return the expected wait of new work, in milliseconds."""
+        """Return the expected queueing time of new work, in milliseconds."""
         share = len(self._waiting) / self._slots
         return round(1000 * share * self._service_s)
--- a/packages/core/src/trefoilpulley_core/targets.py
+++ b/packages/core/src/trefoilpulley_core/targets.py
@@ -1,4 +1,4 @@
-"""How the classes of work do against their targets."""
+"""Results of the classes of work against their promptness targets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from trefoilpulley_core.declarations import WorkClass
 
 WINDOW_S = 30.0
-"""Time over which shares and quantiles are taken, in seconds."""
+"""Length of the sliding window for shares and quantiles, in seconds."""
 
 _BUCKET_S = 1.0
 _MIN_COUNT = 100
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ClassPriority:
-    """How little a class can spare; the greater goes first in need.
+    """Priority of a class of work; the greater is served first.
 
-    A write that may run only once goes before work that its caller may
-    repeat; among equals the higher target share goes first.
+    Writes that may run only once precede work that the caller may
+    repeat. Otherwise the class with the higher target share precedes.
     """
 
     is_unrepeatable_write: bool = False
@@ -41,51 +41,51 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassReport:
-    """One class of work against its promptness target."""
+    """Results of one class of work against its promptness target."""
 
     work_class: str
     """Name of the class."""
 
     within_ms: int
-    """Time within which an answer is due, in milliseconds."""
+    """Time limit for an answer, in milliseconds."""
 
     target_share: float
     """Share of the answers that must be in time."""
 
     share: float
-    """Share of the answers that were in time; 1 without any."""
+    """Share of the answers that were in time; 1 where there was none."""
 
     count: int
     """Answers and refusals in the window."""
 
     refused: int
-    """Refusals in the window; each counts as not in time."""
+    """Refusals in the window; each counts as a late answer."""
 
     p50_ms: float
-    """Median time to the answer, in milliseconds."""
+    """Median response time, in milliseconds."""
 
     p99_ms: float
-    """99th percentile of the time to the answer, in milliseconds."""
+    """99th percentile of the response time, in milliseconds."""
 
     danger: float
-    """Part of the allowed late answers that is used up, at most 1."""
+    """Share of the allowed late answers that is used up, at most 1."""
 
     @property
     def is_met(self) -> bool:
-        """Whether the target is met."""
+        """Whether the class meets its target."""
         return self.share >= self.target_share
 
 
 class ClassTargets:
-    """Counts answers in time over a sliding window, by class of work."""
+    """Counts answers and late answers of each class in a sliding window."""
 
     def __init__(self) -> None:
         self._classes: dict[str, _ClassWindow] = {}
         self.declared: tuple[WorkClass, ...] = ()
-        """Classes as last declared."""
+        """Declared classes of work."""
 
     def declare(self, classes: Sequence[WorkClass]) -> None:
-        """Take over the declared classes; keep the counts of known ones."""
+        """Set the declared classes and keep the counts of existing ones."""
         known = self._classes
         self.declared = tuple(classes)
         self._classes = {}
@@ -95,7 +95,7 @@
             self._classes[work_class.name] = window
 
     def record(self, work_class: str, elapsed_s: float, now: float) -> None:
-        """Count an answer that took a time from request to answer."""
+        """Count an answer and its response time, in seconds."""
         window = self._classes.get(work_class)
         if window is None:
             return
@@ -104,7 +104,7 @@
         window.record_time(elapsed_s, now)
 
     def record_refusal(self, work_class: str, now: float) -> None:
-        """Count a refusal for want of capacity or of a member."""
+        """Count a refusal for lack of capacity or of a usable member."""
         window = self._classes.get(work_class)
         if window is not None:
             window.count_refusal(now)
@@ -112,13 +112,13 @@
     def record_outcome(
         self, work_class: str, is_in_time: bool, now: float
     ) -> None:
-        """Count a piece of work by its outcome alone."""
+        """Count an answer without its response time."""
         window = self._classes.get(work_class)
         if window is not None:
             window.count(now, is_in_time)
 
     def danger(self, work_class: str, now: float) -> float:
-        """Return the part of the allowed late answers that is used up.
+        """Return the share of the allowed late answers that is used up.
 
         Returns
         -------
@@ -129,7 +129,7 @@
         return window.danger(now) if window else 0.0
 
     def priority(self, work_class: str) -> ClassPriority:
-        """Return how little a class can spare."""
+        """Return the priority of a class."""
         window = self._classes.get(work_class)
         return window.priority if window else ClassPriority()
 
@@ -139,12 +139,12 @@
         return window.within_ms / 1000 if window else 0.0
 
     def snapshot(self, now: float) -> tuple[ClassReport, ...]:
-        """Return every class against its target."""
+        """Return the results of every class."""
         return tuple(w.report(now) for w in self._classes.values())
 
 
 class _Bucket:
-    """Counts of one second."""
+    """Counts of one second of the window."""
 
     __slots__ = ('in_time', 'refused', 'started_at', 'total')
 
@@ -156,7 +156,7 @@
 
 
 class _ClassWindow:
-    """Sliding window of one class."""
+    """Sliding window of the results of one class."""
 
     work_class: WorkClass
 
