--- a/features/fakes/fake_entry.py
+++ b/features/fakes/fake_entry.py
@@ -16,7 +16,7 @@
 from trefoilpulley_client.transport import Dialer
 from trefoilpulley_client.transport import Transport
 from trefoilpulley_core import caller
-from trefoilpulley_core.failure import catalogue
+from trefoilpulley_core.failure import failures_by_code
 from trefoilpulley_core.failure import PeerUnreachable
 
 if TYPE_CHECKING:
@@ -181,5 +181,5 @@
 
 def make_refusal(code: str) -> caller.Refusal:
     """Return the refusal of a failure of the catalogue."""
-    kind = catalogue()[code]
+    kind = failures_by_code()[code]
     return caller.Refusal(code, kind.run_state.value, kind.is_repeatable)
--- a/features/steps/errors_steps.py
+++ b/features/steps/errors_steps.py
@@ -16,8 +16,8 @@
 from trefoilpulley_client.entry_link import to_refusal
 from trefoilpulley_client.errors import to_error
 import trefoilpulley_core
-from trefoilpulley_core.failure import catalogue
 from trefoilpulley_core.failure import Failure
+from trefoilpulley_core.failure import failures_by_code
 import trefoilpulley_node
 
 PACKAGES = (
@@ -74,7 +74,7 @@
         context.written = {x for x in lines if ROW.fullmatch(x)}
         context.expected = {
             format_row(kind)
-            for kind in catalogue().values()
+            for kind in failures_by_code().values()
             if kind is not Failure and is_told(kind)
         }
 
--- a/features/steps/limits_requests_steps.py
+++ b/features/steps/limits_requests_steps.py
@@ -12,7 +12,7 @@
 from features.fakes.routing_trace import CLASSES
 from features.fakes.routing_trace import make_targets
 from trefoilpulley_core.admission import Admission
-from trefoilpulley_core.failure import catalogue
+from trefoilpulley_core.failure import failures_by_code
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_core.leadership import LeadershipProof
 from trefoilpulley_core.retry_budget import RetryBudget
@@ -69,7 +69,7 @@
     @then('a {kind} request is {answer} after "{code}"')
     def check_retry(context: Any, kind: str, answer: str, code: str) -> None:
         """Ask for one retry."""
-        failure = catalogue()[code]()
+        failure = failures_by_code()[code]()
         is_allowed = context.retries.try_retry(
             'm/a', failure, kind == 'repeatable'
         )
--- a/features/steps/platform_adapter_codec_steps.py
+++ b/features/steps/platform_adapter_codec_steps.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies
 from returns.result import Success
 
-from trefoilpulley_core.failure import catalogue
+from trefoilpulley_core.failure import failures_by_code
 from trefoilpulley_core.failure import RunState
 from trefoilpulley_core.proxy.commands import Unreadable
 from trefoilpulley_core.proxy.upstream_session import AskStatus
@@ -148,14 +148,16 @@
     @then('the failure {name} is told as "{code}"')
     def check_code(context: Any, name: str, code: str) -> None:
         """Check the code of a failure."""
-        kind = next(k for k in catalogue().values() if k.__name__ == name)
+        kind = next(
+            k for k in failures_by_code().values() if k.__name__ == name
+        )
         assert format_failure(kind()).split()[1] == code
 
     @staticmethod
     @then('every failure of the catalogue is told by its run state')
     def check_promises(context: Any) -> None:
         """Check that promises are told for what has not run alone."""
-        for kind in catalogue().values():
+        for kind in failures_by_code().values():
             code = format_failure(kind('two\r\nlines')).split()[1]
             if code in PROMISES:
                 assert kind.run_state is RunState.NOT_RUN, kind
--- a/packages/core/src/trefoilpulley_core/_json_reader.py
+++ b/packages/core/src/trefoilpulley_core/_json_reader.py
@@ -12,7 +12,7 @@
 from trefoilpulley_core.declarations_fault import FaultCode
 
 _NAME = re.compile(r'[a-z0-9][a-z0-9._-]{0,62}')
-_LEDGER = re.compile(rf'{_NAME.pattern}(/{_NAME.pattern})?')
+_LEDGER_NAME = re.compile(rf'{_NAME.pattern}(/{_NAME.pattern})?')
 _PLAIN_KEY = re.compile(r'[A-Za-z0-9_-]+')
 
 DERIVED_KEYS = frozenset(
@@ -59,7 +59,7 @@
     return json.loads(
         text,
         object_pairs_hook=lambda pairs: JsonObject(tuple(pairs)),
-        parse_constant=_refuse_constant,
+        parse_constant=_reject_constant,
     )
 
 
@@ -95,7 +95,7 @@
 
     def check_ledger_name(self, name: str, path: str) -> None:
         """Check the form of a ledger's name, or of a database's."""
-        if not _LEDGER.fullmatch(name):
+        if not _LEDGER_NAME.fullmatch(name):
             self.add(
                 path,
                 FaultCode.INVALID_NAME,
@@ -245,5 +245,5 @@
         self._faults.add(self.path_of(key), code, detail)
 
 
-def _refuse_constant(name: str) -> NoReturn:
+def _reject_constant(name: str) -> NoReturn:
     raise ValueError(f'{name} is not JSON')
--- a/packages/core/src/trefoilpulley_core/declarations_check.py
+++ b/packages/core/src/trefoilpulley_core/declarations_check.py
@@ -32,7 +32,7 @@
 MAX_DOCUMENT_BYTES = 1_000_000
 """Greatest document; the service holds values up to a megabyte."""
 
-MAX_AGE_LIMIT_MS = 86_400_000
+MAX_FRESHNESS_AGE_MS = 86_400_000
 """Greatest age that a class may accept, in milliseconds: a day."""
 
 MAX_WITHIN_MS = 600_000
@@ -44,7 +44,7 @@
 MAX_COPIES = 3
 """All members of a group of three."""
 
-_FRESHNESS_WORDS = {
+_FRESHNESS_KINDS = {
     'session': FreshnessKind.SESSION,
     'present': FreshnessKind.PRESENT,
 }
@@ -82,13 +82,13 @@
     except (ValueError, RecursionError) as exc:
         faults.add('$', FaultCode.MALFORMED_JSON, str(exc))
         return Failed(faults.as_tuple())
-    declarations = _DocumentCheck(faults, ledgers).read(value)
+    declarations = _DocumentChecker(faults, ledgers).read(value)
     if faults.as_tuple():
         return Failed(faults.as_tuple())
     return Success(declarations)
 
 
-class _DocumentCheck:
+class _DocumentChecker:
     """One check of one document."""
 
     def __init__(
@@ -100,11 +100,11 @@
 
     def read(self, value: Any) -> Declarations:
         """Read the document; what is at fault is left out."""
-        top = self._faults.read_object(value, '$')
-        if top is None:
+        root = self._faults.read_object(value, '$')
+        if root is None:
             return Declarations()
-        top.expect_keys(('classes', 'tenants'), ('stops',))
-        classes = self._items(top, 'classes')
+        root.expect_keys(('classes', 'tenants'), ('stops',))
+        classes = self._read_items(root, 'classes')
         self._class_names = frozenset(name for name, _ in classes)
         return Declarations(
             classes=tuple(
@@ -115,29 +115,32 @@
                     None,
                     (
                         self._read_tenant(*i)
-                        for i in self._items(top, 'tenants')
+                        for i in self._read_items(root, 'tenants')
                     ),
                 )
             ),
             stops=tuple(
                 filter(
                     None,
-                    (self._read_stop(*i) for i in self._items(top, 'stops')),
+                    (
+                        self._read_stop(*i)
+                        for i in self._read_items(root, 'stops')
+                    ),
                 )
             ),
         )
 
-    def _items(
-        self, top: ObjectReader, key: str
+    def _read_items(
+        self, root: ObjectReader, key: str
     ) -> tuple[tuple[str, ObjectReader], ...]:
-        if not top.has(key):
+        if not root.has(key):
             return ()
-        outer = self._faults.read_object(top.get(key), top.path_of(key))
-        if outer is None:
+        section = self._faults.read_object(root.get(key), root.path_of(key))
+        if section is None:
             return ()
         found = []
-        for name, value in outer.items():
-            path = outer.path_of(name)
+        for name, value in section.items():
+            path = section.path_of(name)
             self._faults.check_name(name, path)
             reader = self._faults.read_object(value, path)
             if reader is not None:
@@ -187,26 +190,26 @@
         if not reader.has('freshness'):
             return None
         if isinstance(value, str):
-            word = reader.read_choice('freshness', tuple(_FRESHNESS_WORDS))
-            return Freshness(_FRESHNESS_WORDS[word]) if word else None
-        inner = self._faults.read_object(value, reader.path_of('freshness'))
-        if inner is None:
+            kind = reader.read_choice('freshness', tuple(_FRESHNESS_KINDS))
+            return Freshness(_FRESHNESS_KINDS[kind]) if kind else None
+        target = self._faults.read_object(value, reader.path_of('freshness'))
+        if target is None:
             return None
-        inner.expect_keys(('age_ms',))
-        age_ms = inner.read_int('age_ms', 1, MAX_AGE_LIMIT_MS)
+        target.expect_keys(('age_ms',))
+        age_ms = target.read_int('age_ms', 1, MAX_FRESHNESS_AGE_MS)
         return Freshness(FreshnessKind.AGE, age_ms) if age_ms else None
 
     def _read_promptness(self, reader: ObjectReader) -> Promptness | None:
         if not reader.has('promptness'):
             return None
-        inner = self._faults.read_object(
+        target = self._faults.read_object(
             reader.get('promptness'), reader.path_of('promptness')
         )
-        if inner is None:
+        if target is None:
             return None
-        inner.expect_keys(('within_ms', 'share'))
-        within_ms = inner.read_int('within_ms', 1, MAX_WITHIN_MS)
-        share = inner.read_share('share')
+        target.expect_keys(('within_ms', 'share'))
+        within_ms = target.read_int('within_ms', 1, MAX_WITHIN_MS)
+        share = target.read_share('share')
         if within_ms is None or share is None:
             return None
         return Promptness(within_ms, share)
@@ -216,20 +219,20 @@
     ) -> Safety | None:
         if not reader.has('safety'):
             return Safety(is_repeatable=is_read)
-        inner = self._faults.read_object(
+        target = self._faults.read_object(
             reader.get('safety'), reader.path_of('safety')
         )
-        if inner is None:
+        if target is None:
             return None
-        inner.expect_keys((), ('copies', 'repeatable'))
-        if is_read and inner.has('copies'):
+        target.expect_keys((), ('copies', 'repeatable'))
+        if is_read and target.has('copies'):
             self._faults.add(
-                inner.path_of('copies'),
+                target.path_of('copies'),
                 FaultCode.NOT_APPLICABLE,
                 'a class that reads makes no copies',
             )
-        copies = inner.read_int('copies', MIN_COPIES, MAX_COPIES)
-        is_repeatable = inner.read_bool('repeatable', is_read)
+        copies = target.read_int('copies', MIN_COPIES, MAX_COPIES)
+        is_repeatable = target.read_bool('repeatable', is_read)
         return Safety(copies or MIN_COPIES, is_repeatable)
 
     def _read_tenant(self, name: str, reader: ObjectReader) -> Tenant | None:
--- a/packages/core/src/trefoilpulley_core/failure.py
+++ b/packages/core/src/trefoilpulley_core/failure.py
@@ -200,19 +200,19 @@
     code: ClassVar[str] = 'stale-term'
 
 
-def catalogue() -> dict[str, type[Failure]]:
+def failures_by_code() -> dict[str, type[Failure]]:
     """Return each failure type by its code."""
     found: dict[str, type[Failure]] = {}
     pending: list[type[Failure]] = [Failure]
     while pending:
         kind = pending.pop()
         pending.extend(kind.__subclasses__())
-        if _is_final(kind):
+        if _is_public(kind):
             found[kind.code] = kind
     return found
 
 
-def _is_final(kind: type[Failure]) -> bool:
+def _is_public(kind: type[Failure]) -> bool:
     # A data class with slots replaces the class it is made from, which
     # stays among its parent's subclasses.
     module = sys.modules[kind.__module__]
--- a/packages/core/src/trefoilpulley_core/token.py
+++ b/packages/core/src/trefoilpulley_core/token.py
@@ -150,17 +150,21 @@
 def _read_floors(entries: Any) -> tuple[Floor, ...] | None:
     if not isinstance(entries, list) or len(entries) > MAX_FLOORS:
         return None
-    if not all(_is_floor(entry) for entry in entries):
+    if not all(_is_floor_entry(entry) for entry in entries):
         return None
     return tuple(Floor(d, Position(t, i)) for d, t, i in entries)
 
 
-def _is_floor(entry: Any) -> bool:
+def _is_floor_entry(entry: Any) -> bool:
     if not isinstance(entry, list) or len(entry) != 3:
         return False
     database, term, index = entry
-    return isinstance(database, str) and _is_count(term) and _is_count(index)
+    return (
+        isinstance(database, str)
+        and _is_non_negative_int(term)
+        and _is_non_negative_int(index)
+    )
 
 
-def _is_count(value: Any) -> bool:
+def _is_non_negative_int(value: Any) -> bool:
     return type(value) is int and value >= 0
--- a/packages/node/src/trefoilpulley_node/peers.py
+++ b/packages/node/src/trefoilpulley_node/peers.py
@@ -11,8 +11,8 @@
 from returns.result import Result
 from returns.result import Success
 
-from trefoilpulley_core.failure import catalogue
 from trefoilpulley_core.failure import Failure
+from trefoilpulley_core.failure import failures_by_code
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_core.peer import PeerHello
@@ -39,7 +39,7 @@
 
 @cache
 def _failures() -> dict[str, type[Failure]]:
-    return catalogue()
+    return failures_by_code()
 
 
 class Peers(PoolerCaller):
--- a/packages/node/src/trefoilpulley_node/pooler/member_link.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_link.py
@@ -10,8 +10,8 @@
 from returns.result import Result
 from returns.result import Success
 
-from trefoilpulley_core.failure import catalogue
 from trefoilpulley_core.failure import Failure
+from trefoilpulley_core.failure import failures_by_code
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_core.upstream import Upstream
 from trefoilpulley_wire.channel import Handler
@@ -36,7 +36,7 @@
 STATEMENT_TIMEOUT_S = 30.0
 """Longest wait for a statement before its connection is closed."""
 
-_FAILURES = catalogue()
+_FAILURES = failures_by_code()
 
 
 class MemberLink(Upstream):
