--- a/packages/core/src/trefoilpulley_core/_json_reader.py
+++ b/packages/core/src/trefoilpulley_core/_json_reader.py
@@ -1,4 +1,4 @@
-"""Reads JSON objects and collects every fault with its path."""
+"""Reads JSON objects and collects all faults with their paths."""
 
 from __future__ import annotations
 
@@ -37,24 +37,24 @@
         'weights',
     )
 )
-"""Keys of what the system finds out or decides by itself."""
+"""Keys of values that the system determines by itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class JsonObject:
-    """Object as it stands in the text, repeated keys included."""
+    """JSON object as written, including repeated keys."""
 
     pairs: tuple[tuple[str, Any], ...]
-    """Keys and values in the order of the text."""
+    """Keys and values in the order of the JSON text."""
 
 
 def parse_json(text: str) -> Any:
-    """Parse JSON, keeping repeated keys.
+    """Parse JSON and keep repeated keys.
 
     Raises
     ------
     ValueError
-        Where the text is not JSON.
+        If the text is not valid JSON.
     """
     return json.loads(
         text,
@@ -64,7 +64,7 @@
 
 
 def join_path(path: str, key: str | int) -> str:
-    """Return the JSON path of an item below a path."""
+    """Return the JSON path of a child item."""
     if isinstance(key, int):
         return f'{path}[{key}]'
     if _PLAIN_KEY.fullmatch(key):
@@ -73,28 +73,28 @@
 
 
 class FaultList:
-    """Faults found so far."""
+    """Collects the faults of a document."""
 
     def __init__(self) -> None:
         self._faults: list[Fault] = []
 
     def add(self, path: str, code: FaultCode, detail: str) -> None:
-        """Add a fault."""
+        """Add a fault to the list."""
         self._faults.append(Fault(path, code, detail))
 
     def as_tuple(self) -> tuple[Fault, ...]:
-        """Return the faults in the order in which they were found."""
+        """Return the faults in the order in which they were added."""
         return tuple(self._faults)
 
     def read_object(self, value: Any, path: str) -> ObjectReader | None:
-        """Return a reader of an object, or ``None`` for another type."""
+        """Return a reader of an object, or add a fault and return ``None``."""
         if not isinstance(value, JsonObject):
             self.add(path, FaultCode.WRONG_TYPE, 'an object is expected')
             return None
         return ObjectReader(value, path, self)
 
     def check_ledger_name(self, name: str, path: str) -> None:
-        """Check the form of a ledger's name, or of a database's."""
+        """Check the syntax of a name of a ledger or database."""
         if not _LEDGER_NAME.fullmatch(name):
             self.add(
                 path,
@@ -103,7 +103,7 @@
             )
 
     def check_name(self, name: str, path: str) -> None:
-        """Check the form of a name."""
+        """Check the syntax of a name."""
         if not _NAME.fullmatch(name):
             self.add(
                 path,
@@ -114,7 +114,7 @@
 
 
 class ObjectReader:
-    """Reads the values of one object.
+    """Reads and checks the values of one object.
 
     Parameters
     ----------
@@ -123,7 +123,7 @@
     path : str
         JSON path of the object.
     faults : FaultList
-        Takes the faults.
+        List to which faults are added.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
 
         for key, value in source.pairs:
             if key in self._values:
-                self._add(key, FaultCode.DUPLICATE_NAME, 'stands twice')
+                self._add(key, FaultCode.DUPLICATE_NAME, 'the key is repeated')
             self._values.setdefault(key, value)
 
     def path_of(self, key: str) -> str:
@@ -144,7 +144,7 @@
         return join_path(self.path, key)
 
     def items(self) -> tuple[tuple[str, Any], ...]:
-        """Return keys and values."""
+        """Return the keys and values of the object."""
         return tuple(self._values.items())
 
     def has(self, key: str) -> bool:
@@ -158,7 +158,7 @@
     def expect_keys(
         self, required: tuple[str, ...], optional: tuple[str, ...] = ()
     ) -> None:
-        """Report the keys that are missing and those not known."""
+        """Add a fault for each missing and each unknown key."""
         for key in required:
             if key not in self._values:
                 self._add(key, FaultCode.MISSING_KEY, 'is required')
@@ -167,24 +167,24 @@
                 self._report_unknown(key)
 
     def read_int(self, key: str, minimum: int, maximum: int) -> int | None:
-        """Return a whole number within bounds, or ``None``."""
+        """Return an integer within bounds, or ``None``."""
         value = self._values.get(key)
         if value is None and key not in self._values:
             return None
         if not isinstance(value, int) or isinstance(value, bool):
-            self._add(key, FaultCode.WRONG_TYPE, 'a whole number is expected')
+            self._add(key, FaultCode.WRONG_TYPE, 'an integer is expected')
             return None
         if not minimum <= value <= maximum:
             self._add(
                 key,
                 FaultCode.OUT_OF_RANGE,
-                f'{minimum} to {maximum} is accepted',
+                f'must be between {minimum} and {maximum}',
             )
             return None
         return value
 
     def read_share(self, key: str) -> float | None:
-        """Return a share above 0 and at most 1, or ``None``."""
+        """Return a number above 0 and at most 1, or ``None``."""
         value = self._values.get(key)
         if value is None and key not in self._values:
             return None
@@ -193,13 +193,13 @@
             return None
         if not 0 < value <= 1:
             self._add(
-                key, FaultCode.OUT_OF_RANGE, 'above 0, at most 1 is accepted'
+                key, FaultCode.OUT_OF_RANGE, 'must be above 0 and at most 1'
             )
             return None
         return float(value)
 
     def read_bool(self, key: str, default: bool) -> bool:
-        """Return a truth value, or the default where it is missing."""
+        """Return a Boolean, or the default if the key is missing."""
         value = self._values.get(key, default)
         if isinstance(value, bool):
             return value
@@ -207,7 +207,7 @@
         return default
 
     def read_choice(self, key: str, choices: tuple[str, ...]) -> str | None:
-        """Return one of several words, or ``None``."""
+        """Return one of several permitted strings, or ``None``."""
         if key not in self._values:
             return None
         value = self._values[key]
@@ -216,7 +216,7 @@
             self._add(key, FaultCode.WRONG_TYPE, f'{expected} is expected')
             return None
         if value not in choices:
-            self._add(key, FaultCode.OUT_OF_RANGE, f'{expected} is accepted')
+            self._add(key, FaultCode.OUT_OF_RANGE, f'must be {expected}')
             return None
         return value
 
@@ -236,14 +236,14 @@
             self._add(
                 key,
                 FaultCode.DERIVED_KEY,
-                'not accepted: the system derives it',
+                'must not be set: the system derives this value',
             )
         else:
-            self._add(key, FaultCode.UNKNOWN_KEY, 'no such key')
+            self._add(key, FaultCode.UNKNOWN_KEY, 'the key is unknown')
 
     def _add(self, key: str, code: FaultCode, detail: str) -> None:
         self._faults.add(self.path_of(key), code, detail)
 
 
 def _reject_constant(name: str) -> NoReturn:
-    raise ValueError(f'{name} is not JSON')
+    raise ValueError(f'{name} is not valid JSON')
--- a/packages/core/src/trefoilpulley_core/caller.py
+++ b/packages/core/src/trefoilpulley_core/caller.py
@@ -1,4 +1,4 @@
-"""Messages between callers and an entry host."""
+"""Messages between callers and entry hosts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """First message of a caller's connection."""
+    """First message on a caller's connection."""
 
     tenant: str
     """Tenant that the caller belongs to."""
@@ -28,47 +28,47 @@
     """Name of the entry host."""
 
     token: bytes
-    """Token of a new session that has written nothing yet."""
+    """Token of a new session without writes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Execute:
-    """One statement, on its own or inside a transaction."""
+    """Request to execute a statement, alone or inside a transaction."""
 
     request_id: str
-    """Identifier, unique in the tenant; kept on a retry."""
+    """Identifier, unique within the tenant and the same for retries."""
 
     work_class: str
-    """Class of work."""
+    """Name of the class of work."""
 
     database: str
-    """Database to use."""
+    """Name of the database."""
 
     sql: str
-    """Statement, passed through."""
+    """Text of the statement, passed on unparsed."""
 
     parameters: tuple[Parameter, ...] = ()
-    """Positional parameters."""
+    """Positional parameters of the statement."""
 
     token: bytes = b''
-    """Token of the session; empty where the caller has none."""
+    """Session token; empty where the caller has none."""
 
     transaction: str = ''
-    """Identifier of the open transaction; empty for a single statement."""
+    """Identifier of the open transaction; empty outside a transaction."""
 
 
 @dataclass(frozen=True, slots=True)
 class Begin:
-    """Begins a transaction."""
+    """Request to begin a transaction."""
 
     work_class: str
-    """Class of work of every statement in it."""
+    """Name of the class of work of the transaction's statements."""
 
     database: str
-    """Database to use."""
+    """Name of the database."""
 
     token: bytes = b''
-    """Token of the session; empty where the caller has none."""
+    """Session token; empty where the caller has none."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,26 +76,26 @@
     """Answer to `Begin`."""
 
     transaction: str
-    """Identifier of the transaction, valid on this connection."""
+    """Identifier of the transaction, valid only on this connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Commits a transaction."""
+    """Request to commit a transaction."""
 
     transaction: str
     """Identifier of the transaction."""
 
     request_id: str
-    """Identifier of the transaction's outcome; kept on a look-up."""
+    """Identifier of the transaction's outcome, which `LookUp` repeats."""
 
     token: bytes = b''
-    """Token of the session; empty where the caller has none."""
+    """Session token; empty where the caller has none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rollback:
-    """Rolls a transaction back."""
+    """Request to roll back a transaction."""
 
     transaction: str
     """Identifier of the transaction."""
@@ -103,72 +103,73 @@
 
 @dataclass(frozen=True, slots=True)
 class LookUp:
-    """Asks for the outcome of an earlier write or commit.
+    """Request for the outcome of an earlier write or commit.
 
-    A request that has no outcome yet is abandoned: it will never run.
+    If the earlier request has no outcome yet, it is abandoned and will
+    never run.
     """
 
     request_id: str
     """Identifier of the earlier request."""
 
     work_class: str
-    """Class of work of the earlier request."""
+    """Name of the class of work of the earlier request."""
 
     database: str
-    """Database of the earlier request."""
+    """Name of the database of the earlier request."""
 
     token: bytes = b''
-    """Token of the session; empty where the caller has none."""
+    """Session token; empty where the caller has none."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Whole answer to a request that has run."""
+    """Complete answer to a request that has run."""
 
     columns: tuple[str, ...] = ()
-    """Names of the columns."""
+    """Column names."""
 
     rows: tuple[Row, ...] = ()
-    """Rows."""
+    """Rows of the result."""
 
     row_count: int = -1
-    """Rows changed or returned; -1 where unknown."""
+    """Number of rows changed or returned; -1 where unknown."""
 
     token: bytes = b''
-    """Session token that the caller's next request carries."""
+    """Session token for the caller's next request."""
 
     member: str = ''
     """Member that served the request."""
 
     age_ms: int = 0
-    """Greatest age of the data, in milliseconds; 0 from a primary."""
+    """Upper bound of the data's age, in milliseconds; 0 from a primary."""
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """Answer to a request without a result."""
+    """Answer to a request that returns no result."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Typed failure of a request."""
+    """Failure of a request."""
 
     code: str
-    """Code of the failure in the catalogue."""
+    """Code of the failure type in `trefoilpulley_core.failure`."""
 
     run_state: str
-    """Whether the request has run: see ``RunState``."""
+    """Whether the request has run, a value of ``RunState``."""
 
     is_repeatable: bool
     """Whether the same request may be sent again."""
 
     detail: str = ''
-    """Facts for a person."""
+    """Human-readable description, not meant for programs."""
 
 
 @dataclass(frozen=True, slots=True)
 class GetState:
-    """Asks a host for its state dump; for operators."""
+    """Request of an operator for a host's state dump."""
 
     operator_secret: str
     """Secret of the operators."""
@@ -176,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateDump:
-    """State of a host."""
+    """State dump of a host."""
 
     state: dict[str, Any]
     """Document described in docs/OPERATIONS.md."""
--- a/packages/core/src/trefoilpulley_core/catalog.py
+++ b/packages/core/src/trefoilpulley_core/catalog.py
@@ -1,4 +1,4 @@
-"""Database groups as the platform lists them."""
+"""Databases and hosts, as listed by the platform."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Presence(StrEnum):
-    """States in the platform's list of hosts and members."""
+    """States of hosts and members in the platform's lists."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """Network address of a process."""
+    """Network endpoint of a process."""
 
     address: str
-    """IP number."""
+    """IP address."""
 
     port: int
     """TCP port."""
@@ -29,36 +29,36 @@
     """One member of a database group."""
 
     name: str
-    """Name, unique in the deployment, such as ``register-ledger/0/a``."""
+    """Name, unique within the deployment, e.g. ``register-ledger/0/a``."""
 
     zone: str
     """Availability zone of the member."""
 
     endpoint: Endpoint
-    """Address of the member."""
+    """Network endpoint of the member."""
 
     slots: int
-    """Statements or transactions that may run at once."""
+    """Number of statements or transactions that may run concurrently."""
 
     connections: int
-    """Connections that may be open at once."""
+    """Number of connections that may be open concurrently."""
 
     presence: Presence = Presence.LIVE
-    """Whether the member is leaving."""
+    """Whether the member is live or leaving."""
 
 
 @dataclass(frozen=True, slots=True)
 class DatabaseEntry:
-    """One database group; its first member is its home primary."""
+    """One database group."""
 
     name: str
-    """Name, such as ``register-ledger/0``."""
+    """Name, e.g. ``register-ledger/0``."""
 
     ledger: str
-    """Ledger that the database belongs to."""
+    """Name of the ledger that the database belongs to."""
 
     members: tuple[MemberEntry, ...]
-    """Members; the first is the primary of the home layout."""
+    """Members; the first is the home primary."""
 
     def find_member(self, name: str) -> MemberEntry | None:
         """Return the member with a name, or ``None``."""
@@ -66,13 +66,13 @@
 
     @property
     def majority(self) -> int:
-        """Number of members that make a majority."""
+        """Number of members that form a majority."""
         return len(self.members) // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One entry host in the platform's lagging list."""
+    """One entry host in the platform's list, which may be outdated."""
 
     name: str
     """Name of the host."""
@@ -84,13 +84,13 @@
     """Availability zone of the host."""
 
     endpoint: Endpoint
-    """Address for callers."""
+    """Network endpoint for callers."""
 
     peer_endpoint: Endpoint
-    """Address for other hosts."""
+    """Network endpoint for other hosts."""
 
     presence: Presence = Presence.LIVE
-    """Whether the host is leaving."""
+    """Whether the host is live or leaving."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,10 +98,10 @@
     """Database groups and hosts of a deployment."""
 
     databases: tuple[DatabaseEntry, ...] = ()
-    """Database groups."""
+    """Database groups of the deployment."""
 
     hosts: tuple[HostEntry, ...] = ()
-    """Entry hosts, as the platform last knew them."""
+    """Entry hosts in the platform's list, which may be outdated."""
 
     def find_database(self, name: str) -> DatabaseEntry | None:
         """Return the database with a name, or ``None``."""
--- a/packages/core/src/trefoilpulley_core/clock.py
+++ b/packages/core/src/trefoilpulley_core/clock.py
@@ -1,4 +1,4 @@
-"""Time as the decisions see it."""
+"""Interface of the clock, which tests can replace."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class Clock(abc.ABC):
-    """Source of monotonic time."""
+    """Monotonic clock."""
 
     @abc.abstractmethod
     def now(self) -> float:
-        """Return monotonic time in seconds."""
+        """Return the monotonic time in seconds."""
--- a/packages/core/src/trefoilpulley_core/declarations.py
+++ b/packages/core/src/trefoilpulley_core/declarations.py
@@ -1,4 +1,4 @@
-"""Operators' declarations: classes of work, tenants and planned stops."""
+"""Declarations of operators: classes of work, tenants, planned stops."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class FreshnessKind(StrEnum):
-    """How fresh the answers of a class must be."""
+    """Kinds of freshness targets."""
 
     AGE = 'age'
-    """At most a stated age, and the session's own writes."""
+    """Data up to a given age that includes the session's own writes."""
 
     SESSION = 'session'
-    """The session's own writes, at any age."""
+    """Data of any age that includes the session's own writes."""
 
     PRESENT = 'present'
-    """What the primary holds when the request arrives."""
+    """Data that the primary holds when the request arrives."""
 
 
 class WorkKind(StrEnum):
@@ -31,10 +31,10 @@
     """Freshness target of a class of work."""
 
     kind: FreshnessKind
-    """What the answers must hold."""
+    """Kind of the target."""
 
     max_age_ms: int | None = None
-    """Greatest age in milliseconds; only for ``AGE``."""
+    """Maximum age of the data, in milliseconds; only for ``AGE``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,10 +42,10 @@
     """Promptness target of a class of work."""
 
     within_ms: int
-    """Time within which an answer is due, in milliseconds."""
+    """Time limit for an answer, in milliseconds."""
 
     share: float
-    """Share of the answers that must be in time, above 0, at most 1."""
+    """Share of answers that must be in time, above 0 and at most 1."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,10 +53,10 @@
     """Safety target of a class of work."""
 
     copies: int = 2
-    """Members that hold a write before its acknowledgement.
+    """Number of members that must hold a write before its acknowledgement.
 
-    At least a majority, so that an isolated primary acknowledges
-    nothing.
+    At least a majority, so that an isolated primary can't acknowledge
+    writes.
     """
 
     is_repeatable: bool = False
@@ -68,73 +68,73 @@
     """One class of work and its targets."""
 
     name: str
-    """Name that requests carry."""
+    """Name that requests refer to."""
 
     work: WorkKind
     """Whether the class reads or writes."""
 
     freshness: Freshness
-    """How fresh its answers must be."""
+    """Freshness target of reads."""
 
     promptness: Promptness
-    """How soon its answers are due."""
+    """Promptness target of answers."""
 
     safety: Safety
-    """What a write must survive."""
+    """Safety target of writes, and whether requests may be repeated."""
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Right of a tenant to use classes of work on a ledger."""
+    """Permission of a tenant to use classes of work on a ledger."""
 
     ledger: str
-    """Name of the ledger, or of one of its databases."""
+    """Name of the ledger or of one of its databases."""
 
     classes: tuple[str, ...]
-    """Names of the classes of work."""
+    """Names of the permitted classes of work."""
 
     def covers(self, ledger: str, database: str) -> bool:
-        """Return whether the right holds on a database of a ledger."""
+        """Return whether the permission applies to a ledger's database."""
         return self.ledger in (ledger, database)
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """Customer whose callers share no data with another's."""
+    """Customer, whose data is isolated from that of other customers."""
 
     name: str
     """Name of the tenant."""
 
     grants: tuple[Grant, ...]
-    """What the tenant's callers may use."""
+    """Permissions of the tenant's callers."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedStop:
-    """Planned stop of the upstreams of one availability zone."""
+    """Planned stop of a ledger's members in one availability zone."""
 
     name: str
-    """Name by which the stop is listed and cancelled."""
+    """Name that identifies the stop when it is listed or cancelled."""
 
     ledger: str
-    """Ledger whose members stop."""
+    """Name of the ledger."""
 
     zone: str
-    """Availability zone whose members of the ledger stop."""
+    """Name of the availability zone."""
 
 
 @dataclass(frozen=True, slots=True)
 class Declarations:
-    """The whole document of declarations."""
+    """Complete document of declarations."""
 
     classes: tuple[WorkClass, ...] = ()
     """Classes of work."""
 
     tenants: tuple[Tenant, ...] = ()
-    """Tenants and their rights."""
+    """Tenants and their permissions."""
 
     stops: tuple[PlannedStop, ...] = ()
-    """Planned stops in force."""
+    """Planned stops."""
 
     def find_class(self, name: str) -> WorkClass | None:
         """Return the class of work with a name, or ``None``."""
@@ -150,13 +150,13 @@
     """Declarations as stored in the platform's service."""
 
     revision: int
-    """Number of the change; each accepted change raises it by one."""
+    """Revision number, incremented by each accepted change."""
 
     change_id: str
-    """Identifier of the change that wrote this document."""
+    """Identifier of the change that wrote this revision."""
 
     declarations: Declarations
-    """Document in force."""
+    """Declarations in force."""
 
     recent_changes: tuple[str, ...] = ()
-    """Identifiers of the changes before, newest first."""
+    """Identifiers of previous changes, newest first."""
--- a/packages/core/src/trefoilpulley_core/declarations_check.py
+++ b/packages/core/src/trefoilpulley_core/declarations_check.py
@@ -1,4 +1,4 @@
-"""Checks a document of declarations whole, before anything is written."""
+"""Checks a complete document of declarations before it is stored."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
     from collections.abc import Collection
 
 MAX_DOCUMENT_BYTES = 1_000_000
-"""Greatest document; the service holds values up to a megabyte."""
+"""Size limit of a document; the service's values are limited to 1 MB."""
 
 MAX_FRESHNESS_AGE_MS = 86_400_000
-"""Greatest age that a class may accept, in milliseconds: a day."""
+"""Largest maximum age of a freshness target, in milliseconds (one day)."""
 
 MAX_WITHIN_MS = 600_000
-"""Longest promptness, in milliseconds: ten minutes."""
+"""Largest promptness target, in milliseconds (ten minutes)."""
 
 MIN_COPIES = 2
-"""Majority of a group of three members."""
+"""Smallest number of copies: a majority of three members."""
 
 MAX_COPIES = 3
-"""All members of a group of three."""
+"""Largest number of copies: all three members."""
 
 _FRESHNESS_KINDS = {
     'session': FreshnessKind.SESSION,
@@ -59,22 +59,22 @@
     Parameters
     ----------
     text : str
-        JSON text as operators write it.
+        JSON text written by an operator.
     ledgers : Collection[str], optional
-        Names of the ledgers and databases that the platform lists;
-        without it, these names are not looked up.
+        Names of the ledgers and databases in the platform's list. If
+        omitted, names of ledgers are not checked against the list.
 
     Returns
     -------
     Result[Declarations, tuple[Fault, ...]]
-        The declarations, or every fault of the document.
+        The declarations, or all faults of the document.
     """
     faults = FaultList()
     if len(text.encode(errors='surrogatepass')) > MAX_DOCUMENT_BYTES:
         faults.add(
             '$',
             FaultCode.TOO_LARGE,
-            f'limit is {MAX_DOCUMENT_BYTES} bytes',
+            f'the limit is {MAX_DOCUMENT_BYTES} bytes',
         )
         return Failed(faults.as_tuple())
     try:
@@ -89,7 +89,7 @@
 
 
 class _DocumentChecker:
-    """One check of one document."""
+    """Checks one document."""
 
     def __init__(
         self, faults: FaultList, ledgers: Collection[str] | None
@@ -99,7 +99,7 @@
         self._class_names: frozenset[str] = frozenset()
 
     def read(self, value: Any) -> Declarations:
-        """Read the document; what is at fault is left out."""
+        """Read the document and omit items with faults."""
         root = self._faults.read_object(value, '$')
         if root is None:
             return Declarations()
@@ -170,7 +170,7 @@
             self._faults.add(
                 reader.path_of('freshness'),
                 FaultCode.MISSING_KEY,
-                'is required for a class that reads',
+                'is required for a class of reads',
             )
 
     def _read_write_freshness(self, reader: ObjectReader) -> Freshness | None:
@@ -181,7 +181,7 @@
             self._faults.add(
                 reader.path_of('freshness'),
                 FaultCode.NOT_APPLICABLE,
-                'a class that writes works on "present"',
+                'must be "present" for a class of writes',
             )
         return found
 
@@ -229,7 +229,7 @@
             self._faults.add(
                 target.path_of('copies'),
                 FaultCode.NOT_APPLICABLE,
-                'a class that reads makes no copies',
+                'must not be set for a class of reads',
             )
         copies = target.read_int('copies', MIN_COPIES, MAX_COPIES)
         is_repeatable = target.read_bool('repeatable', is_read)
@@ -267,7 +267,7 @@
                 )
             elif name in names:
                 self._faults.add(
-                    item_path, FaultCode.DUPLICATE_NAME, 'stands twice'
+                    item_path, FaultCode.DUPLICATE_NAME, 'the name is repeated'
                 )
             else:
                 self._check_class_name(name, item_path)
--- a/packages/core/src/trefoilpulley_core/declarations_fault.py
+++ b/packages/core/src/trefoilpulley_core/declarations_fault.py
@@ -10,37 +10,37 @@
     """Kinds of faults."""
 
     MALFORMED_JSON = 'malformed-json'
-    """The text is not JSON."""
+    """The text is not valid JSON."""
 
     TOO_LARGE = 'too-large'
-    """The text does not fit one value of the platform's service."""
+    """The text exceeds the size limit of a value in the service."""
 
     UNKNOWN_KEY = 'unknown-key'
-    """The object has no such key."""
+    """The object has a key that is not defined."""
 
     DERIVED_KEY = 'derived-key'
-    """The system derives what the key would set."""
+    """The object has a key whose value the system derives."""
 
     MISSING_KEY = 'missing-key'
-    """The object lacks a key."""
+    """The object lacks a required key."""
 
     WRONG_TYPE = 'wrong-type'
-    """The value has another type."""
+    """The value has the wrong type."""
 
     OUT_OF_RANGE = 'out-of-range'
-    """The value is outside its bounds."""
+    """The value is outside the permitted range."""
 
     INVALID_NAME = 'invalid-name'
-    """The name has characters that names do not have."""
+    """The name violates the syntax of names."""
 
     DUPLICATE_NAME = 'duplicate-name'
-    """The object or list has the same name twice."""
+    """The object or list contains the same name twice."""
 
     UNKNOWN_CLASS = 'unknown-class'
-    """A right names a class of work that is not declared."""
+    """A permission refers to a class of work that is not declared."""
 
     UNKNOWN_LEDGER = 'unknown-ledger'
-    """The platform lists no database of the ledger."""
+    """The platform lists no such ledger or database."""
 
     NOT_APPLICABLE = 'not-applicable'
     """The target does not apply to work of this kind."""
@@ -48,13 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault and where it stands."""
+    """One fault and its place in the document."""
 
     path: str
-    """JSON path of the value at fault."""
+    """JSON path of the faulty value."""
 
     code: FaultCode
     """Kind of the fault."""
 
     detail: str
-    """Facts for a person."""
+    """Human-readable description, not meant for programs."""
--- a/packages/core/src/trefoilpulley_core/declarations_form.py
+++ b/packages/core/src/trefoilpulley_core/declarations_form.py
@@ -1,4 +1,4 @@
-"""Writes declarations in the form in which operators read them."""
+"""Converts declarations to the JSON document that operators edit."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def format_declarations(declarations: Declarations) -> str:
-    """Return the JSON text that `check_declarations` reads."""
+    """Format declarations as JSON text for `check_declarations`."""
     document = describe_declarations(declarations)
     return json.dumps(document, indent=2) + '\n'
 
 
 def describe_declarations(declarations: Declarations) -> dict[str, Any]:
-    """Return the JSON document of declarations."""
+    """Return declarations as a JSON-compatible dictionary."""
     return {
         'classes': {c.name: describe_class(c) for c in declarations.classes},
         'tenants': {t.name: _describe_tenant(t) for t in declarations.tenants},
@@ -33,7 +33,7 @@
 
 
 def describe_class(work_class: WorkClass) -> dict[str, Any]:
-    """Return the JSON object of a class of work."""
+    """Return a class of work as a JSON-compatible dictionary."""
     promptness = work_class.promptness
     return {
         'work': work_class.work.value,
@@ -47,7 +47,7 @@
 
 
 def describe_stop(stop: PlannedStop) -> dict[str, Any]:
-    """Return the JSON object of a planned stop."""
+    """Return a planned stop as a JSON-compatible dictionary."""
     return {'ledger': stop.ledger, 'zone': stop.zone}
 
 
--- a/packages/core/src/trefoilpulley_core/failure.py
+++ b/packages/core/src/trefoilpulley_core/failure.py
@@ -1,4 +1,4 @@
-"""Catalogue of the failures that callers, operators and peers see."""
+"""Failure types that are reported to callers, operators and other hosts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RunState(StrEnum):
-    """Whether the failed request has run at an upstream."""
+    """States of execution of a failed request at an upstream."""
 
     NOT_RUN = 'not-run'
     RUN = 'run'
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Base of every typed failure."""
+    """Base of all failure types."""
 
     detail: str = ''
-    """Facts for a person; programs use the type alone."""
+    """Human-readable description; programs must use only the type."""
 
     code: ClassVar[str] = 'failure'
     """Stable code of the type."""
@@ -30,7 +30,7 @@
     """Whether the request has run."""
 
     is_repeatable: ClassVar[bool] = False
-    """Whether the caller may send the same request again as it is."""
+    """Whether the caller may send the same request again unchanged."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -201,7 +201,7 @@
 
 
 def failures_by_code() -> dict[str, type[Failure]]:
-    """Return each failure type by its code."""
+    """Return all failure types by their codes."""
     found: dict[str, type[Failure]] = {}
     pending: list[type[Failure]] = [Failure]
     while pending:
@@ -213,7 +213,7 @@
 
 
 def _is_public(kind: type[Failure]) -> bool:
-    # A data class with slots replaces the class it is made from, which
-    # stays among its parent's subclasses.
+    # ``dataclass(slots=True)`` creates a new class. The original class
+    # stays among the subclasses of its parent and must be ignored.
     module = sys.modules[kind.__module__]
     return getattr(module, kind.__name__, None) is kind
--- a/packages/core/src/trefoilpulley_core/keys.py
+++ b/packages/core/src/trefoilpulley_core/keys.py
@@ -1,35 +1,35 @@
-"""Keys of the platform's service that the system reads and writes."""
+"""Keys of the platform's service that trefoilpulley reads and writes."""
 
 from __future__ import annotations
 
 CONFIGURATION_KEY = '/trefoilpulley/configuration'
-"""Declarations in force, as JSON of a `Configuration`."""
+"""Key of the declarations in force, a `Configuration` as JSON."""
 
 CATALOG_PREFIX = '/platform/'
-"""Prefix of the lists that the platform writes."""
+"""Prefix of the keys that only the platform writes."""
 
 CATALOG_DATABASES_KEY = '/platform/databases'
-"""Database groups; the platform writes, the system reads."""
+"""Key of the platform's list of database groups."""
 
 CATALOG_HOSTS_KEY = '/platform/hosts'
-"""Lagging list of hosts; the platform writes, the system reads."""
+"""Key of the platform's list of hosts, which may be outdated."""
 
 SHARD_PREFIX = '/trefoilpulley/shard/'
 """Prefix of the keys that hold the records of shards."""
 
 
 PROXY_PREFIX = '/trefoilpulley/proxy/'
-"""Prefix of the keys of hosts that order promotions."""
+"""Prefix of the keys of hosts that can order promotions."""
 
 HOST_PREFIX = f'{PROXY_PREFIX}host/'
-"""Prefix of the entries of the hosts, each bound to its lease."""
+"""Prefix of the hosts' entries, each bound to the lease of its host."""
 
 CLAIM_PREFIX = f'{PROXY_PREFIX}claim/'
-"""Prefix of the claims to change a group's primary."""
+"""Prefix of the hosts' claims to change a group's primary."""
 
 
 def duty_key(shard: int) -> str:
-    """Return the key that the coordinator of a shard holds by lease."""
+    """Return the key that a shard's coordinator holds with its lease."""
     return f'/trefoilpulley/duty/{shard:04d}'
 
 
--- a/packages/core/src/trefoilpulley_core/peer.py
+++ b/packages/core/src/trefoilpulley_core/peer.py
@@ -1,4 +1,4 @@
-"""Messages between entry hosts."""
+"""Messages between hosts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHello:
-    """First message of a connection between hosts."""
+    """First message on a connection between hosts."""
 
     host: str
     """Name of the calling host."""
@@ -24,10 +24,10 @@
     """Availability zone of the calling host."""
 
     incarnation: int
-    """Number of the process's start, higher at each start."""
+    """Incarnation of the calling process, increased at each start."""
 
     secret: str
-    """Secret of the deployment's hosts."""
+    """Shared secret of the deployment's hosts."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,33 +38,33 @@
     """Name of the answering host."""
 
     incarnation: int
-    """Number of the answering process's start."""
+    """Incarnation of the answering process, increased at each start."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberDigest:
-    """What a pooler tells of a member with each answer."""
+    """Summary of a member's state, sent by its pooler with each answer."""
 
     member: str
     """Name of the member."""
 
     is_primary: bool
-    """Whether the member leads ``term``."""
+    """Whether the member is the primary of ``term``."""
 
     term: int
-    """Term that the member leads or follows."""
+    """Term in which the member is primary or replica."""
 
     last: Position
     """End of the member's log."""
 
     term_start: int
-    """Index at which the term of ``last`` began."""
+    """Index of the first record of the term of ``last``."""
 
     age_ms: int | None
-    """Greatest age of the member's data; ``None`` where unknown."""
+    """Upper bound of the data's age, in milliseconds, or ``None``."""
 
     lag_ms: int
-    """Time the member takes to reach the primary's position."""
+    """Replication lag behind the primary, in milliseconds."""
 
     queue_ms: int
     """Expected wait for a slot, in milliseconds."""
@@ -73,70 +73,71 @@
     """Whether the pooler has a working connection to the member."""
 
     is_paused: bool = False
-    """Whether a handover holds writes."""
+    """Whether a handover has paused writes."""
 
     copies: tuple[Acknowledgement, ...] = ()
-    """Progress of the replicas as a primary knows it."""
+    """Positions confirmed by the replicas; only from a primary."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkScope:
-    """On whose behalf a pooler works, and until when."""
+    """Member, tenant, class and time limit of work for a pooler."""
 
     member: str
-    """Member to use."""
+    """Name of the member that executes the work."""
 
     tenant: str
     """Tenant of the caller."""
 
     work_class: str
-    """Class of work."""
+    """Name of the class of work."""
 
     remaining_ms: int
-    """Time left until the answer is due at the entry host."""
+    """Time until the answer is due at the entry host, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class PooledRead:
-    """Runs a read at a member."""
+    """Request to execute a read at a member."""
 
     scope: WorkScope
-    """Tenant, class and time left."""
+    """Member, tenant, class and time limit."""
 
     statement: Statement
-    """Statement."""
+    """Statement to execute."""
 
     floor: Position
-    """Position that the member must hold."""
+    """Position that the member's log must contain."""
 
     max_age_ms: int | None
-    """Greatest age of the data, or ``None`` for any age."""
+    """Maximum age of the data, in milliseconds; ``None`` for any age."""
 
     wait_ms: int
-    """Longest wait for the member to reach the floor."""
+    """Time limit for the member to reach the floor, in milliseconds."""
 
     copies: int = 0
-    """Members that must hold what the read has seen before the answer.
+    """Members that must hold the records that the read has seen.
 
-    Only at a primary; 0 asks for none.
+    The answer waits for these members. Only at a primary; 0 for no
+    requirement.
     """
 
     needs_leader: bool = False
-    """Whether the member must surely lead when the read arrives."""
+    """Whether the member must provably lead when the read arrives."""
 
 
 @dataclass(frozen=True, slots=True)
 class PooledWrite:
-    """Runs a write at the primary of a term."""
+    """Request to execute a write at a primary."""
 
     scope: WorkScope
-    """Tenant, class and time left."""
+    """Member, tenant, class and time limit."""
 
     statement: Statement
-    """Statement."""
+    """Statement to execute."""
 
     key: OutcomeKey
-    """Key of the outcome."""
+    """Key under which the outcome is stored."""
 
     copies: int
     """Members that must hold the write before the answer."""
@@ -144,13 +145,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PooledBegin:
-    """Begins a transaction at the primary of a term."""
+    """Request to begin a transaction at a primary."""
 
     scope: WorkScope
-    """Tenant, class and time left."""
+    """Member, tenant, class and time limit."""
 
     floor: Position = BEGINNING
-    """Position that the primary must hold."""
+    """Position that the primary's log must contain."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -158,29 +159,29 @@
     """Answer to `PooledBegin`."""
 
     transaction: str
-    """Identifier, valid on this connection between hosts."""
+    """Identifier of the transaction, valid only on this connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class PooledRun:
-    """Runs a statement in a transaction."""
+    """Request to execute a statement in a transaction."""
 
     transaction: str
     """Identifier of the transaction."""
 
     statement: Statement
-    """Statement."""
+    """Statement to execute."""
 
 
 @dataclass(frozen=True, slots=True)
 class PooledCommit:
-    """Commits a transaction."""
+    """Request to commit a transaction."""
 
     transaction: str
     """Identifier of the transaction."""
 
     key: OutcomeKey
-    """Key of the outcome."""
+    """Key under which the outcome is stored."""
 
     copies: int
     """Members that must hold the commit before the answer."""
@@ -188,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PooledRollback:
-    """Rolls a transaction back."""
+    """Request to roll back a transaction."""
 
     transaction: str
     """Identifier of the transaction."""
@@ -196,13 +197,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PooledResolve:
-    """Looks an outcome up at the primary, or abandons its key."""
+    """Request to look up an outcome at the primary, or abandon its key."""
 
     scope: WorkScope
-    """Tenant, class and time left."""
+    """Member, tenant, class and time limit."""
 
     key: OutcomeKey
-    """Key of the outcome."""
+    """Key under which the outcome is stored."""
 
     copies: int
     """Members that must hold the outcome before the answer."""
@@ -210,37 +211,37 @@
 
 @dataclass(frozen=True, slots=True)
 class PooledResult:
-    """Answer to pooled work that has run."""
+    """Answer to work that has run."""
 
     result: StatementResult
-    """Whole result."""
+    """Complete result."""
 
     digest: MemberDigest | None = None
-    """The member after the work; none from a transaction."""
+    """State of the member after the work; ``None`` in a transaction."""
 
 
 @dataclass(frozen=True, slots=True)
 class PooledFailure:
-    """Typed failure of pooled work or of a control message."""
+    """Failure of work or of a control message."""
 
     code: str
-    """Code of the failure in the catalogue."""
+    """Code of the failure type in `trefoilpulley_core.failure`."""
 
     detail: str = ''
-    """Facts for a person."""
+    """Human-readable description, not meant for programs."""
 
     digest: MemberDigest | None = None
-    """The member after the work, where the pooler knows it."""
+    """State of the member after the work, if known to the pooler."""
 
 
 @dataclass(frozen=True, slots=True)
 class PooledDone:
-    """Answer to a message without a result."""
+    """Answer to a message that returns no result."""
 
 
 @dataclass(frozen=True, slots=True)
 class GetDigest:
-    """Asks a pooler for the digests of members."""
+    """Request to a pooler for digests of members."""
 
     members: tuple[str, ...]
     """Names of the members."""
@@ -248,15 +249,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Digests:
-    """Digests of the members that the sender pools."""
+    """Digests of members that the sender pools."""
 
     digests: tuple[MemberDigest, ...]
-    """One digest a member."""
+    """One digest for each member."""
 
 
 @dataclass(frozen=True, slots=True)
 class GetStatus:
-    """Asks a pooler for a member's status, asked at the member anew."""
+    """Request to a pooler to query a member's current status."""
 
     member: str
     """Name of the member."""
@@ -264,7 +265,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReport:
-    """Answer to the control messages."""
+    """Answer to a control message."""
 
     status: MemberStatus
     """Status of the member."""
@@ -272,7 +273,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceMember:
-    """Makes a member refuse lower terms."""
+    """Order to a member to refuse lower terms."""
 
     member: str
     """Name of the member."""
@@ -283,24 +284,24 @@
 
 @dataclass(frozen=True, slots=True)
 class PromoteMember:
-    """Makes a member the primary of a term."""
+    """Order to a member to become the primary of a term."""
 
     member: str
     """Name of the member."""
 
     term: int
-    """Term to lead."""
+    """Term of the new primary."""
 
 
 @dataclass(frozen=True, slots=True)
 class FollowMember:
-    """Makes a member a replica of a term's primary."""
+    """Order to a member to become a replica of a term's primary."""
 
     member: str
     """Name of the member."""
 
     term: int
-    """Term to follow."""
+    """Term of the primary."""
 
     primary: str
     """Name of the primary."""
@@ -308,19 +309,20 @@
 
 @dataclass(frozen=True, slots=True)
 class PauseWrites:
-    """Holds new writes at a member's pooler; those running go on.
+    """Order to a pooler to pause new writes to a member.
 
-    The hold ends by itself after ``hold_ms``.
+    Running writes continue. The pooler resumes writes after ``hold_ms``
+    at the latest.
     """
 
     member: str
-    """Member whose writes are held."""
+    """Name of the member."""
 
     handover_id: str
     """Identifier of the handover."""
 
     hold_ms: int
-    """Longest hold in milliseconds."""
+    """Longest pause of writes, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -328,15 +330,15 @@
     """Answer to `PauseWrites`."""
 
     writes_running: int
-    """Writes and transactions still running at the member."""
+    """Number of writes and transactions that still run at the member."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeWrites:
-    """Ends a hold of writes."""
+    """Order to a pooler to resume writes to a member."""
 
     member: str
-    """Member whose writes are held."""
+    """Name of the member."""
 
     handover_id: str
     """Identifier of the handover."""
@@ -344,10 +346,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmConnections:
-    """Opens connections to a member ahead of work."""
+    """Order to a pooler to open connections to a member in advance."""
 
     member: str
     """Name of the member."""
 
     count: int
-    """Connections that should be open."""
+    """Number of connections that should be open."""
--- a/packages/core/src/trefoilpulley_core/platform.py
+++ b/packages/core/src/trefoilpulley_core/platform.py
@@ -1,7 +1,6 @@
 """Interface to the platform's key-value service.
 
-The node package implements `Platform` over the published etcd v3 JSON
-gateway.
+The node package implements `Platform` for the JSON gateway of etcd v3.
 """
 
 from __future__ import annotations
@@ -61,19 +60,19 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """Value of one key."""
+    """One key and its value."""
 
     key: str
-    """Key."""
+    """Name of the key."""
 
     value: bytes
-    """Value, at most one megabyte."""
+    """Value of the key, at most one megabyte."""
 
     mod_revision: int
     """Revision of the last change; 0 where the key does not exist."""
 
     lease_id: int = 0
-    """Lease that the key is bound to, or 0."""
+    """Identifier of the lease that the key is bound to, or 0."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,14 +80,14 @@
     """Lease granted by the service."""
 
     lease_id: int
-    """Identifier."""
+    """Identifier of the lease."""
 
     ttl_s: float
-    """Time to live in seconds, counted from before the request left."""
+    """Time to live in seconds, measured from the sending of the request."""
 
 
 class Watch(abc.ABC):
-    """Running watch on a prefix."""
+    """Active watch on a prefix."""
 
     @abc.abstractmethod
     def cancel(self) -> None:
@@ -100,16 +99,16 @@
 
     @abc.abstractmethod
     def get(self, key: str) -> Result[KeyValue | None, Failure]:
-        """Return the value of a key, or ``None`` where it is absent."""
+        """Return a key and its value, or ``None`` if the key is absent."""
 
     @abc.abstractmethod
     def get_prefix(self, prefix: str) -> Result[tuple[KeyValue, ...], Failure]:
-        """Return the values of every key with a prefix."""
+        """Return all keys with a prefix and their values."""
 
     def get_revisions(
         self, prefix: str
     ) -> Result[tuple[KeyValue, ...], Failure]:
-        """Return the keys under a prefix; their values may be left out."""
+        """Return all keys with a prefix; their values may be empty."""
         return self.get_prefix(prefix)
 
     @abc.abstractmethod
@@ -120,18 +119,18 @@
         value: bytes,
         lease_id: int = 0,
     ) -> Result[int, Failure]:
-        """Write a key where its revision is as expected.
+        """Write a key if it has the expected revision.
 
         Parameters
         ----------
         key : str
-            Key to write.
+            Name of the key.
         expected_revision : int
-            Revision the key must have; 0 for a key that must be absent.
+            Required revision of the key; 0 if the key must be absent.
         value : bytes
             New value.
         lease_id : int
-            Lease to bind the key to, or 0 for none.
+            Identifier of the lease to bind the key to, or 0 for none.
 
         Returns
         -------
@@ -144,11 +143,11 @@
     def delete(
         self, key: str, expected_revision: int
     ) -> Result[None, Failure]:
-        """Delete a key where its revision is as expected."""
+        """Delete a key if it has the expected revision."""
 
     @abc.abstractmethod
     def grant_lease(self, ttl_s: int) -> Result[Lease, Failure]:
-        """Grant a lease."""
+        """Request a new lease."""
 
     @abc.abstractmethod
     def keep_alive(self, lease_id: int) -> Result[Lease, Failure]:
@@ -165,11 +164,13 @@
         on_change: Callable[[KeyValue], None],
         on_failure: Callable[[Failure], None],
     ) -> Watch:
-        """Call back for each change under a prefix, until cancelled.
-
-        A deleted key comes with an empty value. A broken watch calls
-        ``on_failure`` once and ends. Returns once the watch is in
-        force, so that a read that follows misses no change. A watch
-        that follows a broken one may go on where that one ended; it
-        fails with `WatchExpired` where changes in between are lost.
+        """Watch the keys with a prefix until the watch is cancelled.
+
+        ``on_change`` is called for each change, with an empty value for
+        a deleted key. If the watch breaks, ``on_failure`` is called once
+        and the watch ends. The method returns when the watch is active,
+        so that a subsequent read misses no change. A watch that is
+        started after a broken one may continue where the broken watch
+        ended; it fails with `WatchExpired` if changes in between are no
+        longer available.
         """
--- a/packages/core/src/trefoilpulley_core/position.py
+++ b/packages/core/src/trefoilpulley_core/position.py
@@ -11,28 +11,28 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Position:
-    """Place of one record in the log of a database.
+    """Position of one record in the log of a database.
 
-    Positions order by term first, then by index.
+    Positions are ordered by term, then by index.
     """
 
     term: int = 0
     """Term in which the record was written."""
 
     index: int = 0
-    """One-based index of the record; 0 stands before the first."""
+    """One-based index of the record; 0 is before the first record."""
 
 
 BEGINNING = Position()
-"""Position before the first record of every log."""
+"""Position before the first record of a log."""
 
 
 @dataclass(frozen=True, slots=True)
 class TermStart:
-    """First index written under a term."""
+    """Start of a term in a log."""
 
     term: int
-    """Term that began."""
+    """Number of the term."""
 
     index: int
     """Index of the first record of the term."""
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LogHistory:
-    """Where each term of a member's log began, and where the log ends."""
+    """Starts of the terms in a member's log, and the end of the log."""
 
     starts: tuple[TermStart, ...] = ()
-    """Starts of the terms in ascending order."""
+    """Starts of the terms, in ascending order."""
 
     last: Position = BEGINNING
     """Position of the last record."""
@@ -54,12 +54,12 @@
         Parameters
         ----------
         index : int
-            One-based index; 0 gives term 0.
+            One-based index; the term of index 0 is 0.
 
         Returns
         -------
         int
-            Term of the record, or 0 where the history does not reach.
+            Term of the record, or 0 if the history does not cover it.
         """
         for start in reversed(self.starts):
             if start.index <= index:
@@ -67,7 +67,10 @@
         return 0
 
     def contains(self, position: Position) -> bool:
-        """Return whether the log holds the very record at a position."""
+        """Return whether the log contains the record of a position.
+
+        The log must have a record at the index in the same term.
+        """
         if position.index == 0:
             return True
         if position.index > self.last.index:
@@ -75,10 +78,10 @@
         return self.term_at(position.index) == position.term
 
     def is_prefix_of(self, other: LogHistory) -> bool:
-        """Return whether every record of this log is in another."""
+        """Return whether another log contains every record of this log."""
         return other.contains(self.last)
 
 
 def latest(positions: Sequence[Position]) -> Position:
-    """Return the greatest of several positions, or the beginning."""
+    """Return the greatest position, or `BEGINNING` if there is none."""
     return max(positions, default=BEGINNING)
--- a/packages/core/src/trefoilpulley_core/rendezvous.py
+++ b/packages/core/src/trefoilpulley_core/rendezvous.py
@@ -1,7 +1,7 @@
-"""Rendezvous hashing: the owner of a key among a set of hosts.
+"""Rendezvous hashing, which selects the owner of a key among hosts.
 
-Each host has a score for each key; the host with the greatest score
-owns the key. A host that goes moves its own keys alone.
+Each host has a score for each key, and the host with the highest score
+owns the key. When a host is removed, only its own keys get new owners.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
     from collections.abc import Sequence
 
 MAX_CACHED_HOST_SETS = 256
-"""Sets of hosts whose seeds are kept."""
+"""Number of sets of hosts whose seeds are cached."""
 
 
 def rank_hosts(key: str, hosts: Sequence[str]) -> tuple[str, ...]:
-    """Return the hosts in the order in which they own a key.
+    """Return the hosts in the order of ownership of a key.
 
     Parameters
     ----------
     key : str
-        Key, such as the name of a member.
+        Key, for example the name of a member.
     hosts : Sequence[str]
         Names of the hosts, in any order.
 
     Returns
     -------
     tuple[str, ...]
-        The owner first, then each successor.
+        The owner, followed by its successors.
     """
     return tuple(host for _, host in sorted(_scores(key, hosts), reverse=True))
 
 
 def pick_host(key: str, hosts: Sequence[str]) -> str | None:
-    """Return the owner of a key, or ``None`` where there is no host."""
+    """Return the owner of a key, or ``None`` if there are no hosts."""
     best = max(_scores(key, hosts), default=None)
     return None if best is None else best[1]
 
--- a/packages/core/src/trefoilpulley_core/token.py
+++ b/packages/core/src/trefoilpulley_core/token.py
@@ -1,4 +1,8 @@
-"""Signed session tokens: the positions a session must see again."""
+"""Signed session tokens, which hold the floors of a session.
+
+A floor is the position of a database that the session has already seen
+or written; later answers to the session must include it.
+"""
 
 from __future__ import annotations
 
@@ -23,37 +27,37 @@
     from collections.abc import Sequence
 
 MAX_TOKEN_BYTES = 8192
-"""Size of the largest token that is read."""
+"""Size limit of a token."""
 
 MAX_FLOORS = 64
-"""Databases whose floors a token lists."""
+"""Number of databases whose floors a token holds."""
 
 _SALT = b'trefoilpulley.session'
 
 
 @dataclass(frozen=True, slots=True)
 class Floor:
-    """Position that a session must see of one database."""
+    """Position of a database that answers to a session must include."""
 
     database: str
     """Name of the database."""
 
     position: Position
-    """Least position of an answer."""
+    """Lowest permitted position of an answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class SessionToken:
-    """What a session carries between hosts."""
+    """State of a session, carried by the caller between hosts."""
 
     tenant: str
     """Tenant of the session."""
 
     floors: tuple[Floor, ...] = ()
-    """Floors of the databases touched, the latest raised last."""
+    """Floors of the session, the most recently raised last."""
 
     is_partial: bool = False
-    """Whether floors were left out, so that others are unknown."""
+    """Whether floors were dropped because of the limit."""
 
     def floor_of(self, database: str) -> Position | None:
         """Return the floor of a database.
@@ -61,8 +65,8 @@
         Returns
         -------
         Position | None
-            The beginning for a database that the session has not
-            touched; ``None`` where the floor was left out.
+            `BEGINNING` for a database that the session has not used;
+            ``None`` if the floor may have been dropped.
         """
         for floor in self.floors:
             if floor.database == database:
@@ -70,10 +74,11 @@
         return None if self.is_partial else BEGINNING
 
     def with_floor(self, database: str, position: Position) -> SessionToken:
-        """Return a token whose floor of a database is no lower.
+        """Return a token with the floor of a database raised to a position.
 
-        A floor of a newer term stands for one of an older term: all
-        that was acknowledged in the older term is in the log before it.
+        A floor of a newer term replaces one of an older term, because
+        all records that were acknowledged in the older term precede the
+        newer term in the log.
         """
         current = self.floor_of(database)
         if current is not None and position <= current:
@@ -84,7 +89,7 @@
         return SessionToken(self.tenant, floors[-MAX_FLOORS:], is_partial)
 
     def merge(self, other: SessionToken) -> SessionToken:
-        """Return a token that holds the floors of two."""
+        """Return a token with the higher floors of two tokens."""
         merged = SessionToken(
             self.tenant, self.floors, self.is_partial or other.is_partial
         )
@@ -99,9 +104,10 @@
     Parameters
     ----------
     deployment : str
-        Name of the deployment; tokens of another are refused.
+        Name of the deployment; tokens of other deployments are refused.
     keys : Sequence[str]
-        Signing keys, oldest first; the last one signs.
+        Signing keys, oldest first. The last key signs new tokens; all
+        keys verify.
     """
 
     def __init__(self, deployment: str, keys: Sequence[str]) -> None:
@@ -111,7 +117,7 @@
         )
 
     def encode(self, token: SessionToken) -> bytes:
-        """Return the signed form of a token."""
+        """Encode and sign a token."""
         floors = [
             (f.database, f.position.term, f.position.index)
             for f in token.floors
@@ -122,28 +128,28 @@
     def decode(
         self, data: bytes, tenant: str
     ) -> Result[SessionToken, Failure]:
-        """Verify a signed token of a tenant."""
+        """Verify and decode a token of a tenant."""
         if len(data) > MAX_TOKEN_BYTES:
-            return Failed(InvalidToken('token is too large'))
+            return Failed(InvalidToken('the token is too large'))
         try:
             body = cbor2.loads(self._signer.unsign(data))
         except (BadSignature, cbor2.CBORDecodeError):
-            return Failed(InvalidToken('signature does not match'))
+            return Failed(InvalidToken('the signature is invalid'))
         return self._read_body(body, tenant)
 
     def _read_body(
         self, body: Any, tenant: str
     ) -> Result[SessionToken, Failure]:
         if not isinstance(body, list) or len(body) != 4:
-            return Failed(InvalidToken('body has another shape'))
+            return Failed(InvalidToken('the body is malformed'))
         deployment, owner, entries, is_partial = body
         if deployment != self._deployment:
-            return Failed(InvalidToken('token of another deployment'))
+            return Failed(InvalidToken('the token is of another deployment'))
         if owner != tenant:
-            return Failed(InvalidToken('token of another tenant'))
+            return Failed(InvalidToken('the token is of another tenant'))
         floors = _read_floors(entries)
         if floors is None or not isinstance(is_partial, bool):
-            return Failed(InvalidToken('floors have another shape'))
+            return Failed(InvalidToken('the floors are malformed'))
         return Success(SessionToken(owner, floors, is_partial))
 
 
--- a/packages/core/src/trefoilpulley_core/upstream.py
+++ b/packages/core/src/trefoilpulley_core/upstream.py
@@ -1,7 +1,8 @@
 """Interface to a member of a database group.
 
 An adapter implements `Upstream` for one connection to one member. The
-node package has one over WebSocket and CBOR for the stand-in member.
+node package contains an adapter for the stand-in member, which uses
+CBOR over WebSocket.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
     from trefoilpulley_core.failure import Failure
 
 Parameter = Any
-"""Value of a statement's parameter: ``None``, int, float, str or bytes."""
+"""Parameter of a statement: ``None``, int, float, str or bytes."""
 
 ANY_CONTENT = ''
-"""Content digest of a look-up, which fits the outcome of any content."""
+"""Content digest of a look-up, which matches any content."""
 
 Row = tuple[Any, ...]
 """One row of a result."""
@@ -32,132 +33,137 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """Progress of a replica as its primary knows it."""
+    """Replication progress of a replica, as known to its primary."""
 
     member: str
     """Name of the replica."""
 
     position: Position
-    """Last record that the replica confirmed under the primary's term."""
+    """Last position that the replica confirmed in the primary's term."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStatus:
-    """What a member says of itself."""
+    """Status that a member reports of itself."""
 
     member: str
     """Name of the member."""
 
     is_primary: bool
-    """Whether the member believes that it leads ``term``."""
+    """Whether the member believes to be the primary of ``term``."""
 
     term: int
-    """Term that the member last led or followed."""
+    """Latest term in which the member was primary or replica."""
 
     fenced_term: int
     """Lowest term that the member still accepts."""
 
     history: LogHistory
-    """Terms and end of the member's log."""
+    """Starts of the terms and end of the member's log."""
 
     acknowledgements: tuple[Acknowledgement, ...] = ()
-    """Progress of the replicas; only at a primary."""
+    """Progress of the replicas; only from a primary."""
 
     primary_contact_age_ms: int | None = None
-    """Time since the member last heard from the primary of its term.
+    """Time since the last contact to the primary of ``term``, in ms.
 
-    0 at a primary, ``None`` where it never heard from one.
+    0 at a primary, ``None`` if there was no contact yet.
     """
 
     slots_in_use: int = 0
-    """Statements and transactions running."""
+    """Number of running statements and transactions."""
 
     connections_open: int = 0
-    """Connections open."""
+    """Number of open connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One statement with its parameters."""
+    """Statement and its parameters."""
 
     sql: str
-    """Text, passed through without parsing."""
+    """Text of the statement, passed on unparsed."""
 
     parameters: tuple[Parameter, ...] = ()
-    """Positional parameters."""
+    """Positional parameters of the statement."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeKey:
-    """Key under which the outcome of a write is kept with its effect."""
+    """Key under which a member stores the outcome of a write.
+
+    The outcome is stored in the transaction of the write.
+    """
 
     tenant: str
     """Tenant of the caller."""
 
     request_id: str
-    """Identifier of the request, unique in the tenant."""
+    """Identifier of the request, unique within the tenant."""
 
     content_digest: str
-    """Digest of the request's content; a reuse with another is refused."""
+    """Digest of the request's content.
+
+    A request with the same identifier and another digest is refused.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class StatementResult:
-    """Whole answer to one statement."""
+    """Complete answer to one statement."""
 
     columns: tuple[str, ...] = ()
-    """Names of the columns."""
+    """Column names."""
 
     rows: tuple[Row, ...] = ()
-    """Rows."""
+    """Rows of the result."""
 
     row_count: int = -1
-    """Rows changed or returned; -1 where unknown."""
+    """Number of rows changed or returned; -1 where unknown."""
 
     position: Position = BEGINNING
-    """End of the member's log that the statement has seen or written."""
+    """Last position that the statement has seen or written."""
 
     term: int = 0
-    """Term of the member when it ran the statement."""
+    """Term of the member when it executed the statement."""
 
     is_recalled: bool = False
-    """Whether the answer comes from a kept outcome and ran before."""
+    """Whether the answer is the stored outcome of an earlier execution."""
 
 
 class Upstream(abc.ABC):
-    """One connection to one member; answers come in order of requests.
+    """One connection to one member, with answers in request order.
 
-    Every call returns a failure of type
-    `trefoilpulley_core.failure.PeerUnreachable` where the connection
-    breaks before the answer; the member rolls back an open transaction
-    when its connection closes.
+    Every call returns `trefoilpulley_core.failure.PeerUnreachable` if
+    the connection breaks before the answer. The member rolls back an
+    open transaction when its connection is closed.
     """
 
     @abc.abstractmethod
     def status(self) -> Result[MemberStatus, Failure]:
-        """Ask the member for its status."""
+        """Request the member's status."""
 
     @abc.abstractmethod
     def read(
         self, statement: Statement, floor: Position
     ) -> Result[StatementResult, Failure]:
-        """Run a read in a snapshot that holds the floor.
+        """Execute a read on a snapshot that includes the floor.
 
-        Fails with ``ReplicaBehind`` where the member's log does not
-        contain the floor.
+        Fails with ``ReplicaBehind`` if the member's log does not contain
+        the floor.
         """
 
     @abc.abstractmethod
     def write(
         self, statement: Statement, term: int, key: OutcomeKey | None
     ) -> Result[StatementResult, Failure]:
-        """Run a write and keep its outcome in one transaction.
+        """Execute a write and store its outcome in the same transaction.
 
-        With a key that was used before, nothing runs: the kept outcome
-        comes back with ``is_recalled``; ``RequestIdReused`` where the
-        digests differ; ``NotRun`` where the key was abandoned.
-        Fails with ``NotPrimary`` where the member does not lead
-        ``term``.
+        A write whose key was used before is not executed. The call then
+        returns the stored outcome with ``is_recalled``, or fails with
+        ``RequestIdReused`` if the digests differ, or with ``NotRun`` if
+        the key was abandoned. It fails with ``NotPrimary`` if the member
+        is not the primary of ``term``.
         """
 
     @abc.abstractmethod
@@ -166,13 +172,13 @@
 
     @abc.abstractmethod
     def run(self, statement: Statement) -> Result[StatementResult, Failure]:
-        """Run a statement inside the open transaction."""
+        """Execute a statement in the open transaction."""
 
     @abc.abstractmethod
     def commit(
         self, key: OutcomeKey | None
     ) -> Result[StatementResult, Failure]:
-        """Commit the open transaction together with its outcome."""
+        """Commit the open transaction and store its outcome with it."""
 
     @abc.abstractmethod
     def rollback(self) -> Result[None, Failure]:
@@ -182,36 +188,36 @@
     def resolve(
         self, key: OutcomeKey, term: int
     ) -> Result[StatementResult, Failure]:
-        """Return the kept outcome of a key, or abandon the key.
+        """Return the stored outcome of a key, or abandon the key.
 
-        Where no outcome is kept, a marker is written under the key in
-        the same transaction, so that a late request under it is refused
-        with ``NotRun``. The failure is then ``NotRun`` and the position
-        of the marker is the end of the log.
+        If there is no outcome, a marker is written under the key in the
+        same transaction, so that a delayed request with the key is
+        refused with ``NotRun``. The call then fails with ``NotRun``, and
+        the marker is the last record of the log.
         """
 
     @abc.abstractmethod
     def fence(self, term: int) -> Result[MemberStatus, Failure]:
-        """Make the member refuse every lower term from now on.
+        """Make the member refuse all lower terms from now on.
 
-        The member stops to lead and to follow lower terms. Fails with
-        ``StaleTerm`` where it is fenced at a higher term already, or at
-        the same term by an earlier promotion.
+        The member ceases to be primary or replica of a lower term. The
+        call fails with ``StaleTerm`` if the member is already fenced at
+        a higher term, or at the same term by an earlier promotion.
         """
 
     @abc.abstractmethod
     def promote(self, term: int) -> Result[MemberStatus, Failure]:
-        """Make the member the primary of a term it is fenced at.
+        """Make the member the primary of the term at which it is fenced.
 
-        It writes the first record of the term at once.
+        The member writes the first record of the term immediately.
         """
 
     @abc.abstractmethod
     def follow(self, term: int, primary: str) -> Result[MemberStatus, Failure]:
         """Make the member a replica of the primary of a term.
 
-        A member whose log is not a prefix of the primary's is rebuilt
-        before it serves a read or counts as a copy.
+        A member whose log is not a prefix of the primary's log is
+        rebuilt before it serves reads or acknowledges records.
         """
 
     @abc.abstractmethod
