--- a/packages/core/src/trefoilpulley_core/coordination/database.py
+++ b/packages/core/src/trefoilpulley_core/coordination/database.py
@@ -64,7 +64,7 @@
     stopped: frozenset[str] = frozenset()
     """Zones whose members are in a planned stop."""
 
-    poll_interval_s: float = 0.3
+    probe_interval_s: float = 0.3
     """Interval between probes of the same member, in seconds."""
 
     is_service_up: bool = True
@@ -126,7 +126,7 @@
             return BUSY_TICK_INTERVAL_S
         if self._probe_schedule.is_urgent:
             return ALERT_TICK_INTERVAL_S
-        tick_interval_s = self._context.poll_interval_s / TICKS_PER_PROBE
+        tick_interval_s = self._context.probe_interval_s / TICKS_PER_PROBE
         return min(
             max(tick_interval_s, ALERT_TICK_INTERVAL_S), MAX_TICK_INTERVAL_S
         )
@@ -142,7 +142,7 @@
     def on_tick(self, context: TickContext, now: float) -> Commands:
         """Probe members, update the verdict, advance pending operations."""
         self._update_context(context, now)
-        probes = self._probe_schedule.on_tick(context.poll_interval_s, now)
+        probes = self._probe_schedule.on_tick(context.probe_interval_s, now)
         self.verdict = self.detector.verdict(now)
         is_healthy = self.verdict is Verdict.HEALTHY
         has_contact_loss = self.detector.has_primary_contact_loss
@@ -325,10 +325,10 @@
         return (EditRecord(edit), notice)
 
     def _maintain_layout(self, now: float) -> Commands:
-        leader = self.detector.leader
+        primary = self.detector.primary
         out = self._replica_redirector.on_tick(self.detector, now)
-        if leader.term > self.record.term:
-            edit = RecordPrimary(self.database, leader.term, leader.member)
+        if primary.term > self.record.term:
+            edit = RecordPrimary(self.database, primary.term, primary.member)
             out += (EditRecord(edit),)
         above = self._highest_known_term
         if not has_grants(self.record, self.holder, above):
@@ -340,21 +340,21 @@
         return out + self._manage_handovers(now)
 
     def _manage_handovers(self, now: float) -> Commands:
-        leader = self.detector.leader
+        primary = self.detector.primary
         stopped = self._context.stopped
         orphan = self.record.handover
         if orphan is not None:
             edit = EndHandover(self.database, orphan.handover_id, True)
             return (EditRecord(edit),)
         if self.record.relapses:
-            if self._handover_policy.is_layout_stable(leader, stopped, now):
+            if self._handover_policy.is_layout_stable(primary, stopped, now):
                 return (EditRecord(ResetRelapses(self.database)),)
         target = self._handover_policy.choose_target(
             self.detector, self.record, stopped, now
         )
         if target is None:
             return ()
-        return self._begin_handover(leader.member, target, now)
+        return self._begin_handover(primary.member, target, now)
 
     def _begin_handover(
         self, source: str, target: str, now: float
--- a/packages/core/src/trefoilpulley_core/coordination/detection.py
+++ b/packages/core/src/trefoilpulley_core/coordination/detection.py
@@ -183,14 +183,14 @@
         return max((max(s.term, s.fenced_term) for s in statuses), default=0)
 
     @property
-    def leader(self) -> MemberStatus | None:
+    def primary(self) -> MemberStatus | None:
         """Status of the answering primary of the highest term."""
-        return _find_highest_leader(e.status for e in self.answering)
+        return _find_highest_primary(e.status for e in self.answering)
 
     @property
-    def last_leader(self) -> MemberStatus | None:
+    def last_primary(self) -> MemberStatus | None:
         """Status of the last known primary, even if it does not answer."""
-        return _find_highest_leader(
+        return _find_highest_primary(
             e.status for e in self.evidence.values() if e.status
         )
 
@@ -200,10 +200,10 @@
 
         Also true where no primary answers.
         """
-        leader = self.leader
-        if leader is None:
+        primary = self.primary
+        if primary is None:
             return True
-        heard_at = self.evidence[leader.member].answered_at
+        heard_at = self.evidence[primary.member].answered_at
         return any(
             e.answered_at > heard_at
             and e.contact_age_s >= PRIMARY_CONTACT_TIMEOUT_S
@@ -240,22 +240,22 @@
     def _evaluate(self) -> Verdict:
         if len(self.answering) < self._majority:
             return Verdict.CUT_OFF
-        leader = self.leader
-        if leader is None:
-            return self._evaluate_missing_leader()
-        if self.highest_term > leader.term:
-            return self._evaluate_higher_term(leader)
-        if self._count_connected(leader) < self._majority:
+        primary = self.primary
+        if primary is None:
+            return self._evaluate_missing_primary()
+        if self.highest_term > primary.term:
+            return self._evaluate_higher_term(primary)
+        if self._count_connected(primary) < self._majority:
             return Verdict.ISOLATED
         return Verdict.HEALTHY
 
-    def _evaluate_higher_term(self, leader: MemberStatus) -> Verdict:
-        known = self.last_leader
-        if known is not None and known.term > leader.term:
-            return self._evaluate_missing_leader()
+    def _evaluate_higher_term(self, primary: MemberStatus) -> Verdict:
+        known = self.last_primary
+        if known is not None and known.term > primary.term:
+            return self._evaluate_missing_primary()
         return Verdict.DISPUTED
 
-    def _evaluate_missing_leader(self) -> Verdict:
+    def _evaluate_missing_primary(self) -> Verdict:
         unreachable = self._unreachable
         if not unreachable:
             return Verdict.LEADERLESS
@@ -274,11 +274,11 @@
             return Verdict.SILENT
         return Verdict.UNREACHABLE
 
-    def _count_connected(self, leader: MemberStatus) -> int:
+    def _count_connected(self, primary: MemberStatus) -> int:
         cut_off = [
             e
             for e in self.answering
-            if e.status.member != leader.member
+            if e.status.member != primary.member
             and e.contact_age_s >= PRIMARY_CONTACT_TIMEOUT_S
         ]
         return len(self.evidence) - len(cut_off)
@@ -292,8 +292,8 @@
 }
 
 
-def _find_highest_leader(
+def _find_highest_primary(
     statuses: Iterable[MemberStatus],
 ) -> MemberStatus | None:
-    leaders = [s for s in statuses if s.is_primary]
-    return max(leaders, key=lambda s: s.term, default=None)
+    primaries = [s for s in statuses if s.is_primary]
+    return max(primaries, key=lambda s: s.term, default=None)
--- a/packages/core/src/trefoilpulley_core/coordination/follower_care.py
+++ b/packages/core/src/trefoilpulley_core/coordination/follower_care.py
@@ -40,14 +40,15 @@
 
     def on_tick(self, detector: FailureDetector, now: float) -> Commands:
         """Return the `FollowMember` calls that are due."""
-        leader = detector.leader
+        primary = detector.primary
         misdirected = [
             e.status.member
             for e in detector.answering
-            if e.status.member != leader.member and _is_misdirected(e, leader)
+            if e.status.member != primary.member
+            and _is_misdirected(e, primary)
         ]
         return tuple(
-            self._order(m, leader, now)
+            self._order(m, primary, now)
             for m in misdirected
             if self._is_due(m, now)
         )
@@ -57,20 +58,20 @@
         return ordered_at is None or now >= ordered_at + ORDER_RETRY_INTERVAL_S
 
     def _order(
-        self, member: str, leader: MemberStatus, now: float
+        self, member: str, primary: MemberStatus, now: float
     ) -> CallMember:
         self._ordered_at[member] = now
         return CallMember(
             self._database,
             member,
-            FollowMember(member, leader.term, leader.member),
+            FollowMember(member, primary.term, primary.member),
             ORDER_TIMEOUT_S,
             Purpose.REDIRECT,
         )
 
 
-def _is_misdirected(evidence: MemberEvidence, leader: MemberStatus) -> bool:
+def _is_misdirected(evidence: MemberEvidence, primary: MemberStatus) -> bool:
     status = evidence.status
-    if status.is_primary or status.term < leader.term:
+    if status.is_primary or status.term < primary.term:
         return True
     return evidence.contact_age_s >= MAX_CONTACT_AGE_S
--- a/packages/core/src/trefoilpulley_core/coordination/polling.py
+++ b/packages/core/src/trefoilpulley_core/coordination/polling.py
@@ -29,7 +29,7 @@
 """Time limit for the answer to a probe."""
 
 
-def poll_interval_s(member_count: int) -> float:
+def probe_interval_s(member_count: int) -> float:
     """Return the interval between probes of the same member, in seconds.
 
     Parameters
--- a/packages/core/src/trefoilpulley_core/coordination/return_policy.py
+++ b/packages/core/src/trefoilpulley_core/coordination/return_policy.py
@@ -42,7 +42,7 @@
 RELAPSE_RESET_S = 600.0
 """Time with the desired primary after which relapses are reset."""
 
-MAX_LEADER_POSITIONS = 64
+MAX_PRIMARY_POSITIONS = 64
 """Positions of the primary that are kept to estimate the lag."""
 
 
@@ -57,8 +57,8 @@
 
     def __init__(self, entry: DatabaseEntry) -> None:
         self._entry = entry
-        self._leader_positions: deque[tuple[float, Position]] = deque(
-            maxlen=MAX_LEADER_POSITIONS
+        self._primary_positions: deque[tuple[float, Position]] = deque(
+            maxlen=MAX_PRIMARY_POSITIONS
         )
         self._steady_since: dict[str, float] = {}
         self._stable_since: float | None = None
@@ -70,11 +70,11 @@
         return target in self._targets(source, stopped)
 
     def is_layout_stable(
-        self, leader: MemberStatus, stopped: frozenset[str], now: float
+        self, primary: MemberStatus, stopped: frozenset[str], now: float
     ) -> bool:
         """Return whether the desired primary has led long enough."""
         desired = desired_primary(self._entry, stopped).name
-        if leader.member != desired:
+        if primary.member != desired:
             self._stable_since = None
             return False
         if self._stable_since is None:
@@ -89,16 +89,16 @@
         now: float,
     ) -> str | None:
         """Return the target of a handover that is due, or ``None``."""
-        leader = detector.leader
-        self._record_leader_position(detector.evidence[leader.member])
-        hold_down_s = self._hold_down_s(leader.member, record, stopped)
-        targets = self._targets(leader.member, stopped)
-        max_lag_s = self._max_lag_s(leader.member, stopped)
+        primary = detector.primary
+        self._record_primary_position(detector.evidence[primary.member])
+        hold_down_s = self._hold_down_s(primary.member, record, stopped)
+        targets = self._targets(primary.member, stopped)
+        max_lag_s = self._max_lag_s(primary.member, stopped)
         steady = (
             name
             for name in targets
             if self._steady_duration_s(
-                detector.evidence[name], leader, max_lag_s, now
+                detector.evidence[name], primary, max_lag_s, now
             )
             >= hold_down_s
         )
@@ -147,32 +147,32 @@
             record.relapses, MAX_RETURN_DOUBLINGS
         )
 
-    def _record_leader_position(self, evidence: MemberEvidence) -> None:
+    def _record_primary_position(self, evidence: MemberEvidence) -> None:
         if (
-            not self._leader_positions
-            or self._leader_positions[-1][0] < evidence.answered_at
+            not self._primary_positions
+            or self._primary_positions[-1][0] < evidence.answered_at
         ):
-            self._leader_positions.append(
+            self._primary_positions.append(
                 (evidence.answered_at, evidence.status.history.last)
             )
 
     def _steady_duration_s(
         self,
         evidence: MemberEvidence,
-        leader: MemberStatus,
+        primary: MemberStatus,
         max_lag_s: float,
         now: float,
     ) -> float:
-        if not self._is_steady(evidence, leader, max_lag_s):
+        if not self._is_steady(evidence, primary, max_lag_s):
             if evidence.status is not None:
                 self._steady_since.pop(evidence.status.member, None)
             return -1.0
         return now - self._steady_since.setdefault(evidence.status.member, now)
 
     def _is_steady(
-        self, evidence: MemberEvidence, leader: MemberStatus, max_lag_s: float
+        self, evidence: MemberEvidence, primary: MemberStatus, max_lag_s: float
     ) -> bool:
-        if not evidence.is_answering or evidence.status.term != leader.term:
+        if not evidence.is_answering or evidence.status.term != primary.term:
             return False
         if evidence.status.primary_contact_age_ms is None:
             return False
@@ -187,5 +187,5 @@
         self, evidence: MemberEvidence, max_lag_s: float
     ) -> bool:
         limit = evidence.answered_at - max_lag_s
-        past = [p for at, p in self._leader_positions if at <= limit]
+        past = [p for at, p in self._primary_positions if at <= limit]
         return not past or evidence.status.history.last >= past[-1]
--- a/packages/standins/src/trefoilpulley_standins/measure/sizing.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/sizing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from trefoilpulley_core.coordination.polling import poll_interval_s
+from trefoilpulley_core.coordination.polling import probe_interval_s
 from trefoilpulley_core.coordination.shard import SHARDS_PER_ZONE
 from trefoilpulley_node.entry.views import REFRESHES_PER_S
 from trefoilpulley_node.pooler.age_prober import IDLE_INTERVAL_S
@@ -59,7 +59,7 @@
 DATABASES_A_SHARD = DATABASES / SHARDS
 """Databases of one shard."""
 
-POLL_INTERVAL_S = poll_interval_s(round(MEMBERS / SHARDS))
+POLL_INTERVAL_S = probe_interval_s(round(MEMBERS / SHARDS))
 """Time between two probes of a member by its coordinator."""
 
 PROBE_FRAMES_PER_S = 2 * MEMBERS / SHARDS / POLL_INTERVAL_S
