--- a/features/fakes/routing_trace.py
+++ b/features/fakes/routing_trace.py
@@ -180,11 +180,11 @@
 
     def _on_probe(self, line: dict[str, Any]) -> None:
         position = Position(*line['position'])
-        self._tracker.on_probe(line['sent_at'], position)
+        self._tracker.on_primary_probe(line['sent_at'], position)
 
     def _on_status(self, line: dict[str, Any]) -> None:
         position = Position(*line['position'])
-        self._tracker.on_replica(
+        self._tracker.on_replica_status(
             position, line['asked_at'], line['fenced_term']
         )
 
--- a/features/steps/limits_requests_steps.py
+++ b/features/steps/limits_requests_steps.py
@@ -202,7 +202,7 @@
     def make_proof(context: Any, term: int, n: int, t: int) -> None:
         """Take the primary's own answer."""
         context.proof = LeadershipProof(n)
-        context.proof.on_primary(term, term, float(t))
+        context.proof.on_primary_status(term, term, float(t))
 
     @staticmethod
     @when(
@@ -210,7 +210,7 @@
     )
     def answer(context: Any, name: str, t: int, f: int) -> None:
         """Take a replica's answer."""
-        context.proof.on_replica(name, f, float(t))
+        context.proof.on_replica_status(name, f, float(t))
 
     @staticmethod
     @then('it is not proven to lead')
--- a/features/steps/routing_trace_steps.py
+++ b/features/steps/routing_trace_steps.py
@@ -90,8 +90,8 @@
             loop.call_at(loop.now + rng.expovariate(rate), write)
 
         def probe() -> None:
-            tracker.on_probe(loop.now, group.position(0))
-            tracker.on_replica(group.position(1), loop.now, 1)
+            tracker.on_primary_probe(loop.now, group.position(0))
+            tracker.on_replica_status(group.position(1), loop.now, 1)
             loop.call_at(loop.now + 0.1, probe)
 
         def check() -> None:
--- a/packages/core/src/trefoilpulley_core/freshness.py
+++ b/packages/core/src/trefoilpulley_core/freshness.py
@@ -51,7 +51,7 @@
         self._asked_at: float | None = None
         self._lag_s = 0.0
 
-    def on_probe(self, sent_at: float, position: Position) -> None:
+    def on_primary_probe(self, sent_at: float, position: Position) -> None:
         """Process the primary's answer to a probe.
 
         Parameters
@@ -72,7 +72,7 @@
         if len(samples) > MAX_SAMPLES:
             self._drop_alternate_samples()
 
-    def on_replica(
+    def on_replica_status(
         self, position: Position, asked_at: float, fenced_term: int = 0
     ) -> None:
         """Process the replica's answer to a status request.
--- a/packages/core/src/trefoilpulley_core/leadership.py
+++ b/packages/core/src/trefoilpulley_core/leadership.py
@@ -26,7 +26,9 @@
         self._term = 0
         self._replicas: dict[str, float] = {}
 
-    def on_primary(self, term: int, fenced_term: int, asked_at: float) -> None:
+    def on_primary_status(
+        self, term: int, fenced_term: int, asked_at: float
+    ) -> None:
         """Process the primary's answer to a status request.
 
         Parameters
@@ -44,7 +46,7 @@
         if fenced_term <= term:
             self._primary_at = asked_at
 
-    def on_replica(
+    def on_replica_status(
         self, member: str, fenced_term: int, asked_at: float
     ) -> None:
         """Process a replica's answer to a status request."""
--- a/packages/node/src/trefoilpulley_node/pooler/age_prober.py
+++ b/packages/node/src/trefoilpulley_node/pooler/age_prober.py
@@ -106,7 +106,7 @@
         status = self._member.monitor.control(lambda link: link.status())
         if isinstance(status, Success):
             found = status.unwrap()
-            self._member.age.on_replica(
+            self._member.age.on_replica_status(
                 found.history.last, asked_at, found.fenced_term
             )
 
@@ -128,5 +128,5 @@
         status = self._member.monitor.status
         if status is not None and digest.term < status.term:
             return False
-        self._member.age.on_probe(sent_at, digest.last)
+        self._member.age.on_primary_probe(sent_at, digest.last)
         return True
--- a/packages/node/src/trefoilpulley_node/pooler/leadership_prover.py
+++ b/packages/node/src/trefoilpulley_node/pooler/leadership_prover.py
@@ -90,7 +90,7 @@
             self._proof.reset()
             return
         own = status.unwrap()
-        self._proof.on_primary(own.term, own.fenced_term, asked_at)
+        self._proof.on_primary_status(own.term, own.fenced_term, asked_at)
         asking = [gevent.spawn(self._ask, name) for name in self._others]
         needed = self._majority - 1
         for _ in gevent.iwait(asking, timeout=ROUND_TIMEOUT_S):
@@ -104,4 +104,6 @@
             name, GetStatus(name), ROUND_TIMEOUT_S
         ).value_or(None)
         if isinstance(reply, StatusReport):
-            self._proof.on_replica(name, reply.status.fenced_term, asked_at)
+            self._proof.on_replica_status(
+                name, reply.status.fenced_term, asked_at
+            )
--- a/packages/standins/src/trefoilpulley_standins/policy_pooler.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_pooler.py
@@ -113,9 +113,9 @@
             yield one_way_s
             position = self._group.position(0)
             yield one_way_s
-            self.age.on_probe(sent_at, position)
+            self.age.on_primary_probe(sent_at, position)
             held = self._group.position(self._number)
-            self.age.on_replica(held, self._loop.now, TERM)
+            self.age.on_replica_status(held, self._loop.now, TERM)
             yield PROBE_INTERVAL_S
 
     def read(
