--- a/packages/core/src/trefoilpulley_core/connection_budget.py
+++ b/packages/core/src/trefoilpulley_core/connection_budget.py
@@ -42,8 +42,8 @@
 
     A pooler uses at most half of the limit until the member has reported
     no connections of other poolers for some time. Between two reports
-    the pooler opens at most half of the free connections, so that two
-    poolers that start at the same time stay within the limit together.
+    the pooler opens at most half of the free connections. Two poolers
+    that start at the same time thus stay within the limit together.
 
     Parameters
     ----------
--- a/packages/core/src/trefoilpulley_core/coordination/detection.py
+++ b/packages/core/src/trefoilpulley_core/coordination/detection.py
@@ -27,10 +27,10 @@
 """
 
 UNREACHABLE_TIMEOUT_S = 3.0
-"""Time without a reachable primary before a promotion.
+"""Time without an answer of the primary before a promotion.
 
-Applies where the primary's pooler is unreachable too and replicas still
-hear from the primary.
+Applies if replicas still hear from the primary and its pooler does not
+report it unreachable.
 """
 
 ISOLATED_TIMEOUT_S = 1.0
--- a/packages/core/src/trefoilpulley_core/coordination/duty.py
+++ b/packages/core/src/trefoilpulley_core/coordination/duty.py
@@ -30,9 +30,9 @@
 """Interval between renewals of the lease."""
 
 READ_INTERVAL_S = 1.0
-"""Interval at which the holder and its first successor read a duty.
+"""Interval at which hosts of rank 0 and 1 read a duty that they lack.
 
-Later successors use a multiple of the interval.
+A host of a higher rank multiplies the interval by its rank.
 """
 
 CONFIRM_INTERVAL_S = 0.25
--- a/packages/core/src/trefoilpulley_core/coordination/edits.py
+++ b/packages/core/src/trefoilpulley_core/coordination/edits.py
@@ -113,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResetRelapses(RecordEdit):
-    """Resets the relapse count, which lengthens the hold-down."""
+    """Resets the number of relapses, and with it the hold-down."""
 
     def apply(self, record: DatabaseRecord) -> DatabaseRecord:
         """Return the record without relapses."""
--- a/packages/core/src/trefoilpulley_core/coordination/return_policy.py
+++ b/packages/core/src/trefoilpulley_core/coordination/return_policy.py
@@ -25,13 +25,13 @@
 """Hold-down of a handover away from a primary that is about to stop."""
 
 MAX_RETURN_DOUBLINGS = 6
-"""Relapses that double the hold-down of a return; more have no effect."""
+"""Most doublings of the hold-down of a return; each relapse adds one."""
 
 MAX_DEPARTURE_DOUBLINGS = 2
-"""Relapses that double the hold-down of a departure."""
+"""Most doublings of the hold-down of a departure."""
 
 MAX_PAUSE_DOUBLINGS = 3
-"""Relapses that double the pause of writes of a stopping primary."""
+"""Most doublings of the pause of writes before a planned stop."""
 
 MAX_RETURN_LAG_S = 0.3
 """Greatest lag of the home primary for a return."""
