--- a/packages/core/src/trefoilpulley_core/coordination/return_policy.py
+++ b/packages/core/src/trefoilpulley_core/coordination/return_policy.py
@@ -31,7 +31,7 @@
 """Most doublings of the hold-down of a departure."""
 
 MAX_PAUSE_DOUBLINGS = 3
-"""Most doublings of the pause of writes before a planned stop."""
+"""Most doublings of the pause of writes when the primary departs."""
 
 MAX_RETURN_LAG_S = 0.3
 """Greatest lag of the home primary for a return."""
