--- a/features/steps/limits_requests_steps.py
+++ b/features/steps/limits_requests_steps.py
@@ -12,7 +12,7 @@
 from features.fakes.routing_trace import CLASSES
 from features.fakes.routing_trace import make_targets
 from trefoilpulley_core.admission import Admission
-from trefoilpulley_core.failure import catalogue
+from trefoilpulley_core.failure import failures_by_code
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_core.leadership import LeadershipProof
 from trefoilpulley_core.retry_budget import RetryBudget
@@ -63,13 +63,13 @@
     @then('"{member}" has {count:d} retries saved')
     def check_saved(context: Any, member: str, count: int) -> None:
         """Compare what another upstream has."""
-        assert context.retries.saved(member) == count
+        assert context.retries.available_retries(member) == count
 
     @staticmethod
     @then('a {kind} request is {answer} after "{code}"')
     def check_retry(context: Any, kind: str, answer: str, code: str) -> None:
         """Ask for one retry."""
-        failure = catalogue()[code]()
+        failure = failures_by_code()[code]()
         is_allowed = context.retries.try_retry(
             'm/a', failure, kind == 'repeatable'
         )
@@ -191,7 +191,7 @@
         """Sort the classes by their strictness."""
         targets = make_targets()
         ordered = sorted(
-            (c.name for c in CLASSES), key=targets.strictness, reverse=True
+            (c.name for c in CLASSES), key=targets.priority, reverse=True
         )
         assert ordered == names.split(', '), ordered
 
@@ -202,7 +202,7 @@
     def make_proof(context: Any, term: int, n: int, t: int) -> None:
         """Take the primary's own answer."""
         context.proof = LeadershipProof(n)
-        context.proof.on_primary(term, term, float(t))
+        context.proof.on_primary_status(term, term, float(t))
 
     @staticmethod
     @when(
@@ -210,7 +210,7 @@
     )
     def answer(context: Any, name: str, t: int, f: int) -> None:
         """Take a replica's answer."""
-        context.proof.on_replica(name, f, float(t))
+        context.proof.on_replica_status(name, f, float(t))
 
     @staticmethod
     @then('it is not proven to lead')
--- a/packages/core/src/trefoilpulley_core/connection_pacer.py
+++ b/packages/core/src/trefoilpulley_core/connection_pacer.py
@@ -1,4 +1,4 @@
-"""Pace of new connections to one member."""
+"""Rate limit of new connections to one member."""
 
 from __future__ import annotations
 
@@ -8,62 +8,63 @@
     import random
 
 OPENS_PER_S = 20.0
-"""Connections opened a second in the long run."""
+"""Sustained rate of new connections, per second."""
 
-BURST_OPENS = 4.0
-"""Connections that may be opened at once after a quiet time."""
+MAX_BURST_OPENS = 4.0
+"""Connections that may be opened in a burst after an idle period."""
 
-OPENING_LIMIT = 2
-"""Connections that may be under way at once."""
+MAX_CONCURRENT_OPENS = 2
+"""Connections that may be opened concurrently."""
 
-JITTER_SHARE = 0.5
-"""Largest part by which a pause is lengthened at random."""
+JITTER_FACTOR = 0.5
+"""Largest random extension of a pause, as a fraction of the pause."""
 
 
-class ConnectionPacer:
-    """Spreads new connections by a token bucket with jitter.
+class ConnectionRateLimiter:
+    """Limits new connections by a token bucket with jitter.
 
     Parameters
     ----------
     rng : random.Random
-        Source of the jitter.
+        Random generator for the jitter.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._saved = BURST_OPENS
-        self._saved_at: float | None = None
+        self._tokens = MAX_BURST_OPENS
+        self._refilled_at: float | None = None
         self._opening = 0
 
     @property
     def opening(self) -> int:
-        """Connections under way."""
+        """Number of connections that are being opened."""
         return self._opening
 
     def try_open(self, now: float) -> float:
-        """Begin one connection, or return the pause before the next try.
+        """Reserve one new connection, or return the pause before a retry.
 
         Returns
         -------
         float
-            0 where the connection may be opened now, which `on_opened`
-            ends; otherwise a pause in seconds.
+            0 if the connection may be opened now; the caller must then
+            call `on_opened` at the end of the attempt. Otherwise the
+            pause in seconds.
         """
         self._refill(now)
-        if self._opening < OPENING_LIMIT and self._saved >= 1:
-            self._saved -= 1
+        if self._opening < MAX_CONCURRENT_OPENS and self._tokens >= 1:
+            self._tokens -= 1
             self._opening += 1
             return 0.0
-        missing = max(1 - self._saved, 0.5)
+        missing = max(1 - self._tokens, 0.5)
         pause_s = missing / OPENS_PER_S
-        return pause_s * (1 + JITTER_SHARE * self._rng.random())
+        return pause_s * (1 + JITTER_FACTOR * self._rng.random())
 
     def on_opened(self) -> None:
-        """Count a connection as opened or failed."""
+        """Record that a connection was opened or has failed."""
         self._opening = max(0, self._opening - 1)
 
     def _refill(self, now: float) -> None:
-        if self._saved_at is not None:
-            earned = (now - self._saved_at) * OPENS_PER_S
-            self._saved = min(BURST_OPENS, self._saved + max(0.0, earned))
-        self._saved_at = now
+        if self._refilled_at is not None:
+            added = (now - self._refilled_at) * OPENS_PER_S
+            self._tokens = min(MAX_BURST_OPENS, self._tokens + max(0.0, added))
+        self._refilled_at = now
--- a/packages/core/src/trefoilpulley_core/coordination/detection.py
+++ b/packages/core/src/trefoilpulley_core/coordination/detection.py
@@ -1,4 +1,4 @@
-"""Suspicion of a primary from the evidence of several members."""
+"""Detects the failure of a primary from the answers of all members."""
 
 from __future__ import annotations
 
@@ -12,60 +12,71 @@
     from trefoilpulley_core.catalog import DatabaseEntry
     from trefoilpulley_core.upstream import MemberStatus
 
-SILENCE_S = 0.4
-"""Time without the primary after which a replica counts as cut off."""
+PRIMARY_CONTACT_TIMEOUT_S = 0.4
+"""Age of a replica's last contact above which it has lost the primary."""
 
-LEADERLESS_S = 0.3
-"""Time without any leader before a promotion, where none is silent."""
+LEADERLESS_TIMEOUT_S = 0.3
+"""Time without a primary before a promotion, while all members answer."""
 
-WITNESSED_S = 1.0
-"""Time for which a pooler reports a primary unreachable that replicas
-still hear, before a promotion. It counts while a majority answers."""
+POOLER_REPORT_TIMEOUT_S = 1.0
+"""Time for which poolers must report a primary unreachable.
 
-UNREACHABLE_S = 3.0
-"""The same where the primary's pooler cannot be reached either."""
+A promotion begins after this time even though replicas still hear from
+the primary. Only time during which a majority of the members answers
+counts.
+"""
 
-ISOLATED_S = 1.0
-"""Time for which a reachable primary lacks a majority of replicas."""
+UNREACHABLE_TIMEOUT_S = 3.0
+"""Time without an answer of the primary before a promotion.
 
-DISPUTED_S = 1.0
-"""Time for which members refuse the primary's term."""
+Applies if replicas still hear from the primary and its pooler does not
+report it unreachable.
+"""
+
+ISOLATED_TIMEOUT_S = 1.0
+"""Time for which a primary must lack a majority before a promotion."""
+
+DISPUTED_TIMEOUT_S = 1.0
+"""Time for which members must refuse the primary's term.
+
+A promotion begins after this time.
+"""
 
 
 class Verdict(StrEnum):
-    """What the evidence says of the primary."""
+    """State of the primary, derived from the members' answers."""
 
     HEALTHY = 'healthy'
-    """A primary leads and nothing speaks against it."""
+    """The primary answers, and there is no evidence against it."""
 
     SUSPECT = 'suspect'
-    """Something speaks against the primary; more evidence is needed."""
+    """The primary may have failed; the evidence is not sufficient yet."""
 
     CUT_OFF = 'cut-off'
-    """The observer reaches no majority and decides nothing."""
+    """This coordinator reaches no majority and must not act."""
 
     SILENT = 'silent'
-    """Neither the observer nor a majority hears from the primary."""
+    """Neither this coordinator nor a majority hears from the primary."""
 
     UNREACHABLE = 'unreachable'
-    """Nobody can reach the primary through its pooler."""
+    """The primary does not answer, but a replica may still hear from it."""
 
     LEADERLESS = 'leaderless'
-    """No member leads."""
+    """All members answer, and none of them is the primary."""
 
     ISOLATED = 'isolated'
-    """The primary reaches too few replicas to acknowledge a write."""
+    """The primary has contact to too few replicas to acknowledge a write."""
 
     DISPUTED = 'disputed'
-    """Members refuse the primary's term."""
+    """Members know a higher term and refuse the primary's."""
 
     @property
     def is_lost(self) -> bool:
-        """Whether another term must begin."""
-        return self in _LOST
+        """Whether a new term must begin."""
+        return self in _LOST_VERDICTS
 
 
-_LOST = frozenset(
+_LOST_VERDICTS = frozenset(
     (
         Verdict.SILENT,
         Verdict.UNREACHABLE,
@@ -77,20 +88,20 @@
 
 
 @dataclass(slots=True)
-class MemberWatch:
-    """Evidence about one member."""
+class MemberEvidence:
+    """Results of the probes of one member."""
 
     status: MemberStatus | None = None
-    """Last status heard."""
+    """Last status that the member returned, or ``None``."""
 
     answered_at: float = 0.0
-    """Time at which the last answered probe left, in seconds."""
+    """Monotonic time at which the last answered probe was sent."""
 
     failed_at: float | None = None
-    """Time at which the first failed probe since then left."""
+    """Time of the first failed probe after the last answered one."""
 
-    witnessed_at: float | None = None
-    """Time since which the pooler itself reports the member away."""
+    pooler_report_since: float | None = None
+    """Time since which the pooler reports the member unreachable."""
 
     @property
     def is_answering(self) -> bool:
@@ -99,162 +110,190 @@
 
     @property
     def contact_age_s(self) -> float:
-        """Time without the primary when the member last answered.
+        """Age of the member's contact to the primary, in seconds.
 
-        Time that has passed since then says nothing of the primary.
+        The age at the member's last answer; the time since that answer
+        is not added, because the member may have heard from the primary
+        in the meantime.
         """
         age_ms = self.status.primary_contact_age_ms
         return float('inf') if age_ms is None else age_ms / 1000
 
 
-class Detector:
-    """Weighs the evidence about the members of one database.
+class FailureDetector:
+    """Derives a verdict on the primary from probes of all members.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     """
 
     def __init__(self, entry: DatabaseEntry) -> None:
         self._majority = entry.majority
-        self.watches = {m.name: MemberWatch() for m in entry.members}
-        """Evidence by the name of the member."""
+        self.evidence = {m.name: MemberEvidence() for m in entry.members}
+        """Probe results by the name of the member."""
 
-        self._since: dict[Verdict, float] = {}
+        self._verdict_since: dict[Verdict, float] = {}
 
     def on_status(self, status: MemberStatus, sent_at: float) -> None:
-        """Take a member's answer."""
-        watch = self.watches[status.member]
-        if watch.status is not None and sent_at < watch.answered_at:
+        """Record the status that a member returned."""
+        evidence = self.evidence[status.member]
+        if evidence.status is not None and sent_at < evidence.answered_at:
             return
-        watch.status = status
-        watch.answered_at = sent_at
-        watch.failed_at = None
-        watch.witnessed_at = None
+        evidence.status = status
+        evidence.answered_at = sent_at
+        evidence.failed_at = None
+        evidence.pooler_report_since = None
 
-    def on_silence(
-        self, member: str, sent_at: float, is_witnessed: bool
+    def on_probe_failed(
+        self, member: str, sent_at: float, is_pooler_report: bool
     ) -> None:
-        """Take a probe that went unanswered."""
-        watch = self.watches[member]
-        if sent_at < watch.answered_at:
+        """Record a failed probe.
+
+        Parameters
+        ----------
+        member : str
+            Name of the member.
+        sent_at : float
+            Monotonic time at which the probe was sent, in seconds.
+        is_pooler_report : bool
+            Whether the member's pooler answered and reported the member
+            unreachable.
+        """
+        evidence = self.evidence[member]
+        if sent_at < evidence.answered_at:
             return
-        if watch.failed_at is None:
-            watch.failed_at = sent_at
-        if not is_witnessed:
-            watch.witnessed_at = None
-        elif watch.witnessed_at is None:
-            watch.witnessed_at = sent_at
+        if evidence.failed_at is None:
+            evidence.failed_at = sent_at
+        if not is_pooler_report:
+            evidence.pooler_report_since = None
+        elif evidence.pooler_report_since is None:
+            evidence.pooler_report_since = sent_at
 
     @property
-    def answering(self) -> list[MemberWatch]:
+    def answering(self) -> list[MemberEvidence]:
         """Members whose last probe was answered."""
-        return [w for w in self.watches.values() if w.is_answering]
+        return [e for e in self.evidence.values() if e.is_answering]
 
     @property
     def highest_term(self) -> int:
-        """Highest term that any member was heard to know."""
-        statuses = [w.status for w in self.watches.values() if w.status]
+        """Highest term in any status received so far."""
+        statuses = [e.status for e in self.evidence.values() if e.status]
         return max((max(s.term, s.fenced_term) for s in statuses), default=0)
 
     @property
-    def leader(self) -> MemberStatus | None:
-        """Answering member that leads the highest term."""
-        return _highest(w.status for w in self.answering)
+    def primary(self) -> MemberStatus | None:
+        """Status of the answering primary of the highest term."""
+        return _find_highest_primary(e.status for e in self.answering)
 
     @property
-    def last_leader(self) -> MemberStatus | None:
-        """Member last heard to lead the highest term, answering or not."""
-        return _highest(w.status for w in self.watches.values() if w.status)
+    def last_primary(self) -> MemberStatus | None:
+        """Status of the last known primary, even if it does not answer."""
+        return _find_highest_primary(
+            e.status for e in self.evidence.values() if e.status
+        )
 
     @property
-    def has_newer_doubt(self) -> bool:
-        """Whether a replica has lost the leader since it answered."""
-        leader = self.leader
-        if leader is None:
+    def has_primary_contact_loss(self) -> bool:
+        """Whether a replica has lost the primary since its last answer.
+
+        Also true where no primary answers.
+        """
+        primary = self.primary
+        if primary is None:
             return True
-        heard_at = self.watches[leader.member].answered_at
+        heard_at = self.evidence[primary.member].answered_at
         return any(
-            w.answered_at > heard_at and w.contact_age_s >= SILENCE_S
-            for w in self.answering
+            e.answered_at > heard_at
+            and e.contact_age_s >= PRIMARY_CONTACT_TIMEOUT_S
+            for e in self.answering
         )
 
     def verdict(self, now: float) -> Verdict:
-        """Return what the evidence says at a time."""
-        raw = self._weigh()
-        if raw not in _PATIENCE_S:
-            self._since.clear()
-            return raw
-        since = self._since.setdefault(raw, now)
-        is_due = now - since >= _PATIENCE_S[raw]
-        if raw is Verdict.UNREACHABLE and self._is_witnessed(since, now):
+        """Return the state of the primary at a monotonic time."""
+        current = self._evaluate()
+        if current not in _VERDICT_TIMEOUTS_S:
+            self._verdict_since.clear()
+            return current
+        since = self._verdict_since.setdefault(current, now)
+        is_due = now - since >= _VERDICT_TIMEOUTS_S[current]
+        if current is Verdict.UNREACHABLE and self._is_confirmed_by_poolers(
+            since, now
+        ):
             is_due = True
-        return raw if is_due else Verdict.SUSPECT
-
-    def _is_witnessed(self, since: float, now: float) -> bool:
-        witnessed = [
-            w.witnessed_at is not None
-            and now - max(since, w.witnessed_at) >= WITNESSED_S
-            for w in self._away
+        return current if is_due else Verdict.SUSPECT
+
+    def _is_confirmed_by_poolers(self, since: float, now: float) -> bool:
+        reports = [
+            e.pooler_report_since is not None
+            and now - max(since, e.pooler_report_since)
+            >= POOLER_REPORT_TIMEOUT_S
+            for e in self._unreachable
         ]
-        return all(witnessed)
+        return all(reports)
 
     @property
-    def _away(self) -> list[MemberWatch]:
-        return [w for w in self.watches.values() if not w.is_answering]
+    def _unreachable(self) -> list[MemberEvidence]:
+        return [e for e in self.evidence.values() if not e.is_answering]
 
-    def _weigh(self) -> Verdict:
+    def _evaluate(self) -> Verdict:
         if len(self.answering) < self._majority:
             return Verdict.CUT_OFF
-        leader = self.leader
-        if leader is None:
-            return self._weigh_absence()
-        if self.highest_term > leader.term:
-            return self._weigh_higher_term(leader)
-        if self._reach_of(leader) < self._majority:
+        primary = self.primary
+        if primary is None:
+            return self._evaluate_missing_primary()
+        if self.highest_term > primary.term:
+            return self._evaluate_higher_term(primary)
+        if self._count_connected(primary) < self._majority:
             return Verdict.ISOLATED
         return Verdict.HEALTHY
 
-    def _weigh_higher_term(self, leader: MemberStatus) -> Verdict:
-        known = self.last_leader
-        if known is not None and known.term > leader.term:
-            return self._weigh_absence()
+    def _evaluate_higher_term(self, primary: MemberStatus) -> Verdict:
+        known = self.last_primary
+        if known is not None and known.term > primary.term:
+            return self._evaluate_missing_primary()
         return Verdict.DISPUTED
 
-    def _weigh_absence(self) -> Verdict:
-        away = self._away
-        if not away:
+    def _evaluate_missing_primary(self) -> Verdict:
+        unreachable = self._unreachable
+        if not unreachable:
             return Verdict.LEADERLESS
-        if any(w.failed_at is None for w in away):
+        if any(e.failed_at is None for e in unreachable):
             return Verdict.SUSPECT
-        # An observer that is cut off itself misses its answers one by
-        # one: those from before the first loss prove no majority.
-        first_failed_at = min(w.failed_at for w in away)
-        if any(w.answered_at < first_failed_at for w in self.answering):
+        # When this coordinator itself is cut off, its probes fail one
+        # after another. Answers from before the first failed probe thus
+        # don't prove that a majority is reachable now.
+        first_failed_at = min(e.failed_at for e in unreachable)
+        if any(e.answered_at < first_failed_at for e in self.answering):
             return Verdict.SUSPECT
-        if all(w.contact_age_s >= SILENCE_S for w in self.answering):
+        if all(
+            e.contact_age_s >= PRIMARY_CONTACT_TIMEOUT_S
+            for e in self.answering
+        ):
             return Verdict.SILENT
         return Verdict.UNREACHABLE
 
-    def _reach_of(self, leader: MemberStatus) -> int:
+    def _count_connected(self, primary: MemberStatus) -> int:
         cut_off = [
-            w
-            for w in self.answering
-            if w.status.member != leader.member
-            and w.contact_age_s >= SILENCE_S
+            e
+            for e in self.answering
+            if e.status.member != primary.member
+            and e.contact_age_s >= PRIMARY_CONTACT_TIMEOUT_S
         ]
-        return len(self.watches) - len(cut_off)
+        return len(self.evidence) - len(cut_off)
 
 
-_PATIENCE_S = {
-    Verdict.ISOLATED: ISOLATED_S,
-    Verdict.DISPUTED: DISPUTED_S,
-    Verdict.LEADERLESS: LEADERLESS_S,
-    Verdict.UNREACHABLE: UNREACHABLE_S,
+_VERDICT_TIMEOUTS_S = {
+    Verdict.ISOLATED: ISOLATED_TIMEOUT_S,
+    Verdict.DISPUTED: DISPUTED_TIMEOUT_S,
+    Verdict.LEADERLESS: LEADERLESS_TIMEOUT_S,
+    Verdict.UNREACHABLE: UNREACHABLE_TIMEOUT_S,
 }
 
 
-def _highest(statuses: Iterable[MemberStatus]) -> MemberStatus | None:
-    leaders = [s for s in statuses if s.is_primary]
-    return max(leaders, key=lambda s: s.term, default=None)
+def _find_highest_primary(
+    statuses: Iterable[MemberStatus],
+) -> MemberStatus | None:
+    primaries = [s for s in statuses if s.is_primary]
+    return max(primaries, key=lambda s: s.term, default=None)
--- a/packages/core/src/trefoilpulley_core/coordination/duty.py
+++ b/packages/core/src/trefoilpulley_core/coordination/duty.py
@@ -1,9 +1,12 @@
-"""Which process coordinates a shard.
-
-The duty is a key bound to a lease. While the service is out nobody can
-take a lease, so the last known holder goes on, or where it is gone the
-first live host in the order of succession. Two processes that both
-believe to have the duty do no harm: each uses terms of its own.
+"""Elects the process that coordinates a shard.
+
+The duty of a shard is the right to coordinate its databases. A process
+has the duty while it owns the shard's key in the platform's service,
+which is bound to the process's lease. During an outage of the service
+no lease can be granted, so the last known holder continues; if its host
+is down, the first live host in the order of succession takes over.
+Two processes that both act on the same duty are safe, because each
+process uses only terms that were granted to it.
 """
 
 from __future__ import annotations
@@ -21,123 +24,133 @@
     from trefoilpulley_core.catalog import HostEntry
 
 LEASE_TTL_S = 3
-"""Time to live of a host's lease."""
+"""Time to live of a process's lease."""
 
 RENEW_S = 1.0
-"""Time between two renewals."""
+"""Interval between renewals of the lease."""
+
+READ_INTERVAL_S = 1.0
+"""Interval at which hosts of rank 0 and 1 read a duty that they lack.
 
-READ_S = 1.0
-"""Time between two reads of a duty by its first successors."""
+A host of a higher rank multiplies the interval by its rank.
+"""
 
-CONFIRM_S = 0.25
-"""Time between two reads of a duty that was found free."""
+CONFIRM_INTERVAL_S = 0.25
+"""Interval between reads of a duty after a read found no holder."""
 
-RETRY_S = 0.5
-"""Time between two attempts to get a lease."""
+LEASE_RETRY_INTERVAL_S = 0.5
+"""Delay before the next attempt after a lease call went unanswered."""
 
-OUTAGE_S = 2.0
-"""Time without an answer after which the service counts as out."""
+OUTAGE_TIMEOUT_S = 2.0
+"""Time without an answer after which a service outage is assumed."""
 
-EVIDENCE_S = 3.0
-"""Age above which a failed call says nothing of the present."""
+MAX_FAILURE_AGE_S = 3.0
+"""Age above which a failed call is no evidence of a present outage."""
 
-RELEASE_WAIT_S = 5.0
-"""Time for which a host leaves a duty to others that it gave back."""
+REACQUIRE_DELAY_S = 5.0
+"""Time before a process reads a duty again that it has released.
 
-RELEASE_S = 300.0
-"""Time for which another host must be first before it gets the duty."""
+Leaves time for the process of a higher ranked host to acquire the duty.
+"""
 
-RELEASE_AT_HOME_S = 5.0
-"""The same for a holder in the zone of the shard's home primaries.
+RELEASE_DELAY_S = 300.0
+"""Time for which another host must rank first before a release."""
 
-A zone that fails would take primary and coordinator at once, and the
-promotion would wait for the lease to lapse.
+HOME_ZONE_RELEASE_DELAY_S = 5.0
+"""Release delay of a holder in the zone of the shard's home primaries.
+
+The delay is shorter because a failure of that zone would stop primary
+and coordinator together, and a promotion would have to wait for the
+lease to expire.
 """
 
 
 @dataclass(frozen=True, slots=True)
 class GrantLease:
-    """Asks for a lease."""
+    """Command to request a lease."""
 
     ttl_s: int
-    """Time to live."""
+    """Time to live, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeepAlive:
-    """Renews the lease."""
+    """Command to renew the lease."""
 
     lease_id: int
-    """Lease."""
+    """Identifier of the lease."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadDuty:
-    """Reads who has a duty."""
+    """Command to read the holder of a duty."""
 
     shard: int
     """Number of the shard."""
 
 
 @dataclass(frozen=True, slots=True)
-class TakeDuty:
-    """Takes a duty that nobody has."""
+class AcquireDuty:
+    """Command to acquire a duty without a holder."""
 
     shard: int
     """Number of the shard."""
 
     lease_id: int
-    """Lease to bind it to."""
+    """Lease that the duty's key is bound to."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseDuty:
-    """Gives a duty back."""
+    """Command to release a duty."""
 
     shard: int
     """Number of the shard."""
 
     revision: int
-    """Revision at which it was taken."""
+    """Revision at which the duty was acquired."""
 
 
-DutyCommand = GrantLease | KeepAlive | ReadDuty | TakeDuty | ReleaseDuty
-"""Call to the platform's service."""
+DutyCommand = GrantLease | KeepAlive | ReadDuty | AcquireDuty | ReleaseDuty
+"""Call to the platform's service about a lease or a duty."""
 
 
 @dataclass(slots=True)
 class DutyView:
-    """What this process knows of one duty."""
+    """Local state of one duty."""
 
     holder: str = ''
-    """Process last known to have it; empty for none."""
+    """Last known holder; empty where none is known."""
 
     revision: int = 0
-    """Revision at which this process took it; 0 where it did not."""
+    """Revision at which this process acquired the duty, or 0."""
 
     is_pending: bool = False
-    """Whether a call about it runs."""
+    """Whether a call about the duty is in flight."""
 
     read_at: float = float('-inf')
-    """Time of the last call, in seconds."""
+    """Monotonic time of the last call, in seconds.
+
+    Lies in the future after a release.
+    """
 
-    absences: int = 0
-    """Reads in a row that found no holder."""
+    vacant_reads: int = 0
+    """Number of consecutive reads that found no holder."""
 
     outranked_since: float | None = None
-    """Time since which another host comes first."""
+    """Time since which another host ranks first, or ``None``."""
 
-    is_standing_in: bool = False
-    """Whether this process has acted in the present outage."""
+    is_outage_coordinator: bool = False
+    """Whether this process coordinates the shard in the present outage."""
 
 
 class Duty:
-    """Duties of one process.
+    """Lease and duties of one process.
 
     Parameters
     ----------
     holder : str
-        Name of the process: host and incarnation.
+        Name of the process, made of its host and incarnation.
     """
 
     def __init__(self, holder: str) -> None:
@@ -152,35 +165,37 @@
         self._hosts: Sequence[HostEntry] = ()
         self._live: frozenset[str] = frozenset()
         self.succession = Succession()
-        """Order in which hosts take each duty."""
+        """Order in which the hosts take over each duty."""
 
         self.views: dict[int, DutyView] = {}
-        """What is known of the duties of interest, by shard."""
+        """State by shard, for duties that this host may hold."""
 
     @property
     def is_service_up(self) -> bool:
-        """Whether the last call was answered."""
+        """Whether the platform's service answered the last call."""
         return self._answered_at >= self._failed_at
 
     @property
     def lease_id(self) -> int:
-        """Lease of this process, or 0."""
+        """Identifier of this process's lease, or 0."""
         return self._lease_id
 
     def lease_left_s(self, now: float) -> float:
-        """Return the time for which the lease holds, 0 without one."""
+        """Return the remaining validity of the lease, in seconds."""
         return max(0.0, self._lease_until - now)
 
     def may_act(self, shard: int, now: float) -> bool:
-        """Return whether this process coordinates a shard now."""
+        """Return whether this process may coordinate a shard now."""
         view = self.views.get(shard)
         if view is None:
             return False
         if view.revision and now < self._lease_until:
             return True
-        if not self._is_outage(now):
+        if not self._is_service_out(now):
             return False
-        return view.is_standing_in or self._stands_in(shard, view)
+        return view.is_outage_coordinator or self._elect_outage_coordinator(
+            shard, view
+        )
 
     def on_tick(
         self,
@@ -188,21 +203,21 @@
         databases: Sequence[DatabaseEntry],
         now: float,
     ) -> tuple[DutyCommand, ...]:
-        """Return the calls that are due."""
+        """Return the calls to the platform's service that are due."""
         if hosts is not self._hosts:
             self._hosts = hosts
             self._live = frozenset(h.name for h in hosts)
         self.succession.update(hosts, databases)
-        self._take_interest()
+        self._update_views()
         if self.is_service_up:
             self._end_outage()
-        out = self._tend_lease(now)
+        out = self._maintain_lease(now)
         for shard, view in self.views.items():
-            out += self._tend(shard, view, now)
+            out += self._maintain_duty(shard, view, now)
         return out
 
     def on_lease(self, lease_id: int, ttl_s: float, sent_at: float) -> None:
-        """Take a granted or renewed lease."""
+        """Process a granted or renewed lease."""
         self.on_answer(sent_at)
         self._is_leasing = False
         self._lease_id = lease_id
@@ -210,7 +225,7 @@
         self._lease_until = sent_at + ttl_s
 
     def on_lease_lost(self, sent_at: float) -> None:
-        """Give up every duty, since the lease has lapsed."""
+        """Drop the lease and every duty after the lease has expired."""
         self.on_answer(sent_at)
         self._is_leasing = False
         self._lease_id = 0
@@ -219,10 +234,10 @@
             view.revision = 0
 
     def on_lease_failed(self, sent_at: float, now: float) -> None:
-        """Take a call for a lease that went unanswered."""
+        """Process a lease call that was not answered."""
         self.on_failure(sent_at, now)
         self._is_leasing = False
-        self._renewed_at = now - RENEW_S + RETRY_S
+        self._renewed_at = now - RENEW_S + LEASE_RETRY_INTERVAL_S
 
     def on_read(
         self,
@@ -232,25 +247,51 @@
         revision: int,
         sent_at: float,
     ) -> None:
-        """Take the present holder of a duty; empty for none."""
+        """Process the result of `ReadDuty`.
+
+        Parameters
+        ----------
+        shard : int
+            Number of the shard.
+        holder : str
+            Current holder; empty where there is none.
+        lease_id : int
+            Lease that the duty's key is bound to.
+        revision : int
+            Revision of the duty's key.
+        sent_at : float
+            Monotonic time at which the call was sent, in seconds.
+        """
         self.on_answer(sent_at)
         view = self.views.get(shard)
         if view is None:
             return
         view.is_pending = False
         view.holder = holder or view.holder
-        view.absences = 0 if holder else view.absences + 1
+        view.vacant_reads = 0 if holder else view.vacant_reads + 1
         is_own = holder == self._holder and lease_id == self._lease_id
         view.revision = revision if is_own else 0
 
-    def on_taken(self, shard: int, revision: int, sent_at: float) -> None:
-        """Take the success of `TakeDuty`."""
+    def on_acquired(self, shard: int, revision: int, sent_at: float) -> None:
+        """Process the success of `AcquireDuty`."""
         self.on_read(shard, self._holder, self._lease_id, revision, sent_at)
 
     def on_call_failed(
         self, shard: int, sent_at: float, is_answer: bool, now: float
     ) -> None:
-        """Take a failed call about a duty; it is read again."""
+        """Process a failed call about a duty, which is then read again.
+
+        Parameters
+        ----------
+        shard : int
+            Number of the shard.
+        sent_at : float
+            Monotonic time at which the call was sent, in seconds.
+        is_answer : bool
+            Whether the service answered the call with an error.
+        now : float
+            Monotonic time in seconds.
+        """
         if is_answer:
             self.on_answer(sent_at)
         else:
@@ -260,15 +301,15 @@
             view.is_pending = False
 
     def on_answer(self, sent_at: float) -> None:
-        """Note that the service has answered a call."""
+        """Record that the service answered a call."""
         self._answered_at = max(self._answered_at, sent_at)
 
     def on_failure(self, sent_at: float, now: float) -> None:
-        """Note that the service has not answered a call."""
+        """Record that the service did not answer a call."""
         if sent_at >= self._answered_at:
             self._failed_at = now
 
-    def _take_interest(self) -> None:
+    def _update_views(self) -> None:
         wanted = self.succession.shards_of(self._host)
         for shard in wanted - self.views.keys():
             self.views[shard] = DutyView()
@@ -278,22 +319,22 @@
 
     def _end_outage(self) -> None:
         for view in self.views.values():
-            view.is_standing_in = False
+            view.is_outage_coordinator = False
 
-    def _is_outage(self, now: float) -> bool:
-        if self.is_service_up or now - self._failed_at > EVIDENCE_S:
+    def _is_service_out(self, now: float) -> bool:
+        if self.is_service_up or now - self._failed_at > MAX_FAILURE_AGE_S:
             return False
-        return now - self._answered_at >= OUTAGE_S
+        return now - self._answered_at >= OUTAGE_TIMEOUT_S
 
-    def _stands_in(self, shard: int, view: DutyView) -> bool:
+    def _elect_outage_coordinator(self, shard: int, view: DutyView) -> bool:
         host = host_of(view.holder)
         if host not in self._live:
             ranked = self.succession.ranking(shard)
             host = next((h for h in ranked if h in self._live), '')
-        view.is_standing_in = host == self._host
-        return view.is_standing_in
+        view.is_outage_coordinator = host == self._host
+        return view.is_outage_coordinator
 
-    def _tend_lease(self, now: float) -> tuple[DutyCommand, ...]:
+    def _maintain_lease(self, now: float) -> tuple[DutyCommand, ...]:
         if self._is_leasing or now < self._renewed_at + RENEW_S:
             return ()
         if self._lease_id:
@@ -304,21 +345,21 @@
         self._is_leasing = True
         return (GrantLease(LEASE_TTL_S),)
 
-    def _tend(
+    def _maintain_duty(
         self, shard: int, view: DutyView, now: float
     ) -> tuple[DutyCommand, ...]:
         if view.is_pending:
             return ()
         if view.revision:
-            return self._tend_held(shard, view, now)
+            return self._maintain_held_duty(shard, view, now)
         if self._is_claimable(shard, view) and now < self._lease_until:
-            view.absences = 0
-            return self._call(view, TakeDuty(shard, self._lease_id), now)
+            view.vacant_reads = 0
+            return self._call(view, AcquireDuty(shard, self._lease_id), now)
         if now < view.read_at + self._read_interval_s(shard, view):
             return ()
         return self._call(view, ReadDuty(shard), now)
 
-    def _tend_held(
+    def _maintain_held_duty(
         self, shard: int, view: DutyView, now: float
     ) -> tuple[DutyCommand, ...]:
         if self.succession.rank(shard, self._host) == 0:
@@ -326,18 +367,18 @@
             return ()
         if view.outranked_since is None:
             view.outranked_since = now
-        if now - view.outranked_since < self._release_s(shard):
+        if now - view.outranked_since < self._release_delay_s(shard):
             return ()
         revision, view.revision = view.revision, 0
         view.outranked_since = None
         out = self._call(view, ReleaseDuty(shard, revision), now)
-        view.read_at = now + RELEASE_WAIT_S
+        view.read_at = now + REACQUIRE_DELAY_S
         return out
 
-    def _release_s(self, shard: int) -> float:
-        if self.succession.is_at_home(shard, self._host):
-            return RELEASE_AT_HOME_S
-        return RELEASE_S
+    def _release_delay_s(self, shard: int) -> float:
+        if self.succession.is_in_home_zone(shard, self._host):
+            return HOME_ZONE_RELEASE_DELAY_S
+        return RELEASE_DELAY_S
 
     def _call(
         self, view: DutyView, command: DutyCommand, now: float
@@ -347,9 +388,11 @@
         return (command,)
 
     def _is_claimable(self, shard: int, view: DutyView) -> bool:
-        return view.absences > self.succession.rank(shard, self._host)
+        return view.vacant_reads > self.succession.rank(shard, self._host)
 
     def _read_interval_s(self, shard: int, view: DutyView) -> float:
-        if view.absences:
-            return CONFIRM_S
-        return READ_S * max(1, self.succession.rank(shard, self._host))
+        if view.vacant_reads:
+            return CONFIRM_INTERVAL_S
+        return READ_INTERVAL_S * max(
+            1, self.succession.rank(shard, self._host)
+        )
--- a/packages/core/src/trefoilpulley_core/coordination/follower_care.py
+++ b/packages/core/src/trefoilpulley_core/coordination/follower_care.py
@@ -1,4 +1,4 @@
-"""Tells members that do not follow the primary to do so."""
+"""Orders members that don't follow the primary to follow it."""
 
 from __future__ import annotations
 
@@ -11,64 +11,67 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.catalog import DatabaseEntry
     from trefoilpulley_core.coordination.commands import Commands
-    from trefoilpulley_core.coordination.detection import Detector
-    from trefoilpulley_core.coordination.detection import MemberWatch
+    from trefoilpulley_core.coordination.detection import FailureDetector
+    from trefoilpulley_core.coordination.detection import MemberEvidence
     from trefoilpulley_core.upstream import MemberStatus
 
-REPEAT_S = 1.0
-"""Time between two orders to the same member."""
+ORDER_RETRY_INTERVAL_S = 1.0
+"""Interval between orders to the same member."""
 
-LOST_CONTACT_S = 1.0
-"""Time without the primary after which a replica is told again."""
+MAX_CONTACT_AGE_S = 1.0
+"""Age of the last contact to the primary that triggers an order."""
 
-CARE_TIMEOUT_S = 1.0
-"""Longest wait for the reply to an order."""
+ORDER_TIMEOUT_S = 1.0
+"""Time limit for the reply to an order."""
 
 
-class FollowerCare:
-    """Keeps the replicas of one database on its primary.
+class ReplicaRedirector:
+    """Makes the members of one database follow its primary.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     """
 
     def __init__(self, entry: DatabaseEntry) -> None:
         self._database = entry.name
-        self._told_at: dict[str, float] = {}
-
-    def on_tick(self, detector: Detector, now: float) -> Commands:
-        """Return the orders that are due."""
-        leader = detector.leader
-        strays = [
-            w.status.member
-            for w in detector.answering
-            if w.status.member != leader.member and _is_stray(w, leader)
+        self._ordered_at: dict[str, float] = {}
+
+    def on_tick(self, detector: FailureDetector, now: float) -> Commands:
+        """Return the `FollowMember` calls that are due."""
+        primary = detector.primary
+        misdirected = [
+            e.status.member
+            for e in detector.answering
+            if e.status.member != primary.member
+            and _is_misdirected(e, primary)
         ]
         return tuple(
-            self._tell(m, leader, now) for m in strays if self._is_due(m, now)
+            self._order(m, primary, now)
+            for m in misdirected
+            if self._is_due(m, now)
         )
 
     def _is_due(self, member: str, now: float) -> bool:
-        told_at = self._told_at.get(member)
-        return told_at is None or now >= told_at + REPEAT_S
+        ordered_at = self._ordered_at.get(member)
+        return ordered_at is None or now >= ordered_at + ORDER_RETRY_INTERVAL_S
 
-    def _tell(
-        self, member: str, leader: MemberStatus, now: float
+    def _order(
+        self, member: str, primary: MemberStatus, now: float
     ) -> CallMember:
-        self._told_at[member] = now
+        self._ordered_at[member] = now
         return CallMember(
             self._database,
             member,
-            FollowMember(member, leader.term, leader.member),
-            CARE_TIMEOUT_S,
-            Purpose.CARE,
+            FollowMember(member, primary.term, primary.member),
+            ORDER_TIMEOUT_S,
+            Purpose.REDIRECT,
         )
 
 
-def _is_stray(watch: MemberWatch, leader: MemberStatus) -> bool:
-    status = watch.status
-    if status.is_primary or status.term < leader.term:
+def _is_misdirected(evidence: MemberEvidence, primary: MemberStatus) -> bool:
+    status = evidence.status
+    if status.is_primary or status.term < primary.term:
         return True
-    return watch.contact_age_s >= LOST_CONTACT_S
+    return evidence.contact_age_s >= MAX_CONTACT_AGE_S
--- a/packages/core/src/trefoilpulley_core/coordination/handover.py
+++ b/packages/core/src/trefoilpulley_core/coordination/handover.py
@@ -1,9 +1,9 @@
-"""Moves the lead of a database to another member without a fault.
+"""Planned change of a database's primary, without failed requests.
 
-Up to the fence the handover may be abandoned at any step; from the
-fence on it is a promotion, which goes forward. The hold of writes ends
-by itself, so a coordinator that dies leaves nothing behind but its
-record, which the next coordinator removes.
+The handover may be abandoned at any step before the members are fenced.
+From the fence on, the change is a promotion and is not reverted. The
+pause of writes has a time limit, so a coordinator that crashes leaves
+only the handover's record, which the next coordinator removes.
 """
 
 from __future__ import annotations
@@ -35,27 +35,30 @@
     from trefoilpulley_core.coordination.shard import HandoverRecord
     from trefoilpulley_core.upstream import MemberStatus
 
-HOLD_S = 0.2
-"""Longest hold of writes; the pooler ends it by itself."""
+MAX_WRITE_PAUSE_S = 0.2
+"""Longest pause of writes, after which the pooler resumes them."""
 
-SWITCH_S = 0.08
-"""Part of the hold kept for the switch, once the logs are equal."""
+SWITCH_RESERVE_S = 0.08
+"""Part of the pause that is reserved for the promotion.
 
-STORE_DEADLINE_S = 2.0
-"""Time for a step's record to be stored."""
+Source and target must have equal logs before this part begins.
+"""
+
+STORE_TIMEOUT_S = 2.0
+"""Time limit for storing the record of a step."""
 
-WARM_S = 0.5
-"""Time given to the target for its connections."""
+WARMUP_S = 0.5
+"""Time for the target's pooler to open connections to the target."""
 
 STEP_TIMEOUT_S = 0.1
-"""Longest wait for the reply to one step."""
+"""Time limit for the reply to one call."""
 
-STEP_RETRY_S = 0.01
-"""Time between two looks at the running writes and the logs."""
+STEP_RETRY_INTERVAL_S = 0.01
+"""Interval between checks of the running writes and of the logs."""
 
 
 class HandoverStage(StrEnum):
-    """Stages of a handover up to the fence."""
+    """Stages of a handover before the fence."""
 
     RECORDING = 'recording'
     WARMING = 'warming'
@@ -67,18 +70,18 @@
 
 
 class Handover:
-    """One attempt to hand the lead to another member.
+    """One attempt to make another member the primary.
 
     Parameters
     ----------
     entry : DatabaseEntry
-        Members of the database.
+        Database and its members.
     record : HandoverRecord
-        Source, target and identifier.
+        Identifier, source and target of the handover.
     now : float
         Monotonic time in seconds.
-    hold_s : float
-        Longest hold of writes.
+    max_pause_s : float
+        Longest pause of writes, in seconds.
     """
 
     def __init__(
@@ -86,65 +89,65 @@
         entry: DatabaseEntry,
         record: HandoverRecord,
         now: float,
-        hold_s: float = HOLD_S,
+        max_pause_s: float = MAX_WRITE_PAUSE_S,
     ) -> None:
         self._entry = entry
-        self._hold_s = hold_s
-        self._deadline = now + STORE_DEADLINE_S
+        self._max_pause_s = max_pause_s
+        self._deadline = now + STORE_TIMEOUT_S
         self._next_at = now
         self._paused_at: float | None = None
         self._compared_at = now
         self._statuses: dict[str, MemberStatus] = {}
         self._pending: set[str] = set()
         self.record = record
-        """What the platform's service keeps of the handover."""
+        """Record of the handover for the platform's service."""
 
         self.stage = HandoverStage.RECORDING
-        """Stage reached."""
+        """Current stage."""
 
         self.outcome = ''
-        """Why the handover was abandoned."""
+        """Reason for which the handover was abandoned, or empty."""
 
     def pause_ms(self, now: float) -> int:
-        """Return the time since the hold of writes began."""
+        """Return the time since writes were paused, in milliseconds."""
         if self._paused_at is None:
             return 0
         return round((now - self._paused_at) * 1000)
 
     def begin(self) -> Commands:
-        """Record the handover."""
+        """Store the handover's record."""
         return (EditRecord(PutHandover(self._entry.name, self.record)),)
 
     def abandon(self, reason: str) -> Commands:
-        """Give the handover up before its fence."""
+        """Abandon the handover and resume paused writes."""
         self.outcome = reason
         was_paused = self._paused_at is not None
         self.stage = HandoverStage.ABANDONED
-        return (self._resume(),) if was_paused else ()
+        return (self._resume_writes(),) if was_paused else ()
 
-    def release(self) -> Commands:
-        """End the hold of writes after the switch."""
-        return (self._resume(),)
+    def resume_writes(self) -> Commands:
+        """Resume writes at the source after the promotion."""
+        return (self._resume_writes(),)
 
     def on_record(self, record: DatabaseRecord, now: float) -> Commands:
-        """Take the record as the service holds it."""
+        """Process a new version of the database's record."""
         current = record.handover
         if current is None and self.stage is HandoverStage.RECORDING:
             return ()
         if current is None or current.handover_id != self.record.handover_id:
             return self.abandon('superseded')
         if self.stage is HandoverStage.RECORDING:
-            return self._warm(now)
-        is_marked = current.step is HandoverStep.SWITCHING
-        if self.stage is HandoverStage.MARKING and is_marked:
-            return self._drain(now)
+            return self._warm_target(now)
+        is_switch_recorded = current.step is HandoverStep.SWITCHING
+        if self.stage is HandoverStage.MARKING and is_switch_recorded:
+            return self._begin_drain(now)
         return ()
 
     def on_tick(self, now: float) -> Commands:
-        """Move on, or give up where a step took too long."""
+        """Continue the handover, or abandon it after a timeout."""
         match self.stage:
             case HandoverStage.WARMING if now >= self._next_at:
-                return self._mark(now)
+                return self._record_switch(now)
             case HandoverStage.DRAINING | HandoverStage.COMPARING:
                 return self._continue_switch(now)
             case HandoverStage.RECORDING | HandoverStage.MARKING:
@@ -153,49 +156,49 @@
         return ()
 
     def on_call_done(self, done: CallDone, now: float) -> Commands:
-        """Take the outcome of a step."""
+        """Process the result of a call to a member."""
         if self.stage is HandoverStage.DRAINING:
             return self._on_drain_reply(done, now)
         if self.stage is HandoverStage.COMPARING:
             return self._on_compare_reply(done)
         return ()
 
-    def _warm(self, now: float) -> Commands:
+    def _warm_target(self, now: float) -> Commands:
         self.stage = HandoverStage.WARMING
-        self._next_at = now + WARM_S
+        self._next_at = now + WARMUP_S
         member = self._entry.find_member(self.record.target)
         count = max(member.slots, member.connections // 2)
         message = WarmConnections(member.name, count)
         return (self._call(member.name, message),)
 
-    def _mark(self, now: float) -> Commands:
+    def _record_switch(self, now: float) -> Commands:
         self.stage = HandoverStage.MARKING
-        self._deadline = now + STORE_DEADLINE_S
+        self._deadline = now + STORE_TIMEOUT_S
         self.record = replace(self.record, step=HandoverStep.SWITCHING)
         return (EditRecord(PutHandover(self._entry.name, self.record)),)
 
-    def _drain(self, now: float) -> Commands:
+    def _begin_drain(self, now: float) -> Commands:
         self.stage = HandoverStage.DRAINING
         self._pending.clear()
         self._paused_at = now
-        return self._pause(now)
+        return self._pause_writes(now)
 
-    def _pause(self, now: float) -> Commands:
-        self._next_at = now + STEP_RETRY_S
+    def _pause_writes(self, now: float) -> Commands:
+        self._next_at = now + STEP_RETRY_INTERVAL_S
         source = self.record.source
-        left_s = self._hold_s - (now - self._paused_at)
-        hold_ms = max(1, round(left_s * 1000))
-        message = PauseWrites(source, self.record.handover_id, hold_ms)
+        left_s = self._max_pause_s - (now - self._paused_at)
+        max_pause_ms = max(1, round(left_s * 1000))
+        message = PauseWrites(source, self.record.handover_id, max_pause_ms)
         return (self._call(source, message),)
 
     def _continue_switch(self, now: float) -> Commands:
-        if now >= self._paused_at + self._hold_s - SWITCH_S:
+        if now >= self._paused_at + self._max_pause_s - SWITCH_RESERVE_S:
             return self.abandon('writes did not drain')
         if self._pending or now < self._next_at:
             return ()
         if self.stage is HandoverStage.DRAINING:
-            return self._pause(now)
-        return self._compare(now)
+            return self._pause_writes(now)
+        return self._compare_logs(now)
 
     def _on_drain_reply(self, done: CallDone, now: float) -> Commands:
         message = done.call.message
@@ -207,13 +210,13 @@
         match done.result:
             case Success(PauseReport(writes_running=0)):
                 self.stage = HandoverStage.COMPARING
-                return self._compare(now)
+                return self._compare_logs(now)
             case Success():
                 return ()
         return self.abandon('source does not answer')
 
-    def _compare(self, now: float) -> Commands:
-        self._next_at = now + STEP_RETRY_S
+    def _compare_logs(self, now: float) -> Commands:
+        self._next_at = now + STEP_RETRY_INTERVAL_S
         self._compared_at = now
         self._statuses.clear()
         self._pending.clear()
@@ -242,7 +245,7 @@
             return False
         return source.history.last == target.history.last
 
-    def _resume(self) -> CallMember:
+    def _resume_writes(self) -> CallMember:
         source = self.record.source
         message = ResumeWrites(source, self.record.handover_id)
         return CallMember(self._entry.name, source, message, STEP_TIMEOUT_S)
--- a/packages/core/src/trefoilpulley_core/declarations_check.py
+++ b/packages/core/src/trefoilpulley_core/declarations_check.py
@@ -1,4 +1,4 @@
-"""Checks a document of declarations whole, before anything is written."""
+"""Checks a complete document of declarations before it is stored."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-DOCUMENT_LIMIT_BYTES = 1_000_000
-"""Greatest document; the service holds values up to a megabyte."""
+MAX_DOCUMENT_BYTES = 1_000_000
+"""Size limit of a document; the service's values are limited to 1 MB."""
 
-MAX_AGE_LIMIT_MS = 86_400_000
-"""Greatest age that a class may accept, in milliseconds: a day."""
+MAX_FRESHNESS_AGE_MS = 86_400_000
+"""Largest maximum age of a freshness target, in milliseconds (one day)."""
 
-WITHIN_LIMIT_MS = 600_000
-"""Longest promptness, in milliseconds: ten minutes."""
+MAX_WITHIN_MS = 600_000
+"""Largest promptness target, in milliseconds (ten minutes)."""
 
-COPIES_LEAST = 2
-"""Majority of a group of three members."""
+MIN_COPIES = 2
+"""Smallest number of copies: a majority of three members."""
 
-COPIES_MOST = 3
-"""All members of a group of three."""
+MAX_COPIES = 3
+"""Largest number of copies: all three members."""
 
-_FRESHNESS_WORDS = {
+_FRESHNESS_KINDS = {
     'session': FreshnessKind.SESSION,
     'present': FreshnessKind.PRESENT,
 }
@@ -59,22 +59,22 @@
     Parameters
     ----------
     text : str
-        JSON text as operators write it.
+        JSON text written by an operator.
     ledgers : Collection[str], optional
-        Names of the ledgers and databases that the platform lists;
-        without it, these names are not looked up.
+        Names of the ledgers and databases in the platform's list. If
+        omitted, names of ledgers are not checked against the list.
 
     Returns
     -------
     Result[Declarations, tuple[Fault, ...]]
-        The declarations, or every fault of the document.
+        The declarations, or all faults of the document.
     """
     faults = FaultList()
-    if len(text.encode(errors='surrogatepass')) > DOCUMENT_LIMIT_BYTES:
+    if len(text.encode(errors='surrogatepass')) > MAX_DOCUMENT_BYTES:
         faults.add(
             '$',
             FaultCode.TOO_LARGE,
-            f'limit is {DOCUMENT_LIMIT_BYTES} bytes',
+            f'the limit is {MAX_DOCUMENT_BYTES} bytes',
         )
         return Failed(faults.as_tuple())
     try:
@@ -82,14 +82,14 @@
     except (ValueError, RecursionError) as exc:
         faults.add('$', FaultCode.MALFORMED_JSON, str(exc))
         return Failed(faults.as_tuple())
-    declarations = _DocumentCheck(faults, ledgers).read(value)
+    declarations = _DocumentChecker(faults, ledgers).read(value)
     if faults.as_tuple():
         return Failed(faults.as_tuple())
     return Success(declarations)
 
 
-class _DocumentCheck:
-    """One check of one document."""
+class _DocumentChecker:
+    """Checks one document."""
 
     def __init__(
         self, faults: FaultList, ledgers: Collection[str] | None
@@ -99,12 +99,12 @@
         self._class_names: frozenset[str] = frozenset()
 
     def read(self, value: Any) -> Declarations:
-        """Read the document; what is at fault is left out."""
-        top = self._faults.read_object(value, '$')
-        if top is None:
+        """Read the document and omit items with faults."""
+        root = self._faults.read_object(value, '$')
+        if root is None:
             return Declarations()
-        top.expect_keys(('classes', 'tenants'), ('stops',))
-        classes = self._items(top, 'classes')
+        root.expect_keys(('classes', 'tenants'), ('stops',))
+        classes = self._read_items(root, 'classes')
         self._class_names = frozenset(name for name, _ in classes)
         return Declarations(
             classes=tuple(
@@ -115,29 +115,32 @@
                     None,
                     (
                         self._read_tenant(*i)
-                        for i in self._items(top, 'tenants')
+                        for i in self._read_items(root, 'tenants')
                     ),
                 )
             ),
             stops=tuple(
                 filter(
                     None,
-                    (self._read_stop(*i) for i in self._items(top, 'stops')),
+                    (
+                        self._read_stop(*i)
+                        for i in self._read_items(root, 'stops')
+                    ),
                 )
             ),
         )
 
-    def _items(
-        self, top: ObjectReader, key: str
+    def _read_items(
+        self, root: ObjectReader, key: str
     ) -> tuple[tuple[str, ObjectReader], ...]:
-        if not top.has(key):
+        if not root.has(key):
             return ()
-        outer = self._faults.read_object(top.get(key), top.path_of(key))
-        if outer is None:
+        section = self._faults.read_object(root.get(key), root.path_of(key))
+        if section is None:
             return ()
         found = []
-        for name, value in outer.items():
-            path = outer.path_of(name)
+        for name, value in section.items():
+            path = section.path_of(name)
             self._faults.check_name(name, path)
             reader = self._faults.read_object(value, path)
             if reader is not None:
@@ -167,7 +170,7 @@
             self._faults.add(
                 reader.path_of('freshness'),
                 FaultCode.MISSING_KEY,
-                'is required for a class that reads',
+                'is required for a class of reads',
             )
 
     def _read_write_freshness(self, reader: ObjectReader) -> Freshness | None:
@@ -178,7 +181,7 @@
             self._faults.add(
                 reader.path_of('freshness'),
                 FaultCode.NOT_APPLICABLE,
-                'a class that writes works on "present"',
+                'must be "present" for a class of writes',
             )
         return found
 
@@ -187,26 +190,26 @@
         if not reader.has('freshness'):
             return None
         if isinstance(value, str):
-            word = reader.read_choice('freshness', tuple(_FRESHNESS_WORDS))
-            return Freshness(_FRESHNESS_WORDS[word]) if word else None
-        inner = self._faults.read_object(value, reader.path_of('freshness'))
-        if inner is None:
+            kind = reader.read_choice('freshness', tuple(_FRESHNESS_KINDS))
+            return Freshness(_FRESHNESS_KINDS[kind]) if kind else None
+        target = self._faults.read_object(value, reader.path_of('freshness'))
+        if target is None:
             return None
-        inner.expect_keys(('age_ms',))
-        age_ms = inner.read_int('age_ms', 1, MAX_AGE_LIMIT_MS)
+        target.expect_keys(('age_ms',))
+        age_ms = target.read_int('age_ms', 1, MAX_FRESHNESS_AGE_MS)
         return Freshness(FreshnessKind.AGE, age_ms) if age_ms else None
 
     def _read_promptness(self, reader: ObjectReader) -> Promptness | None:
         if not reader.has('promptness'):
             return None
-        inner = self._faults.read_object(
+        target = self._faults.read_object(
             reader.get('promptness'), reader.path_of('promptness')
         )
-        if inner is None:
+        if target is None:
             return None
-        inner.expect_keys(('within_ms', 'share'))
-        within_ms = inner.read_int('within_ms', 1, WITHIN_LIMIT_MS)
-        share = inner.read_share('share')
+        target.expect_keys(('within_ms', 'share'))
+        within_ms = target.read_int('within_ms', 1, MAX_WITHIN_MS)
+        share = target.read_share('share')
         if within_ms is None or share is None:
             return None
         return Promptness(within_ms, share)
@@ -216,21 +219,21 @@
     ) -> Safety | None:
         if not reader.has('safety'):
             return Safety(is_repeatable=is_read)
-        inner = self._faults.read_object(
+        target = self._faults.read_object(
             reader.get('safety'), reader.path_of('safety')
         )
-        if inner is None:
+        if target is None:
             return None
-        inner.expect_keys((), ('copies', 'repeatable'))
-        if is_read and inner.has('copies'):
+        target.expect_keys((), ('copies', 'repeatable'))
+        if is_read and target.has('copies'):
             self._faults.add(
-                inner.path_of('copies'),
+                target.path_of('copies'),
                 FaultCode.NOT_APPLICABLE,
-                'a class that reads makes no copies',
+                'must not be set for a class of reads',
             )
-        copies = inner.read_int('copies', COPIES_LEAST, COPIES_MOST)
-        is_repeatable = inner.read_bool('repeatable', is_read)
-        return Safety(copies or COPIES_LEAST, is_repeatable)
+        copies = target.read_int('copies', MIN_COPIES, MAX_COPIES)
+        is_repeatable = target.read_bool('repeatable', is_read)
+        return Safety(copies or MIN_COPIES, is_repeatable)
 
     def _read_tenant(self, name: str, reader: ObjectReader) -> Tenant | None:
         reader.expect_keys(('ledgers',))
@@ -264,7 +267,7 @@
                 )
             elif name in names:
                 self._faults.add(
-                    item_path, FaultCode.DUPLICATE_NAME, 'stands twice'
+                    item_path, FaultCode.DUPLICATE_NAME, 'the name is repeated'
                 )
             else:
                 self._check_class_name(name, item_path)
--- a/packages/core/src/trefoilpulley_core/retry_budget.py
+++ b/packages/core/src/trefoilpulley_core/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries as a share of fresh traffic."""
+"""Limit of retries in proportion to first attempts."""
 
 from __future__ import annotations
 
@@ -11,41 +11,45 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.failure import Failure
 
-RETRY_SHARE = 0.1
-"""Retries allowed for each fresh request."""
+RETRIES_PER_REQUEST = 0.1
+"""Number of retries that each first attempt adds to the budget."""
 
-BURST_RETRIES = 10.0
-"""Retries that an upstream may save up, and starts with."""
+MAX_SAVED_RETRIES = 10.0
+"""Largest and initial retry budget of an upstream."""
 
-UPSTREAM_LIMIT = 4096
-"""Upstreams that are remembered, the latest used."""
+MAX_UPSTREAMS = 4096
+"""Number of upstreams, the most recently used, whose budgets are kept."""
 
 
 class RetryBudget:
-    """Allows retries to an upstream as a share of its fresh requests."""
+    """Limits the retries to an upstream to a share of its first attempts."""
 
     def __init__(self) -> None:
-        self._saved: OrderedDict[str, float] = OrderedDict()
+        self._retries: OrderedDict[str, float] = OrderedDict()
 
     def record_fresh(self, upstream: str) -> None:
-        """Count a first attempt at an upstream."""
-        saved = self._saved.get(upstream, BURST_RETRIES)
-        self._save(upstream, min(BURST_RETRIES, saved + RETRY_SHARE))
+        """Record a first attempt at an upstream."""
+        available_retries = self._retries.get(upstream, MAX_SAVED_RETRIES)
+        self._store(
+            upstream,
+            min(MAX_SAVED_RETRIES, available_retries + RETRIES_PER_REQUEST),
+        )
 
     def try_retry(
         self, upstream: str, failure: Failure, is_repeatable: bool
     ) -> bool:
-        """Spend one retry on an upstream where a failure allows it.
+        """Use one retry of an upstream's budget where a failure permits it.
 
-        A replica that is behind refuses before it takes a slot, and is
-        not asked twice, so that going on to another costs no retry.
+        A replica that is behind refuses a request before using a slot
+        and does not receive the request again, so a retry at another
+        member is free.
 
         Parameters
         ----------
         upstream : str
-            Member that the retry would go to.
+            Member that the retry would be sent to.
         failure : Failure
-            How the attempt before ended.
+            Failure of the previous attempt.
         is_repeatable : bool
             Whether the request may run more than once.
 
@@ -58,21 +62,21 @@
             return False
         if isinstance(failure, ReplicaBehind):
             return True
-        saved = self._saved.get(upstream, BURST_RETRIES)
-        if saved < 1:
+        available_retries = self._retries.get(upstream, MAX_SAVED_RETRIES)
+        if available_retries < 1:
             return False
-        self._save(upstream, saved - 1)
+        self._store(upstream, available_retries - 1)
         return True
 
-    def saved(self, upstream: str) -> float:
-        """Return the retries that an upstream may still get."""
-        return self._saved.get(upstream, BURST_RETRIES)
+    def available_retries(self, upstream: str) -> float:
+        """Return the remaining retry budget of an upstream."""
+        return self._retries.get(upstream, MAX_SAVED_RETRIES)
 
-    def _save(self, upstream: str, saved: float) -> None:
-        self._saved[upstream] = saved
-        self._saved.move_to_end(upstream)
-        if len(self._saved) > UPSTREAM_LIMIT:
-            self._saved.popitem(last=False)
+    def _store(self, upstream: str, available_retries: float) -> None:
+        self._retries[upstream] = available_retries
+        self._retries.move_to_end(upstream)
+        if len(self._retries) > MAX_UPSTREAMS:
+            self._retries.popitem(last=False)
 
 
 def may_repeat(failure: Failure, is_repeatable: bool) -> bool:
@@ -81,7 +85,7 @@
     Parameters
     ----------
     failure : Failure
-        How the attempt before ended.
+        Failure of the previous attempt.
     is_repeatable : bool
         Whether the request may run more than once.
     """
--- a/packages/core/src/trefoilpulley_core/slot_lane.py
+++ b/packages/core/src/trefoilpulley_core/slot_lane.py
@@ -1,4 +1,4 @@
-"""Waiting work of one class, in the order in which it gets slots."""
+"""Queue of the waiting work of one class."""
 
 from __future__ import annotations
 
@@ -7,54 +7,60 @@
 
 from trefoilpulley_core.slot_service import ServiceTime
 from trefoilpulley_core.slot_shares import TenantShares
-from trefoilpulley_core.targets import Strictness
+from trefoilpulley_core.targets import ClassPriority
 
 if TYPE_CHECKING:
     from trefoilpulley_core.slots import Ticket
 
-EARLY_SHARE = 0.5
-"""Part of the promptness target left when work becomes critical."""
+CRITICAL_TIME_SHARE = 0.5
+"""Share of the promptness target at which waiting work becomes critical.
 
-_SPARE_ENTRIES = 64
+Work is critical once the slack before its latest start falls below this
+share of the target.
+"""
 
+_MAX_STALE_ENTRIES = 64
 
-class SlotLane:
-    """Waiting work of one class by deadline, fair between tenants.
+
+class ClassQueue:
+    """Orders the waiting work of one class by deadline.
+
+    The work of a tenant above its fair share is deferred.
 
     Parameters
     ----------
     work_class : str
-        Class of work.
+        Name of the class of work.
     is_write : bool
-        Whether a hold of writes applies.
+        Whether the class's work must wait while writes are paused.
     slots : int
-        Pieces of work that the member runs at once.
+        Number of statements that the member runs concurrently.
     """
 
     def __init__(self, work_class: str, is_write: bool, slots: int) -> None:
         self.work_class = work_class
-        """Class of work."""
+        """Name of the class of work."""
 
         self.is_write = is_write
-        """Whether a hold of writes applies."""
+        """Whether the class's work must wait while writes are paused."""
 
-        self.strictness = Strictness()
-        """How little the class can spare."""
+        self.priority = ClassPriority()
+        """Priority of the class when its work becomes critical."""
 
-        self.level = 0
-        """Rank of the strictness among the lanes, the loosest 0."""
+        self.rank = 0
+        """Rank of the priority among all queues; 0 is the lowest."""
 
         self.danger = 0.0
-        """Part of the allowed late answers that is used up."""
+        """Share of the allowed late answers that is used up."""
 
         self.within_s = 0.0
-        """Promptness target in seconds."""
+        """Promptness target, in seconds."""
 
         self.load = 0.0
-        """Slots that the class has kept busy of late."""
+        """Number of slots that the class has recently kept busy."""
 
         self.service = ServiceTime()
-        """Service times of the class."""
+        """Statistics of the class's service times."""
 
         self._slots = slots
         self._shares = TenantShares(slots)
@@ -67,23 +73,23 @@
 
     @property
     def backlog_s(self) -> float:
-        """Service time of all that waits, in seconds."""
+        """Expected service time of all waiting work, in seconds."""
         return len(self._waiting) * self.service.mean_s
 
-    def key_of(self, ticket: Ticket, now: float) -> float:
-        """Return the deadline put back by the tenant's lead."""
+    def sort_key(self, ticket: Ticket, now: float) -> float:
+        """Return the deadline, deferred by the tenant's excess use."""
         return ticket.deadline + self._shares.lead_s(ticket.tenant, now)
 
     def push(self, ticket: Ticket, now: float) -> None:
-        """Add admitted work."""
-        key = self.key_of(ticket, now)
+        """Add work to the queue."""
+        key = self.sort_key(ticket, now)
         self._shares.charge(ticket.tenant, self.service.mean_s, now)
         self._last_key = max(key, self._last_key) if self._waiting else key
         self._waiting[ticket.ticket_id] = key
         heapq.heappush(self._heap, (key, ticket.ticket_id, ticket))
 
     def peek(self) -> Ticket | None:
-        """Return the work that is next, or ``None``."""
+        """Return the next work without removing it, or ``None``."""
         heap = self._heap
         while heap:
             if heap[0][1] in self._waiting:
@@ -92,7 +98,7 @@
         return None
 
     def pop(self) -> Ticket | None:
-        """Remove and return the work that is next, or ``None``."""
+        """Remove and return the next work, or ``None``."""
         ticket = self.peek()
         if ticket is not None:
             heapq.heappop(self._heap)
@@ -100,18 +106,18 @@
         return ticket
 
     def remove(self, ticket_id: int) -> bool:
-        """Remove work by its identifier; return whether it waited."""
+        """Remove work by its identifier and return whether it was queued."""
         if self._waiting.pop(ticket_id, None) is None:
             return False
-        if len(self._heap) > 2 * len(self._waiting) + _SPARE_ENTRIES:
+        if len(self._heap) > 2 * len(self._waiting) + _MAX_STALE_ENTRIES:
             self._compact()
         return True
 
-    def ahead_s(self, key: float) -> float:
-        """Return the service time of the work before a key, in seconds.
+    def work_before_s(self, key: float) -> float:
+        """Return the service time of the work before a sort key, in seconds.
 
-        Work between the first and the last key is taken as evenly
-        spread.
+        Assumes that the keys of the work are evenly distributed between
+        the first and the last key.
         """
         if self.peek() is None:
             return 0.0
@@ -120,37 +126,38 @@
             return 0.0
         if key >= self._last_key:
             return self.backlog_s
-        part = (key - first) / (self._last_key - first)
-        return max(self.service.mean_s, part * self.backlog_s)
+        fraction = (key - first) / (self._last_key - first)
+        return max(self.service.mean_s, fraction * self.backlog_s)
 
-    def due_s(self, until: float) -> float:
-        """Return the service time that must pass before a time.
+    def work_due_s(self, until: float) -> float:
+        """Return the service time that must be spent before a time.
 
-        Left for later, this much of the work would be late.
+        The remaining work can be done after that time without being
+        late. The result is in seconds.
         """
         if not self._waiting:
             return 0.0
-        room_s = self._slots * max(0.0, self._last_key - until)
-        return max(0.0, self.backlog_s - room_s)
+        capacity_s = self._slots * max(0.0, self._last_key - until)
+        return max(0.0, self.backlog_s - capacity_s)
 
-    def is_critical(self, now: float, guard_s: float) -> bool:
-        """Return whether the lane must go before looser ones.
+    def is_critical(self, now: float, max_service_s: float) -> bool:
+        """Return whether the queue must precede those of lower priority.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
-        guard_s : float
-            Time that other work may hold a slot, in seconds.
+        max_service_s : float
+            Longest expected service time of other work, in seconds.
         """
         head = self.peek()
         if head is None:
             return False
-        latest = head.deadline - self.service.careful_s
-        drained = self._last_key - self.backlog_s / self._slots
-        early_share = max(EARLY_SHARE, self.danger)
-        margin_s = guard_s + early_share * self.within_s
-        return now + margin_s >= min(latest, drained)
+        latest_start = head.deadline - self.service.upper_estimate_s
+        latest_drain_start = self._last_key - self.backlog_s / self._slots
+        time_share = max(CRITICAL_TIME_SHARE, self.danger)
+        margin_s = max_service_s + time_share * self.within_s
+        return now + margin_s >= min(latest_start, latest_drain_start)
 
     def _compact(self) -> None:
         self._heap = [e for e in self._heap if e[1] in self._waiting]
--- a/packages/core/src/trefoilpulley_core/slot_service.py
+++ b/packages/core/src/trefoilpulley_core/slot_service.py
@@ -1,28 +1,31 @@
-"""Service times of a class of work, as seen at one member."""
+"""Statistics of the service times of a class of work at one member."""
 
 from __future__ import annotations
 
 import math
 
 INITIAL_SERVICE_S = 0.005
-"""Service time assumed before the first is seen, in seconds."""
+"""Service time assumed before the first sample, in seconds."""
 
-LOAD_MEMORY_S = 5.0
-"""Time over which the load of a class is remembered, in seconds."""
+LOAD_TIME_CONSTANT_S = 5.0
+"""Time constant of the exponential decay of a class's load, in seconds."""
 
-OUTLIER_FACTOR = 4.0
-"""Distance from the mean, in careful service times, that one sample may
-add at most: a stall of the process says little of the next statement."""
+MAX_OUTLIER_FACTOR = 4.0
+"""Limit of a sample's deviation, in multiples of the upper estimate.
+
+A stall of the process lengthens one sample but says little about the
+next statement.
+"""
 
 _SMOOTHING = 0.1
 
 
 class ServiceTime:
-    """Mean, spread and load of the service times of one class."""
+    """Mean, deviation and load of the service times of one class."""
 
     __slots__ = (
         '_busy_s',
-        '_faded_at',
+        '_decayed_at',
         '_loaded_at',
         'deviation_s',
         'mean_s',
@@ -30,56 +33,58 @@
 
     def __init__(self) -> None:
         self.mean_s = INITIAL_SERVICE_S
-        """Smoothed service time in seconds."""
+        """Smoothed service time, in seconds."""
 
         self.deviation_s = 0.0
-        """Smoothed distance from the mean, in seconds."""
+        """Smoothed absolute deviation from the mean, in seconds."""
 
         self._busy_s = 0.0
         self._loaded_at = 0.0
-        self._faded_at = 0.0
+        self._decayed_at = 0.0
 
     @property
-    def careful_s(self) -> float:
-        """Service time that most work stays below, in seconds."""
+    def upper_estimate_s(self) -> float:
+        """Service time that most work does not exceed, in seconds."""
         return self.mean_s + self.deviation_s
 
     @property
-    def least_s(self) -> float:
-        """Service time that most work exceeds, in seconds."""
+    def lower_estimate_s(self) -> float:
+        """Service time that most work needs at least, in seconds."""
         return max(0.0, self.mean_s - 2 * self.deviation_s)
 
     @property
-    def _longest_error_s(self) -> float:
-        return OUTLIER_FACTOR * max(self.careful_s, INITIAL_SERVICE_S)
+    def _max_error_s(self) -> float:
+        return MAX_OUTLIER_FACTOR * max(
+            self.upper_estimate_s, INITIAL_SERVICE_S
+        )
 
     def record(self, service_s: float, now: float) -> None:
-        """Learn one service time."""
-        error_s = min(service_s - self.mean_s, self._longest_error_s)
+        """Add one service time, in seconds."""
+        error_s = min(service_s - self.mean_s, self._max_error_s)
         self.mean_s += _SMOOTHING * error_s
         self.deviation_s += _SMOOTHING * (abs(error_s) - self.deviation_s)
         self._busy_s = self._decayed_s(now) + service_s
         self._loaded_at = max(now, self._loaded_at)
 
-    def fade(self, now: float) -> None:
-        """Let an estimate without new samples return to the initial one.
+    def decay_estimate(self, now: float) -> None:
+        """Decay the estimate towards the initial one without new samples.
 
-        Work that is refused for a long service time brings no sample
-        that could prove the time shorter again.
+        Work that is refused because of a long estimate provides no
+        sample, so the estimate would otherwise never fall again.
         """
-        idle_s = now - max(self._loaded_at, self._faded_at)
+        idle_s = now - max(self._loaded_at, self._decayed_at)
         if idle_s <= 0:
             return
-        kept = math.exp(-idle_s / LOAD_MEMORY_S)
+        remaining = math.exp(-idle_s / LOAD_TIME_CONSTANT_S)
         above_s = max(0.0, self.mean_s - INITIAL_SERVICE_S)
-        self.mean_s -= above_s * (1 - kept)
-        self.deviation_s *= kept
-        self._faded_at = now
+        self.mean_s -= above_s * (1 - remaining)
+        self.deviation_s *= remaining
+        self._decayed_at = now
 
     def load(self, now: float) -> float:
-        """Return the slots that the class has kept busy of late."""
-        return self._decayed_s(now) / LOAD_MEMORY_S
+        """Return the number of slots that the class has recently used."""
+        return self._decayed_s(now) / LOAD_TIME_CONSTANT_S
 
     def _decayed_s(self, now: float) -> float:
         elapsed_s = max(0.0, now - self._loaded_at)
-        return self._busy_s * math.exp(-elapsed_s / LOAD_MEMORY_S)
+        return self._busy_s * math.exp(-elapsed_s / LOAD_TIME_CONSTANT_S)
--- a/packages/node/src/trefoilpulley_node/coordination/driver.py
+++ b/packages/node/src/trefoilpulley_node/coordination/driver.py
@@ -14,12 +14,12 @@
 from trefoilpulley_core.coordination.commands import LoadShard
 from trefoilpulley_core.coordination.commands import Notice
 from trefoilpulley_core.coordination.commands import StoreShard
-from trefoilpulley_core.coordination.database import Surroundings
+from trefoilpulley_core.coordination.database import TickContext
 from trefoilpulley_core.coordination.duty import Duty
 from trefoilpulley_core.coordination.layout import stopped_zones
-from trefoilpulley_core.coordination.polling import poll_interval_s
+from trefoilpulley_core.coordination.polling import probe_interval_s
 from trefoilpulley_core.coordination.shard_coordinator import ShardCoordinator
-from trefoilpulley_core.coordination.shard_coordinator import STANDBY_WAKE_S
+from trefoilpulley_core.coordination.shard_coordinator import STANDBY_TICK_S
 from trefoilpulley_core.coordination.terms import holder_name
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_node.coordination.dump import CoordinationState
@@ -120,8 +120,8 @@
     def _run(self) -> None:
         while True:
             self._tick()
-            wakes = (s.wake_s for s in self._shards.values())
-            gevent.sleep(min(wakes, default=STANDBY_WAKE_S))
+            wakes = (s.tick_interval_s for s in self._shards.values())
+            gevent.sleep(min(wakes, default=STANDBY_TICK_S))
 
     def _tick(self) -> None:
         now = self._clock.now()
@@ -153,12 +153,12 @@
             if self._duty.may_act(number, now)
             for entry in self._duty.succession.members.get(number, ())
         )
-        return poll_interval_s(member_count)
+        return probe_interval_s(member_count)
 
     def _surroundings(
         self, entry: DatabaseEntry, view: DeploymentView, interval_s: float
-    ) -> Surroundings:
-        return Surroundings(
+    ) -> TickContext:
+        return TickContext(
             entry,
             stopped_zones(view.declarations, entry),
             interval_s,
--- a/packages/node/src/trefoilpulley_node/coordination/shard_store.py
+++ b/packages/node/src/trefoilpulley_node/coordination/shard_store.py
@@ -73,7 +73,7 @@
 
     def report_to(self, shard: ShardCoordinator, now: float) -> Commands:
         """Make the coordinator load the records again."""
-        return shard.on_store_unsure(now)
+        return shard.on_store_outcome_unknown(now)
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/node/src/trefoilpulley_node/pooler/leadership_prover.py
+++ b/packages/node/src/trefoilpulley_node/pooler/leadership_prover.py
@@ -103,7 +103,7 @@
             self._proof.reset()
             return
         own = status.unwrap()
-        self._proof.on_primary(own.term, own.fenced_term, asked_at)
+        self._proof.on_primary_status(own.term, own.fenced_term, asked_at)
         asking = [
             gevent.spawn(self._ask_member, name) for name in self._others
         ]
@@ -119,4 +119,6 @@
             name, GetStatus(name), ROUND_TIMEOUT_S
         ).value_or(None)
         if isinstance(reply, StatusReport):
-            self._proof.on_replica(name, reply.status.fenced_term, asked_at)
+            self._proof.on_replica_status(
+                name, reply.status.fenced_term, asked_at
+            )
--- a/packages/node/src/trefoilpulley_node/pooler/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_pool.py
@@ -136,7 +136,7 @@
         if lease.link.is_open:
             self._queue.record_service(work_class, held_s, is_in_time)
         else:
-            self._queue.record_broken()
+            self._queue.record_connection_lost()
         self._connections.release(lease.link)
         self._free_slot(lease.ticket)
 
@@ -205,7 +205,7 @@
     def _connect(self, ticket: Ticket) -> Result[SlotLease, Failure]:
         acquired = self._connections.acquire(ticket.deadline)
         if not isinstance(acquired, Success):
-            self._queue.record_broken()
+            self._queue.record_connection_lost()
             self._free_slot(ticket)
             return Failed(NoUpstream('member could not be connected'))
         return Success(SlotLease(acquired.unwrap(), ticket, self._clock.now()))
--- a/packages/standins/src/trefoilpulley_standins/measure/sizing.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/sizing.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from trefoilpulley_core.coordination.polling import poll_interval_s
-from trefoilpulley_core.coordination.shard import SHARDS_A_ZONE
+from trefoilpulley_core.coordination.polling import probe_interval_s
+from trefoilpulley_core.coordination.shard import SHARDS_PER_ZONE
 from trefoilpulley_node.entry.views import REFRESHES_PER_S
 from trefoilpulley_node.pooler.age_prober import MAX_PROBE_INTERVAL_S
 from trefoilpulley_standins.member.server import REPORT_INTERVAL_S
@@ -53,13 +53,13 @@
 STATEMENTS_A_HOST = STATEMENTS_PER_S / HOSTS
 """Statements a second that enter at a host."""
 
-SHARDS = SHARDS_A_ZONE * ZONES
+SHARDS = SHARDS_PER_ZONE * ZONES
 """Shards of all databases."""
 
 DATABASES_A_SHARD = DATABASES / SHARDS
 """Databases of one shard."""
 
-POLL_INTERVAL_S = poll_interval_s(round(MEMBERS / SHARDS))
+POLL_INTERVAL_S = probe_interval_s(round(MEMBERS / SHARDS))
 """Time between two probes of a member by its coordinator."""
 
 PROBE_FRAMES_PER_S = 2 * MEMBERS / SHARDS / POLL_INTERVAL_S
