--- a/features/fakes/asking.py
+++ b/features/fakes/asking.py
@@ -26,7 +26,7 @@
             gevent.sleep(POLL_S)
 
 
-def ask_once(
+def execute_once(
     context: Any, database: str, host: int, text: str
 ) -> CallerAnswer:
     """Ask on a session of its own."""
@@ -34,6 +34,6 @@
     try:
         if not caller.greeting.startswith('READY'):
             return CallerAnswer(caller.greeting.split()[1], (), '', '')
-        return caller.ask(text)
+        return caller.execute(text)
     finally:
         caller.close()
--- a/features/steps/platform_path_steps.py
+++ b/features/steps/platform_path_steps.py
@@ -9,7 +9,7 @@
 from behave import when
 import gevent
 
-from features.fakes.asking import ask_once
+from features.fakes.asking import execute_once
 from features.fakes.asking import HANG_S
 from features.fakes.asking import POLL_S
 from features.fakes.asking import until
@@ -35,7 +35,7 @@
         for host in range(hosts):
             until(
                 lambda host=host: (
-                    ask_once(context, 'orders', host, 'READ none').code
+                    execute_once(context, 'orders', host, 'READ none').code
                     == 'DONE'
                 )
             )
@@ -60,7 +60,7 @@
     @when('reads take {took:d} ms at the primary')
     def slow_primary(context: Any, took: int) -> None:
         """Let the primary be slow."""
-        context.deployment.group.primary.read_s = took / 1000
+        context.deployment.group.primary.read_duration_s = took / 1000
 
     @staticmethod
     @when('the primary crashes')
@@ -74,7 +74,7 @@
     def confirm(context: Any, count: int) -> None:
         """Declare synchronous replicas, and wait until they are known."""
         deployment = context.deployment
-        deployment.synchronous = count
+        deployment.synchronous_replicas = count
         deployment.configure({'orders': 'session', 'filings': 'primary'})
         for host in deployment.hosts:
             directory = host.proxy.directory
@@ -108,14 +108,18 @@
             until(lambda g=group: g.state.primary in g.state.members)
             for _ in range(3):
                 host.proxy.changer.replace(group, group.state.primary)
-        assert not context.deployment.duty.orders
+        assert not context.deployment.promotion_server.requests
 
     @staticmethod
     @then('the replicas were held before the promotion')
     def check_held(context: Any) -> None:
         """Check that both replicas were told to hold."""
         servers = context.deployment.group.servers.values()
-        held = [s for s in servers if any('HOLD' in t for _, t in s.seen)]
+        held = [
+            s
+            for s in servers
+            if any('HOLD' in t for _, t in s.received_requests)
+        ]
         assert len(held) == 2, held
 
     @staticmethod
@@ -124,13 +128,13 @@
         """Let the primary be about to stop."""
         group = context.deployment.group
         context.leaving = group.primary.state.member
-        group.leave(context.leaving)
+        group.announce_stop(context.leaving)
 
     @staticmethod
     @when('the primary loses its next answer')
     def lose_answer(context: Any) -> None:
         """Let the primary run a statement and stay silent."""
-        context.deployment.group.primary.lose_answers = 1
+        context.deployment.group.primary.answers_to_withhold = 1
 
     @staticmethod
     @when('the store goes down')
@@ -142,7 +146,7 @@
     @when('the store forgets its history')
     def forget(context: Any) -> None:
         """Drop the history of the store."""
-        context.deployment.store.forget_history()
+        context.deployment.store.discard_history()
 
     @staticmethod
     @when('the store holds a broken entry')
@@ -156,10 +160,10 @@
     @then('one promotion was carried out')
     def check_promotions(context: Any) -> None:
         """Check that exactly one order was taken."""
-        orders = context.deployment.duty.orders
-        taken = [o for o in orders if o[3] == 200]
-        assert len({o[1] for o in taken}) == 1, orders
-        assert len(taken) == 1, orders
+        requests = context.deployment.promotion_server.requests
+        taken = [o for o in requests if o[3] == 200]
+        assert len({o[1] for o in taken}) == 1, requests
+        assert len(taken) == 1, requests
 
     @staticmethod
     @then('another member leads before long')
@@ -198,14 +202,14 @@
         """Write on a session that stays open."""
         context.caller = context.deployment.hosts[host].connect(database)
         context.cleanups.append(context.caller.close)
-        context.answers = [context.caller.ask(f'WRITE {item} {data}')]
+        context.answers = [context.caller.execute(f'WRITE {item} {data}')]
         assert context.answers[0].code == 'DONE', context.answers
 
     @staticmethod
     @then('the same caller reads "{item}" as "{data}"')
     def read_same(context: Any, item: str, data: str) -> None:
         """Read on the same session."""
-        answer = context.caller.ask(f'READ {item}')
+        answer = context.caller.execute(f'READ {item}')
         context.answers.append(answer)
         assert answer.rows == (data,), answer
 
@@ -218,7 +222,7 @@
         context: Any, database: str, item: str, data: str, host: int
     ) -> None:
         """Read on a session of its own."""
-        answer = ask_once(context, database, host, f'READ {item}')
+        answer = execute_once(context, database, host, f'READ {item}')
         assert answer.rows == (data,), answer
 
     @staticmethod
@@ -234,7 +238,7 @@
         """Read again and again on one session."""
         caller = context.deployment.hosts[0].connect(database)
         context.cleanups.append(caller.close)
-        answers = [caller.ask('READ a') for _ in range(count)]
+        answers = [caller.execute('READ a') for _ in range(count)]
         assert all(a.code == 'DONE' for a in answers), answers
         context.answers = answers
 
@@ -252,14 +256,16 @@
         context: Any, database: str, code: str, host: int
     ) -> None:
         """Check the refusal of a session."""
-        assert ask_once(context, database, host, 'READ a').code == code
+        assert execute_once(context, database, host, 'READ a').code == code
 
     @staticmethod
     @then('a caller of "{database}" is served before long at host {host:d}')
     def wait_served(context: Any, database: str, host: int) -> None:
         """Wait until a database is served."""
         until(
-            lambda: ask_once(context, database, host, 'READ a').code == 'DONE'
+            lambda: (
+                execute_once(context, database, host, 'READ a').code == 'DONE'
+            )
         )
 
     @staticmethod
@@ -267,7 +273,9 @@
     def wait_denied(context: Any, database: str, host: int) -> None:
         """Wait until a database is denied."""
         until(
-            lambda: ask_once(context, database, host, 'READ a').code == 'NODB'
+            lambda: (
+                execute_once(context, database, host, 'READ a').code == 'NODB'
+            )
         )
 
     @staticmethod
@@ -278,7 +286,9 @@
     def wait_write(context: Any, database: str, item: str, host: int) -> None:
         """Wait until a write is acknowledged."""
         text = f'WRITE {item} later'
-        until(lambda: ask_once(context, database, host, text).code == 'DONE')
+        until(
+            lambda: execute_once(context, database, host, text).code == 'DONE'
+        )
 
     @staticmethod
     @then(
@@ -290,7 +300,7 @@
         answers = []
 
         def is_answered() -> bool:
-            answer = ask_once(context, database, host, f'READ {item}')
+            answer = execute_once(context, database, host, f'READ {item}')
             answers.append(answer)
             return answer.code == 'DONE'
 
@@ -306,7 +316,7 @@
         context: Any, database: str, item: str, code: str, host: int
     ) -> None:
         """Check what a writer is told."""
-        answer = ask_once(context, database, host, f'WRITE {item} once')
+        answer = execute_once(context, database, host, f'WRITE {item} once')
         assert answer.code == code, answer
 
     @staticmethod
@@ -314,7 +324,7 @@
     def check_once(context: Any, item: str) -> None:
         """Check that the write was sent once."""
         servers = context.deployment.group.servers.values()
-        seen = [t for s in servers for _, t in s.seen]
+        seen = [t for s in servers for _, t in s.received_requests]
         writes = [t for t in seen if t.startswith(f'WRITE {item} ')]
         assert len(writes) == 1, writes
 
@@ -378,7 +388,7 @@
     def say(context: Any, texts: str) -> None:
         """Send statements one by one; each must succeed."""
         for text in texts.split('" and "'):
-            answer = context.caller.ask(text)
+            answer = context.caller.execute(text)
             assert answer.code == 'DONE', (text, answer)
 
     @staticmethod
@@ -395,7 +405,7 @@
             context.deployment.hosts[0].connect(database) for _ in range(count)
         ]
         for caller in callers:
-            caller.ask('SET lang el')
+            caller.execute('SET lang el')
             caller.send('READ other')
         for caller in callers:
             assert caller.read_answer().code == 'DONE'
@@ -405,7 +415,7 @@
     @then('its "{text}" answers "{data}" with the values "{values}"')
     def check_values(context: Any, text: str, data: str, values: str) -> None:
         """Check the answer and the values that the member had."""
-        answer = context.caller.ask(text)
+        answer = context.caller.execute(text)
         assert answer.rows == (data,), answer
         assert answer.signature.split('.')[2] == values, answer
 
@@ -466,7 +476,7 @@
         with gevent.Timeout(HANG_S, AssertionError('hung')):
             while True:
                 try:
-                    answer = caller.ask('READ a')
+                    answer = caller.execute('READ a')
                 except OSError:
                     # Closed between two requests.
                     break
@@ -507,7 +517,7 @@
     @then('the caller is told "{code}" and its session is closed')
     def check_refused(context: Any, code: str) -> None:
         """Check the refusal and the end of the session."""
-        assert context.caller.ask('READ a').code == code
+        assert context.caller.execute('READ a').code == code
         assert context.caller.read_answer().code == ''
 
     @staticmethod
@@ -529,7 +539,7 @@
     """Ask without a pause until the host closes the session."""
     while True:
         try:
-            answer = caller.ask('READ a')
+            answer = caller.execute('READ a')
         except OSError:
             # Closed between two requests.
             return
--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -13,7 +13,7 @@
 from returns.result import Result
 from returns.result import Success
 
-from features.fakes.asking import ask_once
+from features.fakes.asking import execute_once
 from features.fakes.asking import until
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.failure import Failure
@@ -202,11 +202,11 @@
             directory = host.proxy.directory
             until(lambda d=directory: RelayedPathSteps._is_settled(d, hosts))
         for server in context.deployment.group.servers.values():
-            server.callers.clear()
+            server.caller_names.clear()
         for host in range(hosts):
             until(
                 lambda host=host: (
-                    ask_once(context, 'orders', host, 'READ none').code
+                    execute_once(context, 'orders', host, 'READ none').code
                     == 'DONE'
                 )
             )
@@ -223,7 +223,7 @@
     def check_holders(context: Any) -> None:
         """Check who has opened connections since all hosts are known."""
         for server in context.deployment.group.servers.values():
-            assert len(set(server.callers)) <= 1, server.callers
+            assert len(set(server.caller_names)) <= 1, server.caller_names
 
     @staticmethod
     @then('no connection stays lent')
@@ -257,7 +257,7 @@
         context.answers = []
         while not drain.ready() or len(context.answers) < 20:
             item = len(context.answers)
-            answer = context.caller.ask(f'WRITE w{item} {item}')
+            answer = context.caller.execute(f'WRITE w{item} {item}')
             context.answers.append(answer)
 
     @staticmethod
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -13,12 +13,12 @@
 from trefoilpulley_emulator.member_log import GroupLog
 from trefoilpulley_emulator.member_log import Record
 from trefoilpulley_emulator.soak.faults import draw_faults
-from trefoilpulley_emulator.soak.promises import Cut
-from trefoilpulley_emulator.soak.promises import Journal
+from trefoilpulley_emulator.soak.promises import FaultInterval
+from trefoilpulley_emulator.soak.promises import History
+from trefoilpulley_emulator.soak.promises import InterruptedRequest
+from trefoilpulley_emulator.soak.promises import ObservedRead
+from trefoilpulley_emulator.soak.promises import ObservedWrite
 from trefoilpulley_emulator.soak.promises import Outcome
-from trefoilpulley_emulator.soak.promises import Reading
-from trefoilpulley_emulator.soak.promises import Span
-from trefoilpulley_emulator.soak.promises import Writing
 from trefoilpulley_emulator.soak.soak import Soak
 
 ONE = Record(1, (('a', 'a.1'),), 0.0)
@@ -56,7 +56,7 @@
     @given('a soak in which half of a transaction took effect')
     def halve(context: Any) -> None:
         """Commit one of two writes."""
-        both = Writing((('a', 1), ('b', 2)), 1.0, Outcome.UNKNOWN)
+        both = ObservedWrite((('a', 1), ('b', 2)), 1.0, Outcome.UNKNOWN)
         VerdictSteps._judge(context, [ONE], [both])
 
     @staticmethod
@@ -69,7 +69,7 @@
             context,
             [ONE],
             [VerdictSteps._write(Outcome.DONE)],
-            reading=Reading('filings', 'a', '-', 1.1),
+            read=ObservedRead('filings', 'a', '-', 1.1),
         )
 
     @staticmethod
@@ -80,7 +80,7 @@
             context,
             [ONE],
             [VerdictSteps._write(Outcome.DONE)],
-            reading=Reading('orders', 'a', '-', 1.1, 1),
+            read=ObservedRead('orders', 'a', '-', 1.1, 1),
         )
 
     @staticmethod
@@ -88,7 +88,7 @@
     def mix(context: Any) -> None:
         """Answer with what another caller asked for."""
         VerdictSteps._judge(
-            context, [], [], reading=Reading('orders', 'a', 'b.1', 1.1)
+            context, [], [], read=ObservedRead('orders', 'a', 'b.1', 1.1)
         )
 
     @staticmethod
@@ -96,21 +96,32 @@
     def cut_write(context: Any) -> None:
         """Cut a request that was passed on."""
         VerdictSteps._judge(
-            context, [], [], cut=Cut('h', 'WRITE a a.1', 9.99, 10.0)
+            context,
+            [],
+            [],
+            interrupted=InterruptedRequest('h', 'WRITE a a.1', 9.99, 10.0),
         )
 
     @staticmethod
     @given('a soak in which a planned stop cut a read that had waited for 1 s')
     def cut_read(context: Any) -> None:
         """Cut a request that had been read for long."""
-        VerdictSteps._judge(context, [], [], cut=Cut('h', 'READ a', 9.0, 10.0))
+        VerdictSteps._judge(
+            context,
+            [],
+            [],
+            interrupted=InterruptedRequest('h', 'READ a', 9.0, 10.0),
+        )
 
     @staticmethod
     @given('a soak in which a planned stop met a request that was on its way')
     def cross(context: Any) -> None:
         """Close a session just as its next request leaves."""
         VerdictSteps._judge(
-            context, [], [], cut=Cut('h', 'READ a', 9.999, 10.0)
+            context,
+            [],
+            [],
+            interrupted=InterruptedRequest('h', 'READ a', 9.999, 10.0),
         )
 
     @staticmethod
@@ -121,8 +132,8 @@
             context,
             [],
             [],
-            cut=Cut('h', 'READ a', 9.0, 10.0),
-            fault=Span(8.0, 9.5),
+            interrupted=InterruptedRequest('h', 'READ a', 9.0, 10.0),
+            fault=FaultInterval(8.0, 9.5),
         )
 
     @staticmethod
@@ -141,15 +152,15 @@
             context,
             [ONE],
             [VerdictSteps._write(Outcome.DONE)],
-            reading=Reading('lookups', 'a', '-', 3.4),
+            read=ObservedRead('lookups', 'a', '-', 3.4),
         )
 
     @staticmethod
-    @then('it says that "{promise}" was broken')
-    def check_broken(context: Any, promise: str) -> None:
+    @then('it says that "{guarantee}" was broken')
+    def check_broken(context: Any, guarantee: str) -> None:
         """Check that this promise and no other is named."""
-        found = {b.promise for b in context.found}
-        assert found == {promise}, context.found
+        found = {b.guarantee for b in context.found}
+        assert found == {guarantee}, context.found
 
     @staticmethod
     @then('it says that no promise was broken')
@@ -158,26 +169,28 @@
         assert not context.found, context.found
 
     @staticmethod
-    def _write(outcome: Outcome) -> Writing:
-        return Writing(WRITE_OF_ONE, 1.0, outcome)
+    def _write(outcome: Outcome) -> ObservedWrite:
+        return ObservedWrite(WRITE_OF_ONE, 1.0, outcome)
 
     @staticmethod
     def _judge(
         context: Any,
         log: list[Record],
-        writings: list[Writing],
+        observed_writes: list[ObservedWrite],
         rolled_back: list[Record] | None = None,
-        reading: Reading | None = None,
-        cut: Cut | None = None,
-        fault: Span | None = None,
+        read: ObservedRead | None = None,
+        interrupted: InterruptedRequest | None = None,
+        fault: FaultInterval | None = None,
     ) -> None:
-        journal = Journal()
-        journal.writings = writings
-        journal.readings = [reading] if reading else []
-        journal.cuts = [cut] if cut else []
-        journal.stops = [Span(8.0, 12.0, 'h')]
-        journal.faults = [fault] if fault else []
-        context.found = journal.judge(log, rolled_back or [], {'WRITE a a.1'})
+        history = History()
+        history.observed_writes = observed_writes
+        history.observed_reads = [read] if read else []
+        history.interrupted_requests = [interrupted] if interrupted else []
+        history.planned_stops = [FaultInterval(8.0, 12.0, 'h')]
+        history.unplanned_faults = [fault] if fault else []
+        context.found = history.find_violations(
+            log, rolled_back or [], {'WRITE a a.1'}
+        )
 
 
 class SoakSteps:
