--- a/features/platform_adapter_codec.feature
+++ b/features/platform_adapter_codec.feature
@@ -1,16 +1,16 @@
-Feature: What the adapter to the platform decodes
+Feature: Decoding of the platform's line protocol, settings and entries
 
-  Scenario: any line of a caller is a command or is refused
-    Then 500 generated lines of callers are decoded without an error
+  Scenario: any line of a caller is parsed or rejected as invalid
+    Then 500 generated caller lines are parsed without an exception
 
-  Scenario: no request can hide in another
-    Then requests with a lone line feed or carriage return are refused
+  Scenario: a line break inside a request cannot inject another request
+    Then requests with a lone line feed or carriage return are rejected
 
-  Scenario: any lines of a member are a reply or a fault of the protocol
-    Then 500 generated replies of members are decoded or refused as faults
+  Scenario: any reply of a member is parsed or rejected as a protocol error
+    Then 500 generated member replies are parsed or rejected as protocol errors
 
-  Scenario Outline: what a caller gets names what is true
-    Then the failure <failure> is told as "<code>"
+  Scenario Outline: each failure is reported to the caller with its code
+    Then the failure <failure> is formatted with the code "<code>"
 
     Examples:
       | failure             | code    |
@@ -26,17 +26,17 @@
       | UnknownDatabase     | NODB    |
       | WrongMember         | BUSY    |
 
-  Scenario: no failure that may have run is told as a promise
-    Then every failure of the catalogue is told by its run state
+  Scenario: a failure that may have run has no code that rules out an effect
+    Then codes that rule out an effect are used only for failures that have not run
 
-  Scenario: the settings of the platform are decoded
-    Given the platform's settings
-    Then the host is "front-a-1" of zone "a" with peers on port 7440
+  Scenario: platform settings are decoded
+    Given valid platform settings
+    Then the settings name host "front-a-1" in zone "a" with peer port 7440
     And metrics are served on port 9464 at "/metrics"
 
-  Scenario Outline: a setting that is missing or wrong is named
-    Given the platform's settings with <change>
-    Then the settings are refused with "<text>"
+  Scenario Outline: a missing or invalid setting is named in the error
+    Given platform settings with the change: <change>
+    Then the platform settings are rejected with "<text>"
 
     Examples:
       | change                            | text                              |
@@ -48,9 +48,9 @@
       | port_range missing                | port_range is not                 |
       | ip missing                        | ip is missing                     |
 
-  Scenario Outline: an entry with a missing or wrong field names no member
-    Given a member's entry with <change>
-    Then the entry is refused
+  Scenario Outline: a member entry with a missing or invalid field is rejected
+    Given a member entry with the change: <change>
+    Then the member entry is rejected
 
     Examples:
       | change               |
@@ -63,6 +63,6 @@
       | born 1.5             |
       | zone ""              |
 
-  Scenario: a whole entry names a member
-    Given a member's entry with nothing
-    Then the entry names a replica of zone "a"
+  Scenario: a valid member entry is decoded
+    Given a member entry with the change: nothing
+    Then the member entry describes a replica in zone "a"
--- a/features/steps/platform_adapter_codec_steps.py
+++ b/features/steps/platform_adapter_codec_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what the adapter to the platform decodes."""
+"""Steps for the line codec, platform settings and member entries."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from trefoilpulley_platform.line_codec import parse_reply
 from trefoilpulley_platform.platform_settings import parse_settings
 
-PROMISES = {
+NO_EFFECT_CODES = {
     'BUSY',
     'ABORTED',
     'BEHIND',
@@ -32,7 +32,7 @@
     'MISROUTED',
     'TOOMANY',
 }
-"""Codes that promise that nothing was kept."""
+"""Error codes which guarantee that the request had no effect."""
 
 SETTINGS = {
     'node_name': 'front-a-1',
@@ -48,7 +48,7 @@
     'cloud_api.address': '10.200.0.160:8783',
     'a.new.field': 'x',
 }
-"""Settings as the platform writes them."""
+"""Valid settings in the platform's format, with an unknown field."""
 
 ENTRY = {
     'service': 'ledger',
@@ -62,9 +62,9 @@
     'sequence': 4,
     'born': 1772896673064,
 }
-"""Entry as a member writes it."""
+"""Valid entry in the format that a member writes."""
 
-_WORDS = strategies.sampled_from(
+_TOKENS = strategies.sampled_from(
     (
         'QUERY',
         'BYE',
@@ -89,17 +89,17 @@
     )
 )
 _LINES = strategies.lists(
-    strategies.one_of(_WORDS, strategies.text(max_size=5)), max_size=6
+    strategies.one_of(_TOKENS, strategies.text(max_size=5)), max_size=6
 ).map(' '.join)
 
 
-class CodecSteps:
-    """Steps on the line protocol."""
+class LineCodecSteps:
+    """Steps for the codec of the line protocol."""
 
     @staticmethod
-    @then('{count:d} generated lines of callers are decoded without an error')
-    def decode_commands(context: Any, count: int) -> None:
-        """Decode lines of known words and noise."""
+    @then('{count:d} generated caller lines are parsed without an exception')
+    def check_commands_parsed(context: Any, count: int) -> None:
+        """Parse caller lines of protocol tokens and random text."""
 
         @hypothesis.settings(
             max_examples=count, derandomize=True, database=None, deadline=None
@@ -111,21 +111,24 @@
         check()
 
     @staticmethod
-    @then('requests with a lone line feed or carriage return are refused')
-    def check_hidden(context: Any) -> None:
-        """Check that a line end inside a request is refused."""
-        for mark in '\n\r':
+    @then('requests with a lone line feed or carriage return are rejected')
+    def check_line_breaks_rejected(context: Any) -> None:
+        """Check that a line break inside a request makes it invalid."""
+        for line_break in '\n\r':
             for text in ('READ a{}QUERY 2 WRITE b c', 'SET n{}v x'):
-                command = parse_command('QUERY 1 ' + text.format(mark))
+                command = parse_command('QUERY 1 ' + text.format(line_break))
                 assert isinstance(command, Unreadable), command
 
     @staticmethod
     @then(
-        '{count:d} generated replies of members are decoded or refused as '
-        'faults'
+        '{count:d} generated member replies are parsed or rejected as '
+        'protocol errors'
     )
-    def decode_replies(context: Any, count: int) -> None:
-        """Decode lines of known words and noise."""
+    def check_replies_parsed(context: Any, count: int) -> None:
+        """Parse member replies of protocol tokens and random text.
+
+        A parsed reply must be a failure or end with ``DONE``.
+        """
 
         @hypothesis.settings(
             max_examples=count, derandomize=True, database=None, deadline=None
@@ -145,35 +148,38 @@
         check()
 
     @staticmethod
-    @then('the failure {name} is told as "{code}"')
-    def check_code(context: Any, name: str, code: str) -> None:
-        """Check the code of a failure."""
+    @then('the failure {name} is formatted with the code "{code}"')
+    def check_failure_code(context: Any, name: str, code: str) -> None:
+        """Compare the code of a formatted failure."""
         kind = next(k for k in catalogue().values() if k.__name__ == name)
         assert format_failure(kind()).split()[1] == code
 
     @staticmethod
-    @then('every failure of the catalogue is told by its run state')
-    def check_promises(context: Any) -> None:
-        """Check that promises are told for what has not run alone."""
+    @then(
+        'codes that rule out an effect are used only for failures that have '
+        'not run'
+    )
+    def check_no_effect_codes(context: Any) -> None:
+        """Check the codes of all failures in the catalogue."""
         for kind in catalogue().values():
             code = format_failure(kind('two\r\nlines')).split()[1]
-            if code in PROMISES:
+            if code in NO_EFFECT_CODES:
                 assert kind.run_state is RunState.NOT_RUN, kind
 
 
 class PlatformSettingsSteps:
-    """Steps on the platform's settings file."""
+    """Steps for the platform's settings file."""
 
     @staticmethod
-    @given("the platform's settings")
-    def make(context: Any) -> None:
-        """Take the settings as they are."""
+    @given('valid platform settings')
+    def make_settings(context: Any) -> None:
+        """Use the valid settings unchanged."""
         context.fields = dict(SETTINGS)
 
     @staticmethod
-    @given("the platform's settings with {change}")
-    def make_changed(context: Any, change: str) -> None:
-        """Change one field."""
+    @given('platform settings with the change: {change}')
+    def make_changed_settings(context: Any, change: str) -> None:
+        """Remove a field (``NAME missing``) or set it (``NAME=VALUE``)."""
         context.fields = dict(SETTINGS)
         if change.endswith(' missing'):
             del context.fields[change.removesuffix(' missing')]
@@ -182,9 +188,14 @@
             context.fields[name] = value
 
     @staticmethod
-    @then('the host is "{host}" of zone "{zone}" with peers on port {port:d}')
-    def check_host(context: Any, host: str, zone: str, port: int) -> None:
-        """Check the product's settings."""
+    @then(
+        'the settings name host "{host}" in zone "{zone}" with peer port '
+        '{port:d}'
+    )
+    def check_host_settings(
+        context: Any, host: str, zone: str, port: int
+    ) -> None:
+        """Compare the host, zone and peer port of the proxy settings."""
         cfg = PlatformSettingsSteps._parse(context).unwrap()
         assert (cfg.proxy.host, cfg.proxy.zone) == (host, zone)
         assert cfg.proxy.peer_listen.port == port
@@ -192,15 +203,15 @@
 
     @staticmethod
     @then('metrics are served on port {port:d} at "{path}"')
-    def check_metrics(context: Any, port: int, path: str) -> None:
-        """Check the address of the metrics."""
+    def check_metrics_address(context: Any, port: int, path: str) -> None:
+        """Compare the port and path of the metrics."""
         assert context.cfg.metrics.port == port
         assert context.cfg.metrics_path == path
 
     @staticmethod
-    @then('the settings are refused with "{text}"')
-    def check_refused(context: Any, text: str) -> None:
-        """Check that the fault names the field."""
+    @then('the platform settings are rejected with "{text}"')
+    def check_settings_rejected(context: Any, text: str) -> None:
+        """Check that the error names the field."""
         failure = PlatformSettingsSteps._parse(context).failure()
         assert text in failure.detail, failure
 
@@ -210,13 +221,16 @@
         return parse_settings('\n'.join(lines), '9464/metrics')
 
 
-class EntrySteps:
-    """Steps on the members' entries."""
+class MemberEntrySteps:
+    """Steps for member entries."""
 
     @staticmethod
-    @given("a member's entry with {change}")
-    def make(context: Any, change: str) -> None:
-        """Write an entry with one field changed."""
+    @given('a member entry with the change: {change}')
+    def make_entry(context: Any, change: str) -> None:
+        """Remove a field (``NAME missing``) or set it (``NAME JSON``).
+
+        A change of one word, such as ``nothing``, leaves the entry valid.
+        """
         entry = dict(ENTRY)
         name, _, value = change.partition(' ')
         if value == 'missing':
@@ -226,20 +240,20 @@
         context.entry = json.dumps(entry).encode()
 
     @staticmethod
-    @then('the entry is refused')
-    def check_refused(context: Any) -> None:
-        """Check that the entry names nobody."""
-        found = EntrySteps._read(context)
+    @then('the member entry is rejected')
+    def check_entry_rejected(context: Any) -> None:
+        """Check that the entry is not decoded."""
+        found = MemberEntrySteps._decode(context)
         assert not isinstance(found, Success), found
 
     @staticmethod
-    @then('the entry names a replica of zone "{zone}"')
-    def check_member(context: Any, zone: str) -> None:
-        """Check the member."""
-        record = EntrySteps._read(context).unwrap()
+    @then('the member entry describes a replica in zone "{zone}"')
+    def check_entry_decoded(context: Any, zone: str) -> None:
+        """Compare the identifier, zone and role of the member."""
+        record = MemberEntrySteps._decode(context).unwrap()
         assert (record.member, record.zone) == ('i-1', zone)
         assert not record.is_primary
 
     @staticmethod
-    def _read(context: Any) -> Any:
+    def _decode(context: Any) -> Any:
         return KvDocuments().read_member('servers/i-1', context.entry)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the adapter of the platform's service."""
+"""Steps for the etcd adapter of the platform service."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 from trefoilpulley_standins.platform.settings import ZoneView
 
 PREFIX = '/test/'
-"""Prefix of the key."""
+"""Prefix that the steps read and watch."""
 
 KEY = '/test/key'
-"""Key that every step uses."""
+"""Key that the steps write and read."""
 
 ANSWER_TIMEOUT_S = 0.3
-"""Longest wait of the adapter, in seconds."""
+"""Maximum time that the adapter waits for an answer, in seconds."""
 
 EVENT_TIMEOUT_S = 5.0
-"""Bound on the wait for an event that must come, in seconds."""
+"""Maximum wait for an expected event, in seconds."""
 
 
-class PlatformSteps:
-    """Steps that call the stand-in service."""
+class EtcdAdapterSteps:
+    """Steps that call the stand-in service through the adapter."""
 
     @staticmethod
-    @given('a platform service with an adapter')
-    def start(context: Any) -> None:
-        """Start the service with a port of one zone."""
+    @given('a platform service and an adapter')
+    def start_service(context: Any) -> None:
+        """Start a service with a single zone."""
         ports = PortAllocator()
         control, listen = ports.next(), ports.next()
         ports.release()
@@ -54,27 +54,27 @@
 
     @staticmethod
     @given('the platform service is down')
-    def take_down(context: Any) -> None:
-        """Refuse connections and break those that are open."""
+    def take_service_down(context: Any) -> None:
+        """Refuse new connections and close the open ones."""
         context.service.order({'is_down': True})
 
     @staticmethod
-    @given('the platform service loses the answer to {count:d} write')
-    def lose_answers(context: Any, count: int) -> None:
-        """Let writes take effect without an answer."""
+    @given('the platform service drops the answer to {count:d} write')
+    def drop_write_answers(context: Any, count: int) -> None:
+        """Apply the next writes without answering."""
         context.service.order({'lose_answers': count})
 
     @staticmethod
-    @given('the platform service is slower than the adapter waits')
-    def slow_down(context: Any) -> None:
-        """Add more time to each call than the adapter waits."""
+    @given("the platform service answers later than the adapter's timeout")
+    def delay_answers(context: Any) -> None:
+        """Delay each answer by twice the adapter's timeout."""
         slow_ms = 2000 * ANSWER_TIMEOUT_S
         context.service.order({'slow_ms': slow_ms})
 
     @staticmethod
     @given('the adapter watches the prefix')
-    def watch(context: Any) -> None:
-        """Begin a watch."""
+    def start_watch(context: Any) -> None:
+        """Start a watch and collect what it reports."""
         context.changes = Queue()
         context.failures = Queue()
         context.watch = context.adapter.watch(
@@ -83,16 +83,16 @@
 
     @staticmethod
     @given('the platform watch is cancelled')
-    def cancel(context: Any) -> None:
-        """End the watch and begin another beside it."""
+    def cancel_watch(context: Any) -> None:
+        """Cancel the watch and start another watch of the prefix."""
         context.watch.cancel()
         context.others = Queue()
         context.adapter.watch(PREFIX, context.others.put, context.others.put)
 
     @staticmethod
-    @when('the adapter writes "{value}" upon revision {revision:d}')
-    def write(context: Any, value: str, revision: int) -> None:
-        """Write the key."""
+    @when('the adapter writes "{value}" with expected revision {revision:d}')
+    def write_key(context: Any, value: str, revision: int) -> None:
+        """Write the key if it has the expected revision."""
         written = context.adapter.compare_and_swap(
             KEY, revision, value.encode()
         )
@@ -101,7 +101,7 @@
     @staticmethod
     @when('the adapter writes "{value}" under a lease of {ttl:d} s')
     def write_under_lease(context: Any, value: str, ttl: int) -> None:
-        """Write the key under a new lease."""
+        """Write the key and bind it to a new lease."""
         lease = context.adapter.grant_lease(ttl).unwrap()
         context.lease_id = lease.lease_id
         written = context.adapter.compare_and_swap(
@@ -111,112 +111,118 @@
 
     @staticmethod
     @when('the adapter deletes the key')
-    def delete(context: Any) -> None:
-        """Delete the key by its revision."""
+    def delete_key(context: Any) -> None:
+        """Delete the key if it has the last written revision."""
         deleted = context.adapter.delete(KEY, context.revision)
         assert isinstance(deleted, Success), deleted
 
     @staticmethod
-    @when('the platform lease lapses')
-    def lapse(context: Any) -> None:
-        """End the lease at the service."""
+    @when('the platform lease expires')
+    def expire_lease(context: Any) -> None:
+        """Let the service end the lease of the key."""
         context.service.order({'lapse_key': KEY})
 
     @staticmethod
     @then('the adapter reads "{value}"')
     def check_value(context: Any, value: str) -> None:
-        """Compare the key's value."""
+        """Compare the value of the key."""
         found = context.adapter.get(KEY).unwrap()
         assert found.value == value.encode()
 
     @staticmethod
-    @then('the adapter reads nothing')
-    def check_absent(context: Any) -> None:
-        """Expect no key."""
+    @then('the adapter finds no key')
+    def check_key_absent(context: Any) -> None:
+        """Check that the key does not exist."""
         assert context.adapter.get(KEY) == Success(None)
 
     @staticmethod
-    @then('the platform prefix lists the key with "{value}"')
-    def check_prefix(context: Any, value: str) -> None:
-        """Compare what a prefix holds."""
+    @then('a prefix read returns the key with "{value}"')
+    def check_prefix_read(context: Any, value: str) -> None:
+        """Compare the only entry under the prefix."""
         expected = KeyValue(KEY, value.encode(), context.revision)
         assert context.adapter.get_prefix(PREFIX).unwrap() == (expected,)
 
     @staticmethod
-    @then("the platform prefix lists the key's revision alone")
-    def check_revisions(context: Any) -> None:
-        """Compare the keys without their values."""
+    @then('a prefix read of revisions returns the key without its value')
+    def check_prefix_revisions(context: Any) -> None:
+        """Compare the only key and revision under the prefix."""
         expected = KeyValue(KEY, b'', context.revision)
         assert context.adapter.get_revisions(PREFIX).unwrap() == (expected,)
 
     @staticmethod
-    @then('the platform lease is renewed for at most {ttl:d} s')
-    def check_renewed(context: Any, ttl: int) -> None:
-        """Expect the life less the time of the call."""
+    @then('the platform lease is renewed for less than {ttl:d} s')
+    def check_lease_renewed(context: Any, ttl: int) -> None:
+        """Check that the duration of the call is deducted from the TTL."""
         lease = context.adapter.keep_alive(context.lease_id).unwrap()
         assert 0 < lease.ttl_s < ttl
 
     @staticmethod
     @then("the platform lease can't be renewed")
-    def check_expired(context: Any) -> None:
-        """Expect the lease to be gone."""
+    def check_lease_expired(context: Any) -> None:
+        """Check that the lease no longer exists."""
         found = context.adapter.keep_alive(context.lease_id)
         assert found.failure().code == 'lease-expired'
 
     @staticmethod
     @then('a platform write under the lease fails with "{code}"')
-    def check_lease_write(context: Any, code: str) -> None:
-        """Write under the lease that is gone."""
+    def check_lease_write_fails(context: Any, code: str) -> None:
+        """Write under the expired lease and compare the error code."""
         written = context.adapter.compare_and_swap(
             KEY, 0, b'late', context.lease_id
         )
         assert written.failure().code == code
 
     @staticmethod
-    @then('a platform write upon revision {revision:d} fails with "{code}"')
+    @then(
+        'a platform write with expected revision {revision:d} fails with '
+        '"{code}"'
+    )
     def check_write_fails(context: Any, revision: int, code: str) -> None:
-        """Write and compare the failure."""
+        """Write the key and compare the error code."""
         written = context.adapter.compare_and_swap(KEY, revision, b'lost')
         assert written.failure().code == code, written
 
     @staticmethod
     @then('a platform read fails with "{code}"')
     def check_read_fails(context: Any, code: str) -> None:
-        """Read and compare the failure."""
+        """Read the key and compare the error code."""
         assert context.adapter.get(KEY).failure().code == code
 
     @staticmethod
-    @then('a platform lease fails with "{code}"')
-    def check_lease_fails(context: Any, code: str) -> None:
-        """Ask for a lease and compare the failure."""
+    @then('a platform lease grant fails with "{code}"')
+    def check_lease_grant_fails(context: Any, code: str) -> None:
+        """Request a lease and compare the error code."""
         assert context.adapter.grant_lease(5).failure().code == code
 
     @staticmethod
     @then('the platform watch reports "{value}"')
-    def check_report(context: Any, value: str) -> None:
-        """Wait for the next change."""
+    def check_watch_reports(context: Any, value: str) -> None:
+        """Wait for the next reported change and compare it."""
         change = context.changes.get(timeout=EVENT_TIMEOUT_S)
         assert change == KeyValue(KEY, value.encode(), context.revision)
 
     @staticmethod
-    @then('the platform watch reports nothing left')
-    def check_deletion(context: Any) -> None:
-        """Wait for the deletion."""
+    @then('the platform watch reports the deletion of the key')
+    def check_watch_reports_deletion(context: Any) -> None:
+        """Wait for the next reported change, which must be the deletion."""
         change = context.changes.get(timeout=EVENT_TIMEOUT_S)
         assert (change.key, change.value) == (KEY, b'')
 
     @staticmethod
     @then('the platform watch fails once with "{code}"')
     def check_watch_fails(context: Any, code: str) -> None:
-        """Wait for the failure."""
+        """Wait for the failure and check that it was reported only once."""
         failure = context.failures.get(timeout=EVENT_TIMEOUT_S)
         assert failure.code == code
         assert context.failures.empty()
 
     @staticmethod
     @then('the platform watch has reported nothing')
-    def check_silence(context: Any) -> None:
-        """Expect neither a change nor a failure once another has one."""
+    def check_watch_silent(context: Any) -> None:
+        """Check that the cancelled watch reported nothing.
+
+        The other watch must have reported the change first.
+        """
         context.others.get(timeout=EVENT_TIMEOUT_S)
         assert context.changes.empty()
         assert context.failures.empty()
@@ -226,10 +232,10 @@
         'the adapter has counted {writes:d} writes, {leases:d} lease, '
         '{watches:d} watch and no failure'
     )
-    def check_counts(
+    def check_call_counts(
         context: Any, writes: int, leases: int, watches: int
     ) -> None:
-        """Compare the counts."""
+        """Compare the call counts of the adapter."""
         counts = context.adapter.counts
         assert (counts.writes, counts.leases) == (writes, leases)
         assert (counts.watches, counts.failures) == (watches, 0)
