--- a/features/fakes/asking.py
+++ b/features/fakes/asking.py
@@ -12,18 +12,18 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-HANG_S = 60.0
+HANG_TIMEOUT_S = 60.0
 """Time after which a scenario counts as hung, in seconds."""
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 """Pause between two tries, in seconds."""
 
 
-def until(is_done: Callable[[], bool]) -> None:
+def wait_until(is_done: Callable[[], bool]) -> None:
     """Try until a condition holds; only a hang ends it early."""
-    with gevent.Timeout(HANG_S, AssertionError('hung')):
+    with gevent.Timeout(HANG_TIMEOUT_S, AssertionError('hung')):
         while not is_done():
-            gevent.sleep(POLL_S)
+            gevent.sleep(POLL_INTERVAL_S)
 
 
 def execute_once(
--- a/features/steps/platform_path_steps.py
+++ b/features/steps/platform_path_steps.py
@@ -10,9 +10,9 @@
 import gevent
 
 from features.fakes.asking import execute_once
-from features.fakes.asking import HANG_S
-from features.fakes.asking import POLL_S
-from features.fakes.asking import until
+from features.fakes.asking import HANG_TIMEOUT_S
+from features.fakes.asking import POLL_INTERVAL_S
+from features.fakes.asking import wait_until
 from trefoilpulley_emulator.caller import Caller
 from trefoilpulley_emulator.caller import CallerAnswer
 from trefoilpulley_emulator.deployment import EmulatedDeployment
@@ -33,7 +33,7 @@
         context.cleanups.append(context.deployment.stop)
         context.deployment.start()
         for host in range(hosts):
-            until(
+            wait_until(
                 lambda host=host: (
                     execute_once(context, 'orders', host, 'READ none').code
                     == 'DONE'
@@ -78,7 +78,7 @@
         deployment.configure({'orders': 'session', 'filings': 'primary'})
         for host in deployment.hosts:
             directory = host.proxy.directory
-            until(
+            wait_until(
                 lambda d=directory: (
                     d.groups['ledger'].synchronous_replicas == count
                 )
@@ -105,7 +105,7 @@
         """Let every host decide some times; none may act."""
         for host in context.deployment.hosts:
             group = host.proxy.directory.groups['ledger']
-            until(lambda g=group: g.state.primary in g.state.members)
+            wait_until(lambda g=group: g.state.primary in g.state.members)
             for _ in range(3):
                 host.proxy.changer.replace(group, group.state.primary)
         assert not context.deployment.promotion_server.requests
@@ -170,7 +170,7 @@
     def check_handover(context: Any) -> None:
         """Wait until the leaving member no longer leads."""
         group = context.deployment.group
-        until(
+        wait_until(
             lambda: (
                 group.log.primary is not None
                 and group.log.primary.member != context.leaving
@@ -262,7 +262,7 @@
     @then('a caller of "{database}" is served before long at host {host:d}')
     def wait_served(context: Any, database: str, host: int) -> None:
         """Wait until a database is served."""
-        until(
+        wait_until(
             lambda: (
                 execute_once(context, database, host, 'READ a').code == 'DONE'
             )
@@ -272,7 +272,7 @@
     @then('a caller of "{database}" is denied before long at host {host:d}')
     def wait_denied(context: Any, database: str, host: int) -> None:
         """Wait until a database is denied."""
-        until(
+        wait_until(
             lambda: (
                 execute_once(context, database, host, 'READ a').code == 'NODB'
             )
@@ -286,7 +286,7 @@
     def wait_write(context: Any, database: str, item: str, host: int) -> None:
         """Wait until a write is acknowledged."""
         text = f'WRITE {item} later'
-        until(
+        wait_until(
             lambda: execute_once(context, database, host, text).code == 'DONE'
         )
 
@@ -304,7 +304,7 @@
             answers.append(answer)
             return answer.code == 'DONE'
 
-        until(is_answered)
+        wait_until(is_answered)
         assert answers[-1].rows != ('-',), answers[-1]
 
     @staticmethod
@@ -344,7 +344,7 @@
         deployment.configure({'orders': 'session', 'last': 'session'})
         for host in deployment.hosts:
             directory = host.proxy.directory
-            until(lambda d=directory: 'last' in d.table.routes)
+            wait_until(lambda d=directory: 'last' in d.table.routes)
 
     @staticmethod
     @then('each host has made less than {most:d} calls for them')
@@ -361,7 +361,7 @@
         deployment = context.deployment
         deployment.store.calls.clear()
         host = deployment.add_host()
-        until(lambda: host.proxy.directory.is_loaded)
+        wait_until(lambda: host.proxy.directory.is_loaded)
         context.calls = list(deployment.store.calls)
 
     @staticmethod
@@ -473,7 +473,7 @@
     def check_drain(context: Any) -> None:
         """Ask until the session ends; no request may be cut."""
         caller: Caller = context.caller
-        with gevent.Timeout(HANG_S, AssertionError('hung')):
+        with gevent.Timeout(HANG_TIMEOUT_S, AssertionError('hung')):
             while True:
                 try:
                     answer = caller.execute('READ a')
@@ -483,7 +483,7 @@
                 if not answer.code:
                     break
                 assert answer.code == 'DONE', answer
-                gevent.sleep(POLL_S)
+                gevent.sleep(POLL_INTERVAL_S)
             context.drain.join()
 
     @staticmethod
--- a/features/steps/proxy_overload_steps.py
+++ b/features/steps/proxy_overload_steps.py
@@ -12,8 +12,8 @@
 from gevent.event import Event
 from returns.result import Success
 
-from features.fakes.asking import HANG_S
-from features.fakes.asking import until
+from features.fakes.asking import HANG_TIMEOUT_S
+from features.fakes.asking import wait_until
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.failure import Failure
 from trefoilpulley_core.failure import Overloaded
@@ -167,19 +167,19 @@
         """Send work faster than the member serves it."""
         pool = context.access.own
         FullMemberSteps._send(context, one, first)
-        until(lambda: context.served == [one])
+        wait_until(lambda: context.served == [one])
         for count, (name, priority) in enumerate(
             ((two, second), (three, third))
         ):
             FullMemberSteps._send(context, name, priority)
-            until(lambda c=count: pool.waiting == c + 1)
+            wait_until(lambda c=count: pool.waiting == c + 1)
 
     @staticmethod
     @when('the statements end one after the other')
     def end(context: Any) -> None:
         """Let each statement end once it is at the member."""
         for count in range(len(context.gates)):
-            until(lambda c=count: len(context.served) == c + 1)
+            wait_until(lambda c=count: len(context.served) == c + 1)
             context.gates[context.served[-1]].set()
 
     @staticmethod
@@ -220,7 +220,7 @@
             SessionState(),
             now + left / 1000,
         )
-        until(lambda: pool.waiting == before + 1)
+        wait_until(lambda: pool.waiting == before + 1)
 
     @staticmethod
     @then('a statement of an open transaction is sent without a wait')
@@ -228,7 +228,7 @@
         """Send a statement on a connection that was lent before."""
         conn = context.access.own._dial(context.clock.now() + FAR_S).unwrap()
         FullMemberSteps._exchange(context, conn, 't')
-        until(lambda: 't' in context.served)
+        wait_until(lambda: 't' in context.served)
 
     @staticmethod
     def _send(context: Any, name: str, priority: int) -> None:
@@ -274,7 +274,7 @@
             gevent.spawn(pool.acquire, 1, deadline, SessionState())
             for _ in range(2)
         ]
-        until(lambda: pool.waiting == 2)
+        wait_until(lambda: pool.waiting == 2)
 
     @staticmethod
     @when('the connection comes free and the first of them is ended')
@@ -288,7 +288,7 @@
     @then('the second one has the connection')
     def check(context: Any) -> None:
         """Check that the connection was not lost."""
-        with gevent.Timeout(HANG_S, AssertionError('hung')):
+        with gevent.Timeout(HANG_TIMEOUT_S, AssertionError('hung')):
             lent = context.waiting[1].get()
         assert lent.unwrap() is context.lent
 
@@ -375,7 +375,7 @@
     @staticmethod
     def _check(run: Callable[[], Any]) -> None:
         """Check the refusal; a wait for a primary would hang."""
-        with gevent.Timeout(HANG_S, AssertionError('hung')):
+        with gevent.Timeout(HANG_TIMEOUT_S, AssertionError('hung')):
             done = run()
         assert done.failure().run_state is RunState.NOT_RUN, done
 
--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -14,7 +14,7 @@
 from returns.result import Success
 
 from features.fakes.asking import execute_once
-from features.fakes.asking import until
+from features.fakes.asking import wait_until
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.failure import Failure
 from trefoilpulley_core.failure import RunState
@@ -200,11 +200,13 @@
         context.deployment.start()
         for host in context.deployment.hosts:
             directory = host.proxy.directory
-            until(lambda d=directory: RelayedPathSteps._is_settled(d, hosts))
+            wait_until(
+                lambda d=directory: RelayedPathSteps._is_settled(d, hosts)
+            )
         for server in context.deployment.group.servers.values():
             server.caller_names.clear()
         for host in range(hosts):
-            until(
+            wait_until(
                 lambda host=host: (
                     execute_once(context, 'orders', host, 'READ none').code
                     == 'DONE'
@@ -230,7 +232,7 @@
     def check_returned(context: Any) -> None:
         """Wait until every lease has ended."""
         for host in context.deployment.hosts:
-            until(lambda host=host: host.proxy.lender.leases == 0)
+            wait_until(lambda host=host: host.proxy.lender.leases == 0)
 
     @staticmethod
     @given(
@@ -351,7 +353,7 @@
         asked = gevent.spawn(
             context.lender.on_calls, _read(), LenderSteps.BORROWER
         )
-        until(lambda: context.pool.waiting == 1)
+        wait_until(lambda: context.pool.waiting == 1)
         context.lender.on_end(EndLease(1), LenderSteps.BORROWER)
         context.asked = asked
 
