--- a/features/fakes/asking.py
+++ b/features/fakes/asking.py
@@ -1,4 +1,4 @@
-"""Asks the hosts of an emulated deployment."""
+"""Requests to the hosts of an emulated deployment."""
 
 from __future__ import annotations
 
@@ -13,14 +13,25 @@
     from collections.abc import Callable
 
 HANG_TIMEOUT_S = 60.0
-"""Time after which a scenario counts as hung, in seconds."""
+"""Maximum wait of a step, in seconds; only a hang takes this long."""
 
 POLL_INTERVAL_S = 0.05
-"""Pause between two tries, in seconds."""
+"""Pause between two checks of a condition, in seconds."""
 
 
 def wait_until(is_done: Callable[[], bool]) -> None:
-    """Try until a condition holds; only a hang ends it early."""
+    """Wait until a condition holds.
+
+    Parameters
+    ----------
+    is_done : Callable[[], bool]
+        Condition to check repeatedly.
+
+    Raises
+    ------
+    AssertionError
+        If the condition does not hold within `HANG_TIMEOUT_S`.
+    """
     with gevent.Timeout(HANG_TIMEOUT_S, AssertionError('hung')):
         while not is_done():
             gevent.sleep(POLL_INTERVAL_S)
@@ -29,7 +40,13 @@
 def execute_once(
     context: Any, database: str, host: int, text: str
 ) -> CallerAnswer:
-    """Ask on a session of its own."""
+    """Execute a statement in a new session.
+
+    Returns
+    -------
+    CallerAnswer
+        Answer, or only the error code if the host rejects the session.
+    """
     caller = context.deployment.hosts[host].connect(database)
     try:
         if not caller.greeting.startswith('READY'):
--- a/features/steps/platform_path_steps.py
+++ b/features/steps/platform_path_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the whole path over the emulated platform."""
+"""Steps for caller sessions on the emulated platform."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
 from trefoilpulley_emulator.deployment import EmulatedDeployment
 
 
-CHANGE_S = 0.03
-"""Pause between two changes, in seconds; a watch is back by then."""
+CHANGE_INTERVAL_S = 0.03
+"""Pause between two changes, in seconds.
+
+The hosts have renewed their watches by the next change.
+"""
 
 
 class DeploymentSteps:
-    """Steps on the deployment and its faults."""
+    """Steps for the emulated deployment and its faults."""
 
     @staticmethod
     @given('an emulated deployment of {hosts:d} hosts')
-    def make(context: Any, hosts: int) -> None:
-        """Start a deployment and wait until it serves."""
+    def start_deployment(context: Any, hosts: int) -> None:
+        """Start a deployment and wait until every host serves reads."""
         context.deployment = EmulatedDeployment(hosts)
         context.cleanups.append(context.deployment.stop)
         context.deployment.start()
@@ -41,9 +44,9 @@
             )
 
     @staticmethod
-    @then('the state of host {host:d} tells each member and its connections')
-    def check_state(context: Any, host: int) -> None:
-        """Check that the dump can be made and names what is open."""
+    @then('the state of host {host:d} lists each member and its connections')
+    def check_state_dump(context: Any, host: int) -> None:
+        """Check the members and their connections in the state dump."""
         state = context.deployment.hosts[host].proxy.dump()
         members = state.groups[0].members
         assert len(members) == 3, members
@@ -51,28 +54,28 @@
         assert all(m.share > 0 for m in members), members
 
     @staticmethod
-    @when('the configuration holds "{one}" and "{other}" alone')
-    def configure(context: Any, one: str, other: str) -> None:
-        """Put a configuration with two databases in force."""
+    @when('the configuration has only the databases "{one}" and "{other}"')
+    def set_databases(context: Any, one: str, other: str) -> None:
+        """Write a configuration with two databases to the store."""
         context.deployment.configure({one: 'primary', other: 'session'})
 
     @staticmethod
-    @when('reads take {took:d} ms at the primary')
-    def slow_primary(context: Any, took: int) -> None:
-        """Let the primary be slow."""
+    @when('a read takes {took:d} ms at the primary')
+    def slow_down_primary(context: Any, took: int) -> None:
+        """Set the duration of a read at the primary."""
         context.deployment.group.primary.read_duration_s = took / 1000
 
     @staticmethod
     @when('the primary crashes')
-    def crash(context: Any) -> None:
-        """Stop the primary without a word."""
+    def crash_primary(context: Any) -> None:
+        """Stop the primary without changing its entry."""
         group = context.deployment.group
         group.crash(group.primary.state.member)
 
     @staticmethod
-    @given('the group confirms commits at {count:d} replica')
-    def confirm(context: Any, count: int) -> None:
-        """Declare synchronous replicas, and wait until they are known."""
+    @given('the group requires {count:d} replica to confirm a commit')
+    def require_synchronous_replicas(context: Any, count: int) -> None:
+        """Configure synchronous replicas and wait until the hosts know."""
         deployment = context.deployment
         deployment.synchronous_replicas = count
         deployment.configure({'orders': 'session', 'filings': 'primary'})
@@ -87,22 +90,22 @@
     @staticmethod
     @when('a replica crashes')
     def crash_replica(context: Any) -> None:
-        """Stop a replica without a word."""
+        """Stop a replica without changing its entry."""
         group = context.deployment.group
-        leader = group.primary.state.member
-        context.replica = next(m for m in group.servers if m != leader)
+        primary = group.primary.state.member
+        context.replica = next(m for m in group.servers if m != primary)
         group.crash(context.replica)
 
     @staticmethod
-    @when('the replica is back')
-    def start_replica(context: Any) -> None:
-        """Start the replica again at its address."""
+    @when('the replica restarts')
+    def restart_replica(context: Any) -> None:
+        """Restart the crashed replica at its previous address."""
         context.deployment.group.servers[context.replica].start()
 
     @staticmethod
-    @then('no promotion is ordered while the replica is away')
-    def check_kept(context: Any) -> None:
-        """Let every host decide some times; none may act."""
+    @then('no promotion is requested while the replica is down')
+    def check_no_promotion(context: Any) -> None:
+        """Let every host try the failover; none may request a promotion."""
         for host in context.deployment.hosts:
             group = host.proxy.directory.groups['ledger']
             wait_until(lambda g=group: g.state.primary in g.state.members)
@@ -111,131 +114,131 @@
         assert not context.deployment.promotion_server.requests
 
     @staticmethod
-    @then('the replicas were held before the promotion')
-    def check_held(context: Any) -> None:
-        """Check that both replicas were told to hold."""
+    @then('both replicas were told to pause replication')
+    def check_replication_paused(context: Any) -> None:
+        """Check that two members received ``HOLD``."""
         servers = context.deployment.group.servers.values()
-        held = [
+        paused = [
             s
             for s in servers
             if any('HOLD' in t for _, t in s.received_requests)
         ]
-        assert len(held) == 2, held
+        assert len(paused) == 2, paused
 
     @staticmethod
-    @when('the primary announces its end')
-    def leave(context: Any) -> None:
-        """Let the primary be about to stop."""
+    @when('the primary announces that it will stop')
+    def announce_primary_stop(context: Any) -> None:
+        """Announce in the primary's entry that it is about to stop."""
         group = context.deployment.group
-        context.leaving = group.primary.state.member
-        group.announce_stop(context.leaving)
+        context.old_primary = group.primary.state.member
+        group.announce_stop(context.old_primary)
 
     @staticmethod
-    @when('the primary loses its next answer')
-    def lose_answer(context: Any) -> None:
-        """Let the primary run a statement and stay silent."""
+    @when('the primary withholds its next answer')
+    def withhold_answer(context: Any) -> None:
+        """Let the primary run the next statement without answering."""
         context.deployment.group.primary.answers_to_withhold = 1
 
     @staticmethod
-    @when('the store goes down')
-    def lose_store(context: Any) -> None:
-        """Refuse every call to the store."""
+    @when('the store becomes unavailable')
+    def take_store_down(context: Any) -> None:
+        """Let the store refuse every call."""
         context.deployment.store.is_down = True
 
     @staticmethod
-    @when('the store forgets its history')
-    def forget(context: Any) -> None:
-        """Drop the history of the store."""
+    @when('the store discards its history')
+    def discard_history(context: Any) -> None:
+        """Let the store end watches of earlier revisions."""
         context.deployment.store.discard_history()
 
     @staticmethod
-    @when('the store holds a broken entry')
-    def break_entry(context: Any) -> None:
-        """Write entries that can't be read."""
+    @when('the store contains invalid member entries')
+    def put_invalid_entries(context: Any) -> None:
+        """Write an entry that is not JSON and one with invalid fields."""
         store = context.deployment.store
         store.put('servers/broken', b'\xff\xfe')
         store.put('servers/odd', {'service': 'ledger', 'state': 7})
 
     @staticmethod
-    @then('one promotion was carried out')
-    def check_promotions(context: Any) -> None:
-        """Check that exactly one order was taken."""
+    @then('exactly one promotion was accepted')
+    def check_one_promotion(context: Any) -> None:
+        """Check that exactly one promotion request was accepted."""
         requests = context.deployment.promotion_server.requests
-        taken = [o for o in requests if o[3] == 200]
-        assert len({o[1] for o in taken}) == 1, requests
-        assert len(taken) == 1, requests
+        accepted = [r for r in requests if r[3] == 200]
+        assert len({r[1] for r in accepted}) == 1, requests
+        assert len(accepted) == 1, requests
 
     @staticmethod
-    @then('another member leads before long')
-    def check_handover(context: Any) -> None:
-        """Wait until the leaving member no longer leads."""
+    @then('another member eventually becomes primary')
+    def wait_new_primary(context: Any) -> None:
+        """Wait until a member other than the old primary is primary."""
         group = context.deployment.group
         wait_until(
             lambda: (
                 group.log.primary is not None
-                and group.log.primary.member != context.leaving
+                and group.log.primary.member != context.old_primary
             )
         )
 
     @staticmethod
     @then('no commit was rolled back')
-    def check_rollbacks(context: Any) -> None:
-        """Check that nothing was lost."""
+    def check_no_rollback(context: Any) -> None:
+        """Check that no commit was removed from a log."""
         assert not context.deployment.group.log.rolled_back
 
 
 class CallerSteps:
-    """Steps on callers and what they are told."""
+    """Steps for the requests of callers and their answers."""
 
     @staticmethod
     @when(
-        'a caller of "{database}" writes "{item}" as "{data}" through host '
+        'a caller of "{database}" writes "{data}" to "{item}" through host '
         '{host:d}'
     )
     @then(
-        'a caller of "{database}" writes "{item}" as "{data}" through host '
+        'a caller of "{database}" writes "{data}" to "{item}" through host '
         '{host:d}'
     )
     def write(
         context: Any, database: str, item: str, data: str, host: int
     ) -> None:
-        """Write on a session that stays open."""
+        """Write in a session that stays open."""
         context.caller = context.deployment.hosts[host].connect(database)
         context.cleanups.append(context.caller.close)
         context.answers = [context.caller.execute(f'WRITE {item} {data}')]
         assert context.answers[0].code == 'DONE', context.answers
 
     @staticmethod
-    @then('the same caller reads "{item}" as "{data}"')
-    def read_same(context: Any, item: str, data: str) -> None:
-        """Read on the same session."""
+    @then('the same caller reads "{data}" from "{item}"')
+    def check_same_session_read(context: Any, item: str, data: str) -> None:
+        """Read in the session of the last write and compare the data."""
         answer = context.caller.execute(f'READ {item}')
         context.answers.append(answer)
         assert answer.rows == (data,), answer
 
     @staticmethod
     @then(
-        'a caller of "{database}" reads "{item}" as "{data}" through host '
+        'a caller of "{database}" reads "{data}" from "{item}" through host '
         '{host:d}'
     )
-    def read(
+    def check_read(
         context: Any, database: str, item: str, data: str, host: int
     ) -> None:
-        """Read on a session of its own."""
+        """Read in a new session and compare the data."""
         answer = execute_once(context, database, host, f'READ {item}')
         assert answer.rows == (data,), answer
 
     @staticmethod
-    @then('every answer carries a member\'s signature')
+    @then('every answer has the signature of a member')
     def check_signatures(context: Any) -> None:
-        """Check that members have answered."""
+        """Check that each answer came from a member of the group."""
         for answer in context.answers:
             assert answer.signature.startswith('sig.ledger-'), answer
 
     @staticmethod
     @when('a caller of "{database}" reads {count:d} times through host 0')
-    def read_often(context: Any, database: str, count: int) -> None:
-        """Read again and again on one session."""
+    def read_repeatedly(context: Any, database: str, count: int) -> None:
+        """Read repeatedly in one session."""
         caller = context.deployment.hosts[0].connect(database)
         context.cleanups.append(caller.close)
         answers = [caller.execute('READ a') for _ in range(count)]
@@ -243,25 +246,27 @@
         context.answers = answers
 
     @staticmethod
-    @then('replicas have served some of them')
-    def check_replicas(context: Any) -> None:
-        """Check that not every read ran at the primary."""
+    @then('replicas have answered some of the reads')
+    def check_replica_reads(context: Any) -> None:
+        """Check that a member other than the primary answered a read."""
         primary = context.deployment.group.primary.state.member
         served = {a.signature.split('.')[1] for a in context.answers}
         assert served - {primary}, served
 
     @staticmethod
-    @then('a caller of "{database}" is denied with "{code}" at host {host:d}')
-    def check_denied(
+    @then(
+        'a caller of "{database}" is rejected with "{code}" at host {host:d}'
+    )
+    def check_rejected(
         context: Any, database: str, code: str, host: int
     ) -> None:
-        """Check the refusal of a session."""
+        """Compare the error code of a new session."""
         assert execute_once(context, database, host, 'READ a').code == code
 
     @staticmethod
-    @then('a caller of "{database}" is served before long at host {host:d}')
+    @then('a caller of "{database}" is eventually served at host {host:d}')
     def wait_served(context: Any, database: str, host: int) -> None:
-        """Wait until a database is served."""
+        """Wait until a read of the database succeeds."""
         wait_until(
             lambda: (
                 execute_once(context, database, host, 'READ a').code == 'DONE'
@@ -269,9 +274,9 @@
         )
 
     @staticmethod
-    @then('a caller of "{database}" is denied before long at host {host:d}')
-    def wait_denied(context: Any, database: str, host: int) -> None:
-        """Wait until a database is denied."""
+    @then('a caller of "{database}" is eventually rejected at host {host:d}')
+    def wait_rejected(context: Any, database: str, host: int) -> None:
+        """Wait until a session to the database gets ``NODB``."""
         wait_until(
             lambda: (
                 execute_once(context, database, host, 'READ a').code == 'NODB'
@@ -280,11 +285,11 @@
 
     @staticmethod
     @then(
-        'a caller of "{database}" can write "{item}" before long through '
+        'a caller of "{database}" can eventually write "{item}" through '
         'host {host:d}'
     )
     def wait_write(context: Any, database: str, item: str, host: int) -> None:
-        """Wait until a write is acknowledged."""
+        """Wait until a write succeeds."""
         text = f'WRITE {item} later'
         wait_until(
             lambda: execute_once(context, database, host, text).code == 'DONE'
@@ -292,11 +297,11 @@
 
     @staticmethod
     @then(
-        'a caller of "{database}" reads "{item}" before long through host '
+        'a caller of "{database}" eventually reads "{item}" through host '
         '{host:d}'
     )
     def wait_read(context: Any, database: str, item: str, host: int) -> None:
-        """Wait for an answer; the first one must hold the write."""
+        """Wait until a read succeeds; its answer must contain data."""
         answers = []
 
         def is_answered() -> bool:
@@ -309,47 +314,50 @@
 
     @staticmethod
     @then(
-        'a caller of "{database}" that writes "{item}" is told "{code}" at '
+        'a caller of "{database}" that writes "{item}" gets "{code}" at '
         'host {host:d}'
     )
-    def check_told(
+    def check_write_code(
         context: Any, database: str, item: str, code: str, host: int
     ) -> None:
-        """Check what a writer is told."""
+        """Write and compare the code of the answer."""
         answer = execute_once(context, database, host, f'WRITE {item} once')
         assert answer.code == code, answer
 
     @staticmethod
-    @then('the members have seen one write of "{item}"')
-    def check_once(context: Any, item: str) -> None:
-        """Check that the write was sent once."""
+    @then('the members have received exactly one write of "{item}"')
+    def check_one_write(context: Any, item: str) -> None:
+        """Check that the write was sent only once."""
         servers = context.deployment.group.servers.values()
-        seen = [t for s in servers for _, t in s.received_requests]
-        writes = [t for t in seen if t.startswith(f'WRITE {item} ')]
+        texts = [t for s in servers for _, t in s.received_requests]
+        writes = [t for t in texts if t.startswith(f'WRITE {item} ')]
         assert len(writes) == 1, writes
 
 
-class ServiceCallSteps:
-    """Steps on the calls to the platform's service."""
+class StoreCallSteps:
+    """Steps for the calls of the hosts to the key-value service."""
 
     @staticmethod
-    @when('{count:d} entries of other writers change one after the other')
-    def change_entries(context: Any, count: int) -> None:
-        """Change entries, each once the watches have been woken."""
+    @when('{count:d} keys of other writers change one after the other')
+    def change_keys(context: Any, count: int) -> None:
+        """Change keys, each after the hosts have renewed their watches.
+
+        Return when every host has the configuration that is written last.
+        """
         deployment = context.deployment
         deployment.store.calls.clear()
         for number in range(count):
             deployment.store.put(f'status/{number}', {'number': number})
-            gevent.sleep(CHANGE_S)
+            gevent.sleep(CHANGE_INTERVAL_S)
         deployment.configure({'orders': 'session', 'last': 'session'})
         for host in deployment.hosts:
             directory = host.proxy.directory
             wait_until(lambda d=directory: 'last' in d.table.routes)
 
     @staticmethod
-    @then('each host has made less than {most:d} calls for them')
+    @then('the hosts have made fewer than {most:d} calls per host')
     def check_calls(context: Any, most: int) -> None:
-        """Count the calls of all hosts."""
+        """Compare the number of calls of all hosts."""
         deployment = context.deployment
         calls = len(deployment.store.calls)
         assert calls < most * len(deployment.hosts), deployment.store.calls
@@ -357,7 +365,7 @@
     @staticmethod
     @when('another host starts')
     def start_host(context: Any) -> None:
-        """Start one more host and wait until it follows the service."""
+        """Start another host and wait until it has loaded the store."""
         deployment = context.deployment
         deployment.store.calls.clear()
         host = deployment.add_host()
@@ -365,42 +373,48 @@
         context.calls = list(deployment.store.calls)
 
     @staticmethod
-    @then('it has read one range besides the one that begins its watch')
-    def check_ranges(context: Any) -> None:
-        """Count the reads; other hosts only watch."""
+    @then(
+        'the new host has read one range besides the initial range of its '
+        'watch'
+    )
+    def check_range_calls(context: Any) -> None:
+        """Count the read calls; the other hosts only call the watch."""
         ranges = context.calls.count('/v1/kv-range')
         keys = context.calls.count('/v1/kv-key')
         assert (ranges, keys) == (2, 0), context.calls
 
 
 class SessionSteps:
-    """Steps on one session that stays open."""
+    """Steps for a session that stays open."""
 
     @staticmethod
-    @given('a caller of "{database}" at host {host:d}')
+    @given('a caller of "{database}" connected to host {host:d}')
     def connect(context: Any, database: str, host: int) -> None:
         """Open a session."""
         context.caller = context.deployment.hosts[host].connect(database)
         context.cleanups.append(context.caller.close)
 
     @staticmethod
-    @when('it says "{texts}"')
-    def say(context: Any, texts: str) -> None:
-        """Send statements one by one; each must succeed."""
+    @when('the caller executes "{texts}"')
+    def execute(context: Any, texts: str) -> None:
+        """Execute statements one after the other; each must succeed."""
         for text in texts.split('" and "'):
             answer = context.caller.execute(text)
             assert answer.code == 'DONE', (text, answer)
 
     @staticmethod
-    @when('it closes its connection')
-    def close(context: Any) -> None:
-        """Leave without a word."""
+    @when('the caller closes its connection')
+    def disconnect(context: Any) -> None:
+        """Close the connection without ``BYE``."""
         context.caller.close()
 
     @staticmethod
-    @when('other callers of "{database}" use {count:d} connections of host 0')
+    @when(
+        'other callers of "{database}" use {count:d} connections of host 0 '
+        'at once'
+    )
     def use_connections(context: Any, database: str, count: int) -> None:
-        """Let other sessions use the connections at the same time."""
+        """Set a session value and read in several sessions at once."""
         callers = [
             context.deployment.hosts[0].connect(database) for _ in range(count)
         ]
@@ -412,73 +426,86 @@
             caller.close()
 
     @staticmethod
-    @then('its "{text}" answers "{data}" with the values "{values}"')
-    def check_values(context: Any, text: str, data: str, values: str) -> None:
-        """Check the answer and the values that the member had."""
+    @then(
+        'the caller\'s "{text}" returns "{data}" with the session values '
+        '"{values}"'
+    )
+    def check_session_values(
+        context: Any, text: str, data: str, values: str
+    ) -> None:
+        """Compare the data and the session values in the signature."""
         answer = context.caller.execute(text)
         assert answer.rows == (data,), answer
         assert answer.signature.split('.')[2] == values, answer
 
     @staticmethod
-    @when('it sends "{one}" and "{two}" and "{three}" in one write')
-    def pipeline(context: Any, one: str, two: str, three: str) -> None:
-        """Send three requests without waiting."""
+    @when('the caller sends "{one}" and "{two}" and "{three}" in one write')
+    def send_pipelined(context: Any, one: str, two: str, three: str) -> None:
+        """Send three requests in one write without waiting for answers."""
         lines = [
             f'QUERY p{i} {t}\r\n' for i, t in enumerate((one, two, three))
         ]
         context.caller.send_bytes(''.join(lines).encode())
 
     @staticmethod
-    @then('it is answered "{one}", "{two}" and "{three}"')
-    def check_order(context: Any, one: str, two: str, three: str) -> None:
-        """Check the answers in their order."""
+    @then('the caller gets the answers "{one}", "{two}" and "{three}"')
+    def check_answers_in_order(
+        context: Any, one: str, two: str, three: str
+    ) -> None:
+        """Compare the answers in the order of the requests."""
         for data in (one, two, three):
             answer = context.caller.read_answer()
             assert answer.code == 'DONE', answer
             assert answer.rows == ((data,) if data else ()), answer
 
     @staticmethod
-    @then('it is answered "", "{two}" and "{three}"')
-    def check_write_first(context: Any, two: str, three: str) -> None:
-        """Check the answers where the first one has no row."""
-        SessionSteps.check_order(context, '', two, three)
+    @then('the caller gets the answers "", "{two}" and "{three}"')
+    def check_answers_after_write(context: Any, two: str, three: str) -> None:
+        """Compare the answers, of which the first has no row."""
+        SessionSteps.check_answers_in_order(context, '', two, three)
 
     @staticmethod
     @when('another caller sends "{text}"')
-    def send_broken(context: Any, text: str) -> None:
-        """Send a line that makes no sense."""
+    def send_invalid_line(context: Any, text: str) -> None:
+        """Send an invalid line in a new session."""
         SessionSteps._send(context, f'{text}\r\n'.encode())
 
     @staticmethod
     @when('another caller sends a message over the limit')
-    def send_long(context: Any) -> None:
-        """Send a message without an end."""
+    def send_too_long(context: Any) -> None:
+        """Send 2 MiB without a line end in a new session."""
         SessionSteps._send(context, b'QUERY 1 READ ' + b'x' * (1 << 21))
 
     @staticmethod
-    @then('the other caller is told "{code}"')
-    def check_told(context: Any, code: str) -> None:
-        """Check the refusal."""
+    @then('the other caller gets "{code}"')
+    def check_other_code(context: Any, code: str) -> None:
+        """Compare the error code that the other caller gets."""
         assert context.other.read_answer().code == code
 
     @staticmethod
-    @when('host {host:d} is told to stop while the caller goes on')
-    def stop_host(context: Any, host: int) -> None:
-        """Drain a host."""
+    @when(
+        'host {host:d} begins a planned stop while the caller pauses between '
+        'requests'
+    )
+    def start_drain(context: Any, host: int) -> None:
+        """Start to drain a host."""
         proxy = context.deployment.hosts[host].proxy
         context.drain = gevent.spawn(proxy.drain)
 
     @staticmethod
-    @then('the caller is answered until the host closes its session')
-    def check_drain(context: Any) -> None:
-        """Ask until the session ends; no request may be cut."""
+    @then(
+        'every request of the caller succeeds until the host closes its '
+        'session'
+    )
+    def check_requests_until_closed(context: Any) -> None:
+        """Read with pauses until the session ends; each read must succeed."""
         caller: Caller = context.caller
         with gevent.Timeout(HANG_TIMEOUT_S, AssertionError('hung')):
             while True:
                 try:
                     answer = caller.execute('READ a')
                 except OSError:
-                    # Closed between two requests.
+                    # The host closed the session between two requests.
                     break
                 if not answer.code:
                     break
@@ -488,35 +515,38 @@
 
     @staticmethod
     @when(
-        'host {host:d} is told to stop while the caller asks without a pause'
+        'host {host:d} drains its sessions while the caller sends requests '
+        'without a pause'
     )
-    def stop_busy_host(context: Any, host: int) -> None:
-        """Drain a host under a caller that never rests."""
+    def drain_busy_session(context: Any, host: int) -> None:
+        """Drain the sessions while a caller reads without a pause."""
         proxy = context.deployment.hosts[host].proxy
         context.answers = []
-        asking = gevent.spawn(_ask_on, context.caller, context.answers)
+        reading = gevent.spawn(
+            _read_until_closed, context.caller, context.answers
+        )
         context.is_complete = proxy.sessions.drain(4.0, lambda: 0)
-        asking.join()
+        reading.join()
 
     @staticmethod
-    @then('every request was answered and the host ended its sessions itself')
-    def check_ended(context: Any) -> None:
-        """Check that the drain ended before its time."""
+    @then('every request succeeded and the host closed its sessions in time')
+    def check_drain_complete(context: Any) -> None:
+        """Check that the drain completed before its time limit."""
         assert context.is_complete
         codes = {a.code for a in context.answers}
         assert codes == {'DONE'}, codes
 
     @staticmethod
-    @when('host {host:d} is about to end')
-    def near_end(context: Any, host: int) -> None:
-        """Put a host into the last part of its drain."""
+    @when('host {host:d} reaches the last phase of its planned stop')
+    def refuse_requests(context: Any, host: int) -> None:
+        """Let a host reject requests, as at the end of its drain."""
         registry = context.deployment.hosts[host].proxy.sessions
         registry.refuse()
 
     @staticmethod
-    @then('the caller is told "{code}" and its session is closed')
-    def check_refused(context: Any, code: str) -> None:
-        """Check the refusal and the end of the session."""
+    @then('the caller gets "{code}" and its session is closed')
+    def check_refused_and_closed(context: Any, code: str) -> None:
+        """Compare the error code and check that the session ends."""
         assert context.caller.execute('READ a').code == code
         assert context.caller.read_answer().code == ''
 
@@ -531,17 +561,17 @@
     try:
         caller.send_bytes(data)
     except OSError:
-        # The host has refused the message and closed.
+        # The host rejected the message and closed the connection.
         pass
 
 
-def _ask_on(caller: Caller, answers: list[CallerAnswer]) -> None:
-    """Ask without a pause until the host closes the session."""
+def _read_until_closed(caller: Caller, answers: list[CallerAnswer]) -> None:
+    """Read without a pause until the host closes the session."""
     while True:
         try:
             answer = caller.execute('READ a')
         except OSError:
-            # Closed between two requests.
+            # The host closed the session between two requests.
             return
         if not answer.code:
             return
