--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the soak and its verdicts."""
+"""Steps for the soak test and its checker."""
 
 from __future__ import annotations
 
@@ -21,81 +21,96 @@
 from trefoilpulley_emulator.soak.promises import Outcome
 from trefoilpulley_emulator.soak.soak import Soak
 
-ONE = Record(1, (('a', 'a.1'),), 0.0)
-"""Commit of the first write to an item."""
+FIRST_COMMIT = Record(1, (('a', 'a.1'),), 0.0)
+"""Log record of the first write to an item."""
 
-WRITE_OF_ONE = (('a', 1),)
+FIRST_WRITE = (('a', 1),)
+"""Item and number of the first write."""
 
 
-class VerdictSteps:
-    """Steps on what a soak says of things seen."""
+class CheckerSteps:
+    """Steps for the violations that the checker finds in a history."""
 
     @staticmethod
-    @given('a soak in which an acknowledged write is missing')
-    def miss(context: Any) -> None:
-        """Acknowledge what no log holds."""
-        VerdictSteps._judge(context, [], [VerdictSteps._write(Outcome.DONE)])
+    @given('a soak run in which an acknowledged write is missing')
+    def lose_acknowledged_write(context: Any) -> None:
+        """Acknowledge a write that is missing in the log."""
+        CheckerSteps._run_checker(
+            context, [], [CheckerSteps._make_write(Outcome.DONE)]
+        )
 
     @staticmethod
-    @given('a soak in which a write took effect twice')
-    def double(context: Any) -> None:
-        """Let the log hold a write twice."""
-        VerdictSteps._judge(
-            context, [ONE, ONE], [VerdictSteps._write(Outcome.UNKNOWN)]
+    @given('a soak run in which a write took effect twice')
+    def apply_write_twice(context: Any) -> None:
+        """Put the record of a write into the log twice."""
+        CheckerSteps._run_checker(
+            context,
+            [FIRST_COMMIT, FIRST_COMMIT],
+            [CheckerSteps._make_write(Outcome.UNKNOWN)],
         )
 
     @staticmethod
-    @given('a soak in which a write that was told as not run took effect')
-    def lie(context: Any) -> None:
-        """Commit what was told as not run."""
-        VerdictSteps._judge(
-            context, [ONE], [VerdictSteps._write(Outcome.NOT_RUN)]
+    @given(
+        'a soak run in which a write that was reported as not run took effect'
+    )
+    def apply_not_run_write(context: Any) -> None:
+        """Commit a write whose caller was told that it did not run."""
+        CheckerSteps._run_checker(
+            context,
+            [FIRST_COMMIT],
+            [CheckerSteps._make_write(Outcome.NOT_RUN)],
         )
 
     @staticmethod
-    @given('a soak in which half of a transaction took effect')
-    def halve(context: Any) -> None:
-        """Commit one of two writes."""
+    @given('a soak run in which half of a transaction took effect')
+    def apply_half_transaction(context: Any) -> None:
+        """Commit one of the two writes of a transaction."""
         both = ObservedWrite((('a', 1), ('b', 2)), 1.0, Outcome.UNKNOWN)
-        VerdictSteps._judge(context, [ONE], [both])
+        CheckerSteps._run_checker(context, [FIRST_COMMIT], [both])
 
     @staticmethod
     @given(
-        'a soak in which a read of the present missed an acknowledged write'
+        'a soak run in which a read at primary freshness missed an '
+        'acknowledged write'
     )
-    def read_old(context: Any) -> None:
-        """Answer a read of the present with what was before."""
-        VerdictSteps._judge(
+    def read_stale_at_primary(context: Any) -> None:
+        """Answer a read with the data before an acknowledged write."""
+        CheckerSteps._run_checker(
             context,
-            [ONE],
-            [VerdictSteps._write(Outcome.DONE)],
+            [FIRST_COMMIT],
+            [CheckerSteps._make_write(Outcome.DONE)],
             read=ObservedRead('filings', 'a', '-', 1.1),
         )
 
     @staticmethod
-    @given('a soak in which a session missed its own write')
-    def forget(context: Any) -> None:
-        """Answer a session with what was before its own write."""
-        VerdictSteps._judge(
+    @given('a soak run in which a session did not read its own write')
+    def miss_own_write(context: Any) -> None:
+        """Answer a session with the data before its own write."""
+        CheckerSteps._run_checker(
             context,
-            [ONE],
-            [VerdictSteps._write(Outcome.DONE)],
+            [FIRST_COMMIT],
+            [CheckerSteps._make_write(Outcome.DONE)],
             read=ObservedRead('orders', 'a', '-', 1.1, 1),
         )
 
     @staticmethod
-    @given('a soak in which a read was answered with the data of another item')
-    def mix(context: Any) -> None:
-        """Answer with what another caller asked for."""
-        VerdictSteps._judge(
+    @given(
+        'a soak run in which a read was answered with the data of another item'
+    )
+    def read_other_item(context: Any) -> None:
+        """Answer a read with the data of another item."""
+        CheckerSteps._run_checker(
             context, [], [], read=ObservedRead('orders', 'a', 'b.1', 1.1)
         )
 
     @staticmethod
-    @given('a soak in which a planned stop cut a write that a member had seen')
-    def cut_write(context: Any) -> None:
-        """Cut a request that was passed on."""
-        VerdictSteps._judge(
+    @given(
+        'a soak run in which a planned stop cut a write that a '
+        'member had received'
+    )
+    def cut_received_write(context: Any) -> None:
+        """Cut a write that the host had sent to a member."""
+        CheckerSteps._run_checker(
             context,
             [],
             [],
@@ -103,10 +118,12 @@
         )
 
     @staticmethod
-    @given('a soak in which a planned stop cut a read that had waited for 1 s')
-    def cut_read(context: Any) -> None:
-        """Cut a request that had been read for long."""
-        VerdictSteps._judge(
+    @given(
+        'a soak run in which a planned stop cut a read that had waited for 1 s'
+    )
+    def cut_waiting_read(context: Any) -> None:
+        """Cut a request that the host must have read long before."""
+        CheckerSteps._run_checker(
             context,
             [],
             [],
@@ -114,10 +131,13 @@
         )
 
     @staticmethod
-    @given('a soak in which a planned stop met a request that was on its way')
-    def cross(context: Any) -> None:
-        """Close a session just as its next request leaves."""
-        VerdictSteps._judge(
+    @given(
+        'a soak run in which a planned stop closed a session with a '
+        'request in transit'
+    )
+    def close_with_request_in_transit(context: Any) -> None:
+        """Close a session 1 ms after its next request was sent."""
+        CheckerSteps._run_checker(
             context,
             [],
             [],
@@ -125,10 +145,13 @@
         )
 
     @staticmethod
-    @given('a soak in which a host was stopped while a link was cut')
-    def cut_disturbed(context: Any) -> None:
-        """Cut a request during a fault that was not planned."""
-        VerdictSteps._judge(
+    @given(
+        'a soak run in which a planned stop cut a request during an '
+        'unplanned fault'
+    )
+    def cut_during_fault(context: Any) -> None:
+        """Cut a request of a stopping host during an unplanned fault."""
+        CheckerSteps._run_checker(
             context,
             [],
             [],
@@ -137,43 +160,52 @@
         )
 
     @staticmethod
-    @given('a soak in which a promotion rolled an acknowledged write back')
-    def roll_back(context: Any) -> None:
-        """Lose a commit in a way that is allowed."""
-        VerdictSteps._judge(
-            context, [], [VerdictSteps._write(Outcome.DONE)], rolled_back=[ONE]
+    @given('a soak run in which a promotion rolled back an acknowledged write')
+    def roll_back_acknowledged_write(context: Any) -> None:
+        """Roll back an acknowledged commit, as a promotion may."""
+        CheckerSteps._run_checker(
+            context,
+            [],
+            [CheckerSteps._make_write(Outcome.DONE)],
+            rolled_back=[FIRST_COMMIT],
         )
 
     @staticmethod
-    @given('a soak in which a read of the past is as old as its route accepts')
-    def read_past(context: Any) -> None:
-        """Answer with what was in force within the age of the route."""
-        VerdictSteps._judge(
+    @given(
+        'a soak run in which a bounded read returned data within its '
+        'maximum age'
+    )
+    def read_within_max_age(context: Any) -> None:
+        """Answer with data that was current within the maximum age."""
+        CheckerSteps._run_checker(
             context,
-            [ONE],
-            [VerdictSteps._write(Outcome.DONE)],
+            [FIRST_COMMIT],
+            [CheckerSteps._make_write(Outcome.DONE)],
             read=ObservedRead('lookups', 'a', '-', 3.4),
         )
 
     @staticmethod
-    @then('it says that "{guarantee}" was broken')
-    def check_broken(context: Any, guarantee: str) -> None:
-        """Check that this promise and no other is named."""
-        found = {b.guarantee for b in context.found}
-        assert found == {guarantee}, context.found
+    @then('the checker reports a violation of "{guarantee}" alone')
+    def check_violation(context: Any, guarantee: str) -> None:
+        """Check that only this guarantee was violated."""
+        violated = {v.guarantee for v in context.violations}
+        assert violated == {guarantee}, context.violations
 
     @staticmethod
-    @then('it says that no promise was broken')
-    def check_kept(context: Any) -> None:
-        """Check that nothing is named; logs stay where something is."""
-        assert not context.found, context.found
+    @then('the checker reports no violation')
+    def check_no_violation(context: Any) -> None:
+        """Check that no guarantee was violated.
+
+        The logs of a soak run with a violation are kept.
+        """
+        assert not context.violations, context.violations
 
     @staticmethod
-    def _write(outcome: Outcome) -> ObservedWrite:
-        return ObservedWrite(WRITE_OF_ONE, 1.0, outcome)
+    def _make_write(outcome: Outcome) -> ObservedWrite:
+        return ObservedWrite(FIRST_WRITE, 1.0, outcome)
 
     @staticmethod
-    def _judge(
+    def _run_checker(
         context: Any,
         log: list[Record],
         observed_writes: list[ObservedWrite],
@@ -188,62 +220,62 @@
         history.interrupted_requests = [interrupted] if interrupted else []
         history.planned_stops = [FaultInterval(8.0, 12.0, 'h')]
         history.unplanned_faults = [fault] if fault else []
-        context.found = history.find_violations(
+        context.violations = history.find_violations(
             log, rolled_back or [], {'WRITE a a.1'}
         )
 
 
 class SoakSteps:
-    """Steps on the soak itself."""
+    """Steps for the soak test and the emulated replica."""
 
     @staticmethod
     @then(
-        'the faults of seed {seed:d} are the same twice, and others of seed '
-        '{other:d}'
+        'seed {seed:d} generates the same faults twice and seed {other:d} '
+        'generates others'
     )
-    def check_drawn(context: Any, seed: int, other: int) -> None:
-        """Draw some times."""
+    def check_faults_by_seed(context: Any, seed: int, other: int) -> None:
+        """Compare the faults of two seeds."""
         hosts, members = ('h0', 'h1'), ('m0', 'm1')
-        one = draw_faults(seed, hosts, members, 6.0)
-        assert one == draw_faults(seed, hosts, members, 6.0)
-        assert one != draw_faults(other, hosts, members, 6.0)
+        faults = draw_faults(seed, hosts, members, 6.0)
+        assert faults == draw_faults(seed, hosts, members, 6.0)
+        assert faults != draw_faults(other, hosts, members, 6.0)
 
     @staticmethod
     @given('a replica that has applied {count:d} commits')
     def make_replica(context: Any, count: int) -> None:
-        """Commit at a primary without lag."""
+        """Commit to a replica without lag and wait until it has applied."""
         log = GroupLog(('p', 'r'))
         for number in range(count):
             data = (('a', f'a.{number}'),)
             log.commit(log.members['p'], data)
         context.replica = log.members['r']
-        # What is applied at once is applied when it is looked at.
+        # The replica updates its number of applied commits on each read.
         context.newest = f'a.{count - 1}'
         while context.replica.read('a') != context.newest:
             time.sleep(0)
 
     @staticmethod
-    @when('its lag grows to {lag:d} s')
-    def fall_behind(context: Any, lag: int) -> None:
-        """Let the replica fall behind."""
+    @when('the lag of the replica increases to {lag:d} s')
+    def increase_lag(context: Any, lag: int) -> None:
+        """Increase the replication lag of the replica."""
         context.replica.lag_s = float(lag)
 
     @staticmethod
-    @then('it still shows the newest of them')
-    def check_shown(context: Any) -> None:
-        """Check that it did not go back."""
+    @then('the replica still returns the newest of the commits')
+    def check_newest_commit_kept(context: Any) -> None:
+        """Check that the replica still returns the newest data."""
         assert context.replica.read('a') == context.newest
 
     @staticmethod
     @when(
-        'the soak plays seed {seed:d} with {hosts:d} hosts, {connections:d} '
-        'connections and {length:d} s'
+        'the soak test runs seed {seed:d} with {hosts:d} hosts, '
+        '{connections:d} connections and {length:d} s'
     )
-    def play(
+    def run_soak(
         context: Any, seed: int, hosts: int, connections: int, length: int
     ) -> None:
-        """Play one seed with real processes."""
+        """Run a seed with host processes; keep the logs of a failure."""
         soak = Soak(seed, hosts, float(length), connections)
-        context.found = soak.run()
-        if not context.found:
+        context.violations = soak.run()
+        if not context.violations:
             shutil.rmtree(soak.directory)
