--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -13,8 +13,8 @@
 from returns.result import Result
 from returns.result import Success
 
-from features.fakes.asking import ask_once
-from features.fakes.asking import until
+from features.fakes.asking import execute_once
+from features.fakes.asking import wait_until
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.failure import Failure
 from trefoilpulley_core.failure import RunState
@@ -201,13 +201,15 @@
         context.deployment.start()
         for host in context.deployment.hosts:
             directory = host.proxy.directory
-            until(lambda d=directory: RelayedPathSteps._is_settled(d, hosts))
+            wait_until(
+                lambda d=directory: RelayedPathSteps._is_settled(d, hosts)
+            )
         for server in context.deployment.group.servers.values():
-            server.callers.clear()
+            server.caller_names.clear()
         for host in range(hosts):
-            until(
+            wait_until(
                 lambda host=host: (
-                    ask_once(context, 'orders', host, 'READ none').code
+                    execute_once(context, 'orders', host, 'READ none').code
                     == 'DONE'
                 )
             )
@@ -224,14 +226,14 @@
     def check_holders(context: Any) -> None:
         """Check who has opened connections since all hosts are known."""
         for server in context.deployment.group.servers.values():
-            assert len(set(server.callers)) <= 1, server.callers
+            assert len(set(server.caller_names)) <= 1, server.caller_names
 
     @staticmethod
     @then('no connection stays lent')
     def check_returned(context: Any) -> None:
         """Wait until every lease has ended."""
         for host in context.deployment.hosts:
-            until(lambda host=host: host.proxy.relay_server.leases == 0)
+            wait_until(lambda host=host: host.proxy.relay_server.leases == 0)
 
     @staticmethod
     @given(
@@ -352,7 +354,7 @@
         asked = gevent.spawn(
             context.relay_server.on_calls, _read(), LenderSteps.BORROWER
         )
-        until(lambda: context.pool.waiting == 1)
+        wait_until(lambda: context.pool.waiting == 1)
         context.relay_server.on_end(EndLease(1), LenderSteps.BORROWER)
         context.asked = asked
 
