--- a/packages/standins/src/trefoilpulley_standins/demo/__init__.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Demonstration: a deployment under load and faults, judged from outside."""
+"""Demonstration that runs load and faults and checks the results."""
--- a/packages/standins/src/trefoilpulley_standins/demo/__main__.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Command that shows a deployment under load and faults."""
+"""Command line of the demonstration."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 monkey.patch_all()
 
-# The patch must come before every other import.
+# gevent must patch the standard library before any other import.
 from pathlib import Path  # noqa: E402
 import sys  # noqa: E402
 
@@ -28,9 +28,11 @@
     default=Path('build/demo'),
     show_default=True,
 )
-@click.option('--seed', default=1, show_default=True, help='Seed of links.')
+@click.option(
+    '--seed', default=1, show_default=True, help='Seed of links and callers.'
+)
 def main(name: str, directory: Path, seed: int) -> None:
-    """Run the demonstration; fails where something went wrong."""
+    """Run the demonstration; exit with status 1 if a guarantee is violated."""
     report = run_demo(find_deployment(name), directory, seed, click.echo)
     path = directory / 'report.json'
     path.write_text(dump_report(report), encoding='utf-8')
--- a/packages/standins/src/trefoilpulley_standins/demo/caller.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/caller.py
@@ -1,4 +1,4 @@
-"""Callers of the demonstration."""
+"""Callers of the demonstration, which send the recorded requests."""
 
 from __future__ import annotations
 
@@ -27,45 +27,47 @@
     from trefoilpulley_standins.layout import Layout
 
 RETRY = RetryPolicy(deadline_s=8.0, attempt_timeout_s=1.5)
-"""Bounds of the callers' retries."""
+"""Deadline and timeout of the callers' retries."""
 
 TRANSACTION_PARTS = 2
-"""Rows that a transaction writes."""
+"""Number of rows that each transaction writes."""
 
 
 class Journal:
-    """Entries of all callers, with the time since the start."""
+    """Log of the requests of all callers, and the clock of the run."""
 
     def __init__(self) -> None:
         self._started = time.monotonic()
         self.entries: list[Entry] = []
-        """Entries in the order of their ends."""
+        """Finished requests in the order of completion."""
 
     @property
     def now_s(self) -> float:
-        """Seconds since the start."""
+        """Time since the start of the run, in seconds."""
         return time.monotonic() - self._started
 
     def sleep_until(self, at_s: float) -> None:
-        """Wait for a time since the start."""
+        """Sleep until ``at_s`` seconds after the start of the run."""
         gevent.sleep(max(at_s - self.now_s, 0))
 
 
 class Caller:
-    """One session that roams between entry hosts.
+    """Client session that changes its entry host between requests.
+
+    The session token carries the session over to the next connection.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     journal : Journal
-        Takes an entry for each request.
+        Journal that receives an entry for each request.
     session : str
         Name of the session.
     steps : Iterable[Step]
-        Steps of the session.
+        Steps of the session, ordered by time.
     seed : int
-        Seed of request ids and of the choice of hosts.
+        Seed of the client's random choices, such as that of a host.
     """
 
     def __init__(
@@ -92,7 +94,7 @@
         self._sql = _Sql(layout)
 
     def run(self) -> None:
-        """Take the steps at their times."""
+        """Run each step at its scheduled time, then disconnect."""
         for step in self._steps:
             self._journal.sleep_until(step.at_ms / 1000)
             self._take(step)
--- a/packages/standins/src/trefoilpulley_standins/demo/checker.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/checker.py
@@ -1,4 +1,4 @@
-"""Judges a run by the journal of the callers and the members' rows."""
+"""Checks a run against the callers' journal and the members' rows."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRow:
-    """Row as a member holds it at the end."""
+    """Row that a member stores at the end of the run."""
 
     row_id: int
-    """Number, ascending in the order of the log."""
+    """Row number, ascending in the order of the log."""
 
     request: str
-    """Request that wrote it."""
+    """Identifier of the request that wrote the row."""
 
     session: str
-    """Session that sent the request."""
+    """Name of the session that sent the request."""
 
     part: int
-    """Number of the row in its request."""
+    """Position of the row within the request, counted from 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRows:
-    """All rows of one member."""
+    """All rows that one member stores at the end of the run."""
 
     database: str
     """Database of the member."""
@@ -51,34 +51,35 @@
     """Name of the member."""
 
     rows: tuple[StoredRow, ...]
-    """Rows."""
+    """Rows in ascending order of their numbers."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopWindow:
-    """Time of a planned stop."""
+    """Time span of a planned stop, in seconds since the start."""
 
     database: str
-    """Database whose primary was moved."""
+    """Database whose primary was in the stopped zone."""
 
     began_s: float
-    """Time at which the stop was declared."""
+    """Time at which the planned stop was declared."""
 
     ended_s: float
-    """Time at which its primary had moved, and a while after."""
+    """Time until which requests count as sent during the stop."""
 
 
 class Checker:
-    """Counts what must not happen.
+    """Counts violations of the guarantees and summarizes the run.
 
     Parameters
     ----------
     entries : Iterable[Entry]
-        Journal of the callers.
+        Journal entries of the callers.
     members : tuple[MemberRows, ...]
-        Rows of every member at the end.
+        Rows of every member at the end of the run. The first member of
+        each database is its primary at the start.
     declarations : Declarations
-        Targets of the classes.
+        Declarations that hold the classes of work and their targets.
     """
 
     def __init__(
@@ -101,28 +102,28 @@
         self._acknowledged = _AcknowledgedIds(self._answered_writes())
 
     def count(self, verdict: Verdict) -> int:
-        """Return the granted requests with a verdict."""
+        """Return the number of authorized requests with a verdict."""
         return sum(e.verdict is verdict for e in self._granted)
 
     def count_lost(self) -> int:
-        """Count acknowledged writes that some member lacks at the end."""
+        """Count acknowledged writes that are incomplete on any member."""
         return sum(
             any(len(parts) < e.parts for parts in self._found(e))
             for e in self._answered_writes()
         )
 
     def count_doubled(self) -> int:
-        """Count requests that ran more than once."""
+        """Count write requests that ran more than once."""
         return sum(
             any(_has_repeats(parts) for parts in self._found(e))
             for e in self._writes
         )
 
     def count_mixed(self) -> int:
-        """Count rows that stand with another's, or without their own.
+        """Count rows under the wrong session and partial transactions.
 
-        A transaction is there whole or not at all, and every row stands
-        under the session that sent its request.
+        Every row must carry the session that sent its request, and every
+        member must store all rows of a transaction or none.
         """
         owners = {e.request: e.session for e in self._writes}
         foreign = sum(
@@ -137,16 +138,20 @@
         return foreign + partial
 
     def count_wrong_answers(self) -> int:
-        """Count answers to another's request or on another's database."""
+        """Count answers that the caller should not have received.
+
+        These are answers that belong to another request, and requests for
+        another tenant's database that were not refused as unauthorized.
+        """
         crossed = sum(not e.is_own_answer for e in self._answered_reads())
         return crossed + self._count_let_through()
 
     def count_ryw_violations(self) -> int:
-        """Count reads that miss a write of their own session."""
+        """Count reads that miss an earlier write of their own session."""
         return sum(e.own_rows < e.own_floor for e in self._answered_reads())
 
     def count_stale(self) -> int:
-        """Count reads that miss a write older than their class allows."""
+        """Count reads that are staler than their class allows."""
         return sum(
             e.last_id < self._acknowledged.before(e.database, limit)
             for e in self._answered_reads()
@@ -154,7 +159,7 @@
         )
 
     def count_false_not_run(self) -> int:
-        """Count requests that were called not run, and have run."""
+        """Count writes that were reported as not run but did run."""
         return sum(
             any(self._found(e))
             for e in self._writes
@@ -162,7 +167,7 @@
         )
 
     def count_cut(self, windows: Iterable[StopWindow]) -> int:
-        """Count requests without an answer during planned stops."""
+        """Count requests sent during planned stops that got no answer."""
         return sum(
             e.verdict is not Verdict.ANSWERED
             and e.database == w.database
@@ -174,9 +179,9 @@
     def replica_read_share(self) -> float:
         """Return the share of reads that a replica served.
 
-        Reads of classes that want the primary's present are left out.
-        The primary at a time is the member that acknowledged the latest
-        write before.
+        Reads of classes that require the current state of the primary are
+        excluded. The primary at a given time is the member that acknowledged
+        the latest write before that time.
         """
         allowed = [e for e in self._answered_reads() if self._may_lag(e)]
         replicas = sum(
@@ -186,7 +191,12 @@
         return round(replicas / len(allowed), 4) if allowed else 0.0
 
     def write_gap_s(self, database: str, since_s: float) -> float | None:
-        """Return the gap at the first change of primary after a time."""
+        """Return the write gap at the first primary change after a time.
+
+        The gap is the time in seconds between the last write acknowledged
+        by one member and the first acknowledged by another; ``None`` if no
+        change was observed.
+        """
         last: Entry | None = None
         for e in self._answered_writes():
             if e.database != database or not e.member:
@@ -197,7 +207,7 @@
         return None
 
     def describe_classes(self) -> dict[str, ClassReport]:
-        """Return how each class did against its target."""
+        """Return the report of each class of work by its name."""
         return {
             c.name: self._describe_class(c) for c in self._declarations.classes
         }
@@ -270,7 +280,7 @@
             self._times[e.database].append(e.ended_s)
 
     def before(self, database: str, at_s: float) -> int:
-        """Return the greatest row number acknowledged before a time."""
+        """Return the highest row number acknowledged before a time."""
         count = bisect_left(self._times[database], at_s)
         return self._greatest[database][count - 1] if count else 0
 
--- a/packages/standins/src/trefoilpulley_standins/demo/journal.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/journal.py
@@ -1,4 +1,4 @@
-"""Journal of what the callers sent and got."""
+"""Journal of the callers' requests and their outcomes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Verdict(StrEnum):
-    """Last word that a caller got on a request."""
+    """Final outcome of a request as the caller saw it."""
 
     ANSWERED = 'answered'
     REFUSED = 'refused'
@@ -26,58 +26,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One request of a caller."""
+    """One request of a caller and its outcome."""
 
     request: str
-    """Identifier; also in the rows that the request writes."""
+    """Identifier of the request; stored in the rows that it writes."""
 
     session: str
-    """Session; also in the rows."""
+    """Name of the session; stored in the rows that the request writes."""
 
     work_class: str
-    """Class of work."""
+    """Name of the class of work."""
 
     database: str
-    """Database."""
+    """Name of the database."""
 
     kind: StepKind
-    """Kind of the request."""
+    """Kind of the step that sent the request."""
 
     began_s: float
-    """Time at which the caller sent it, in seconds since the start."""
+    """Time at which the request was sent, in seconds since the start."""
 
     ended_s: float
-    """Time at which the caller got the last word."""
+    """Time of the final outcome, in seconds since the start."""
 
     verdict: Verdict
-    """Last word."""
+    """Final outcome."""
 
     code: str = ''
-    """Code of the failure."""
+    """Code of the failure; empty for an answered request."""
 
     host: str = ''
-    """Entry host that gave the last word."""
+    """Entry host that returned the final outcome."""
 
     member: str = ''
-    """Member that served it, as the answer says."""
+    """Member that served the request, as stated in the answer."""
 
     parts: int = 0
-    """Rows that a write adds."""
+    """Number of rows that an acknowledged write added."""
 
     own_rows: int = 0
-    """Rows of the session that a read has seen."""
+    """Number of the session's rows that a read returned."""
 
     own_floor: int = 0
-    """Rows of the session acknowledged before the read was sent."""
+    """Number of the session's rows acknowledged before the request."""
 
     last_id: int = 0
-    """Greatest row number that was seen or written."""
+    """Highest row number that the request read or wrote."""
 
     is_own_answer: bool = True
-    """Whether a read gave back the parameter that it was sent."""
+    """Whether a read returned the parameter that was sent with it."""
 
     is_foreign: bool = False
-    """Whether the tenant may not use the database."""
+    """Whether the tenant has no grant for the database."""
 
 
 _CONVERTER = make_converter(omit_if_default=True)
--- a/packages/standins/src/trefoilpulley_standins/demo/observer.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/observer.py
@@ -1,4 +1,4 @@
-"""Asks the members themselves, apart from the proxy."""
+"""Reads the state and rows of members without the proxy."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
     from trefoilpulley_wire.channel import Channel
 
 TIMEOUT_S = 2.0
-"""Longest wait for a member's answer, in seconds."""
+"""Timeout of a call to a member, in seconds."""
 
 PAGE_ROWS = 2000
-"""Rows read at once."""
+"""Number of rows read by one statement."""
 
 
 class Observer:
-    """Connections to every member's replication port.
+    """Reads members directly, over their replication and member ports.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     """
 
     def __init__(self, layout: Layout) -> None:
@@ -44,17 +44,17 @@
         self._channels: dict[str, Channel] = {}
 
     def statuses(self, database: DatabaseEntry) -> tuple[MemberStatus, ...]:
-        """Return the status of each member that answers."""
+        """Return the status of each member that responds."""
         found = (self._ask(m.name) for m in database.members)
         return tuple(s for s in found if s is not None)
 
     def find_primary(self, database: DatabaseEntry) -> MemberStatus | None:
-        """Return the primary of the highest term."""
+        """Return the status of the primary with the highest term."""
         leaders = [s for s in self.statuses(database) if s.is_primary]
         return max(leaders, key=lambda s: s.term, default=None)
 
     def is_settled(self, database: DatabaseEntry) -> bool:
-        """Return whether every member holds the primary's whole log."""
+        """Return whether every replica holds the primary's entire log."""
         primary = self.find_primary(database)
         if primary is None:
             return False
@@ -63,7 +63,7 @@
         return is_whole and all(p == primary.history.last for p in held)
 
     def read_rows(self, member: MemberEntry) -> tuple[StoredRow, ...]:
-        """Return every row of a member."""
+        """Return all rows of a member in order of their numbers."""
         channel = dial(member.endpoint, MEMBER_CODEC).unwrap()
         rows: list[StoredRow] = []
         try:
@@ -74,7 +74,7 @@
         return tuple(rows)
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to the replication ports."""
         for channel in self._channels.values():
             channel.close()
 
--- a/packages/standins/src/trefoilpulley_standins/demo/orders.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/orders.py
@@ -1,4 +1,4 @@
-"""Orders of the demonstration to the service, the links and the hosts."""
+"""Control of the platform service and the links, and host state queries."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
     from trefoilpulley_standins.layout import Layout
 
 TIMEOUT_S = 2.0
-"""Longest wait for an answer, in seconds."""
+"""Timeout of a control call, in seconds."""
 
 
 class Orders:
-    """Gives orders to the stand-ins of a layout.
+    """Client of the control interfaces of a running deployment.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     """
 
     def __init__(self, layout: Layout) -> None:
@@ -48,7 +48,7 @@
         self._dialer = WebSocketDialer()
 
     def cut_zone(self, zone: str) -> None:
-        """Cut a zone off from the others and from the service."""
+        """Partition a zone from the other zones and from the service."""
         others = [z for z in self._layout.deployment.zones if z != zone]
         cuts = [{'source': zone, 'target': z} for z in others]
         cuts.extend({'source': z, 'target': zone} for z in others)
@@ -56,24 +56,30 @@
         _post(f'{self._platform}/control', {'cut_zones': [zone]})
 
     def heal(self) -> None:
-        """End every cut."""
+        """Remove all partitions."""
         _post(f'{self._links}/control', {'cuts': []})
         _post(f'{self._platform}/control', {'cut_zones': []})
 
     def set_down(self, is_down: bool) -> None:
-        """Take the service down, or bring it back."""
+        """Take the platform service down or bring it up."""
         _post(f'{self._platform}/control', {'is_down': is_down})
 
     def list_hosts(self, hosts: tuple[HostEntry, ...]) -> None:
-        """Write the platform's list of hosts."""
+        """Write the platform's catalog of hosts."""
         self._put(CATALOG_HOSTS_KEY, encode_hosts(hosts))
 
     def list_databases(self, databases: tuple[DatabaseEntry, ...]) -> None:
-        """Write the platform's list of database groups."""
+        """Write the platform's catalog of database groups."""
         self._put(CATALOG_DATABASES_KEY, encode_databases(databases))
 
     def declare_stops(self, stops: tuple[PlannedStop, ...]) -> int:
-        """Write declarations with planned stops; return the revision."""
+        """Publish declarations with these planned stops as a new revision.
+
+        Returns
+        -------
+        int
+            Revision of the new configuration.
+        """
         found = decode_configuration(self._get(CONFIGURATION_KEY)).unwrap()
         revision = found.revision + 1
         changed = Configuration(
@@ -85,17 +91,17 @@
         return revision
 
     def count_calls(self) -> dict[str, int]:
-        """Return the calls to the service by kind and zone."""
+        """Return the number of calls to the service by kind and by zone."""
         return _post(f'{self._platform}/control', {})['calls']
 
     def revision_of(self, endpoint: Endpoint) -> int:
-        """Return the revision that a host has in force; 0 without answer."""
+        """Return the revision in force on a host; 0 if the host is silent."""
         state = self.state_of(endpoint)
         held = state.get('configuration', {})
         return held.get('configuration_revision', 0)
 
     def state_of(self, endpoint: Endpoint) -> dict[str, Any]:
-        """Return the state of a host; empty without an answer."""
+        """Return the state dump of a host; empty if the host is silent."""
         dialled = self._dialer.dial(endpoint, TIMEOUT_S).value_or(None)
         if dialled is None:
             return {}
--- a/packages/standins/src/trefoilpulley_standins/demo/record.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/record.py
@@ -1,4 +1,4 @@
-"""Command that draws the recorded workload of a deployment anew."""
+"""Command that regenerates the recorded workloads."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from trefoilpulley_standins.deployment import DEPLOYMENTS
 
 RECORDINGS = Path(__file__).with_name('recordings')
-"""Directory of the recordings."""
+"""Directory of the recorded workloads."""
 
 
 @click.command()
 @click.option('--seed', default=1, show_default=True)
 def main(seed: int) -> None:
-    """Draw the recordings of every deployment."""
+    """Regenerate the recorded workload of every deployment."""
     for deployment in DEPLOYMENTS:
         steps = record_workload(list_works(deployment), seed)
         dump_workload(recording_of(deployment.name), steps)
 
 
 def recording_of(name: str) -> Path:
-    """Return the path of a deployment's recording."""
+    """Return the path of a deployment's recorded workload."""
     return RECORDINGS / f'{name}.jsonl'
 
 
--- a/packages/standins/src/trefoilpulley_standins/demo/report.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/report.py
@@ -10,90 +10,90 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassTarget:
-    """Promptness target of a class."""
+    """Promptness target of a class of work."""
 
     within_ms: int
-    """Time within which an answer is due, in milliseconds."""
+    """Maximum response time of a prompt answer, in milliseconds."""
 
     share: float
-    """Share of the answers that must be in time."""
+    """Share of the requests that must be answered in that time."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClassReport:
-    """How a class of work did."""
+    """Results of a class of work."""
 
     requests: int
-    """Requests sent."""
+    """Number of requests sent."""
 
     in_time: float
-    """Share of the requests answered within the target's time."""
+    """Share of the requests answered within the target's time limit."""
 
     p50_ms: float | None
-    """Median time of the answers, in milliseconds."""
+    """Median response time in milliseconds."""
 
     p99_ms: float | None
-    """99th percentile of the answers' time, in milliseconds."""
+    """99th percentile of the response time, in milliseconds."""
 
     target: ClassTarget
-    """Target."""
+    """Promptness target."""
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """Keys of build/demo/report.json."""
+    """Results of a run; the fields are the keys of report.json."""
 
     answered: int
-    """Requests answered."""
+    """Number of requests answered."""
 
     refused: int
-    """Requests refused."""
+    """Number of requests refused."""
 
     unknown: int
-    """Requests whose outcome stayed unknown."""
+    """Number of requests whose outcome remained unknown."""
 
     lost: int
-    """Acknowledged writes that a member lacks at the end."""
+    """Acknowledged writes that are incomplete on some member."""
 
     doubled: int
-    """Requests that ran more than once."""
+    """Write requests that ran more than once."""
 
     mixed: int
-    """Rows in another's transaction, and transactions in part."""
+    """Rows under the wrong session, and partial transactions."""
 
     wrong_answer: int
-    """Answers to another request, or on another tenant's database."""
+    """Misrouted answers, and unauthorized requests not refused as such."""
 
     ryw_violations: int
-    """Reads that miss a write of their session."""
+    """Reads that miss an earlier write of their own session."""
 
     stale_beyond_target: int
-    """Reads staler than their class allows."""
+    """Reads that are staler than their class allows."""
 
     false_not_run: int
-    """Requests that were called not run, and have run."""
+    """Writes that were reported as not run but did run."""
 
     cut_by_planned_stop: int
-    """Requests without an answer during the planned stop."""
+    """Requests sent during the planned stop that got no answer."""
 
     replica_read_share: float
-    """Share of the reads served by replicas, where the class allows it."""
+    """Share of the reads served by replicas, of classes that allow it."""
 
     failover_gap_s: float | None
-    """Time without an acknowledged write at the loss of the primary."""
+    """Time without an acknowledged write at the failover, in seconds."""
 
     return_gap_s: float | None
-    """Time without an acknowledged write at the return."""
+    """Time without an acknowledged write at the failback, in seconds."""
 
     config_in_force_s: float | None
-    """Time until a new configuration was in force on every host."""
+    """Time until all hosts applied a new configuration, in seconds."""
 
     classes: dict[str, ClassReport]
-    """Classes of work."""
+    """Results by class of work."""
 
     @property
     def violations(self) -> dict[str, int]:
-        """Counts that must be 0."""
+        """Counts of violated guarantees; each must be 0."""
         return {
             'lost': self.lost,
             'doubled': self.doubled,
@@ -106,7 +106,7 @@
 
     @property
     def exit_status(self) -> int:
-        """Status of the command: 1 where a violation was counted."""
+        """Exit status of the command: 1 if there is any violation, else 0."""
         return int(any(self.violations.values()))
 
 
@@ -117,7 +117,7 @@
 
 
 def summarize(report: Report) -> list[str]:
-    """Return the lines of a readable summary."""
+    """Return the lines of a human-readable summary."""
     lines = [
         f'answered {report.answered}, refused {report.refused}, '
         f'unknown {report.unknown}',
--- a/packages/standins/src/trefoilpulley_standins/demo/run.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/run.py
@@ -1,4 +1,4 @@
-"""One run of the demonstration."""
+"""Runs the demonstration."""
 
 from __future__ import annotations
 
@@ -38,19 +38,19 @@
     from trefoilpulley_standins.layout import Layout
 
 READY_LIMIT_S = 10.0
-"""Longest wait for every host to hold the declarations, in seconds."""
+"""Time limit for all hosts to apply the declarations, in seconds."""
 
 CALLERS_LIMIT_S = 12.0
-"""Longest wait for the callers after their last step, in seconds."""
+"""Time limit for callers to finish after the recording, in seconds."""
 
 SETTLE_LIMIT_S = 5.0
-"""Longest wait for the replicas at the end, in seconds."""
+"""Time limit for replicas to catch up at the end, in seconds."""
 
 STEADY_SESSIONS = 16
-"""Sessions for each database that only write, to see the gaps."""
+"""Number of write-only sessions per database, which reveal write gaps."""
 
 STEADY_INTERVAL_MS = 1600
-"""Time between two writes of such a session, in milliseconds."""
+"""Interval between writes of a write-only session, in milliseconds."""
 
 _POLL_S = 0.1
 
@@ -61,7 +61,19 @@
     seed: int,
     say: Callable[[str], None],
 ) -> Report:
-    """Start a deployment, run load and faults, and judge the run."""
+    """Start a deployment, run load and faults, and report the results.
+
+    Parameters
+    ----------
+    deployment : Deployment
+        Deployment to start.
+    directory : Path
+        Directory of the journal, the settings files and the logs.
+    seed : int
+        Seed of the links and the callers.
+    say : Callable[[str], None]
+        Callback that receives progress messages.
+    """
     layout = make_layout(deployment, directory / 'run', seed)
     processes = start_deployment(layout, directory / 'run')
     orders = Orders(layout)
--- a/packages/standins/src/trefoilpulley_standins/demo/script.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/script.py
@@ -1,4 +1,4 @@
-"""Faults of the demonstration and when they come."""
+"""Schedule of the faults of the demonstration."""
 
 from __future__ import annotations
 
@@ -25,78 +25,78 @@
     from trefoilpulley_standins.processes import Processes
 
 CHANGE_AT_S = 4.0
-"""Time of the first change of configuration, in seconds."""
+"""Time of the configuration change, in seconds."""
 
 KILL_AT_S = 7.0
-"""Time of an entry host's death, in seconds."""
+"""Time at which an entry host is killed, in seconds."""
 
 DELIST_AFTER_S = 2.0
-"""Time after which the platform's list follows a death, in seconds."""
+"""Delay before the killed host leaves the platform's catalog, in seconds."""
 
 CUT_AT_S = 11.0
-"""Time at which a primary is cut off, in seconds."""
+"""Time at which a primary's zone is partitioned, in seconds."""
 
 HEAL_AT_S = 19.0
-"""Time at which the cut ends, in seconds."""
+"""Time at which the partition ends, in seconds."""
 
 OUTAGE_AT_S = 20.0
-"""Time at which the service goes down, in seconds."""
+"""Time at which the platform service goes down, in seconds."""
 
 OUTAGE_S = 6.0
-"""Length of the service's outage, in seconds."""
+"""Duration of the service outage, in seconds."""
 
 RETURN_LIMIT_S = 18.0
-"""Longest wait for the return after the outage, in seconds."""
+"""Time limit for the failback after the outage, in seconds."""
 
 STOP_LIMIT_S = 8.0
-"""Longest wait for a planned stop to move its primary, in seconds."""
+"""Time limit for a planned stop to move its primary, in seconds."""
 
 SETTLED_S = 2.0
-"""Time that counts with a planned stop after its move, in seconds."""
+"""Time after the move that belongs to the planned stop, in seconds."""
 
 CONFIGURATION_LIMIT_S = 10.0
-"""Longest wait for a configuration to be in force, in seconds."""
+"""Time limit for all hosts to apply a configuration, in seconds."""
 
 _POLL_S = 0.05
 
 
 @dataclass(slots=True)
 class Marks:
-    """What the script saw."""
+    """Times and outcomes observed while the faults ran."""
 
     config_in_force_s: float | None = None
-    """Time until a configuration was in force on every host."""
+    """Time until all hosts applied the configuration, in seconds."""
 
     cut_at_s: float = 0.0
-    """Time at which the primary was cut off."""
+    """Time at which the primary was partitioned, in seconds."""
 
     healed_at_s: float = 0.0
-    """Time at which the cut ended."""
+    """Time at which the partition ended, in seconds."""
 
     has_returned: bool = False
-    """Whether the home primary led again."""
+    """Whether the home primary became primary again."""
 
     stops: tuple[StopWindow, ...] = ()
-    """Planned stops."""
+    """Time spans of the planned stops."""
 
 
 class Script:
-    """Runs the faults one after the other.
+    """Runs the faults one after another at their times.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     processes : Processes
-        Its processes.
+        Processes of the deployment.
     orders : Orders
-        Way to the stand-ins.
+        Control client of the deployment.
     observer : Observer
-        Way to the members.
+        Direct access to the members.
     journal : Journal
-        Clock of the run.
+        Journal whose clock times the faults.
     say : Callable[[str], None]
-        Tells a person what happens.
+        Callback that receives progress messages.
     """
 
     def __init__(
@@ -116,20 +116,20 @@
         self._say = say
         self._killed = ''
         self.marks = Marks()
-        """What the script saw."""
+        """Times and outcomes observed so far."""
 
     @property
     def cut_database(self) -> DatabaseEntry:
-        """Database whose primary is cut off."""
+        """Database whose primary is partitioned."""
         return self._layout.databases[0]
 
     @property
     def stopped_database(self) -> DatabaseEntry:
-        """Database whose primary is in the planned stop."""
+        """Database whose primary is in the stopped zone."""
         return self._layout.databases[1]
 
     def run(self) -> None:
-        """Run every fault."""
+        """Run all faults in order."""
         self._change_configuration()
         self._kill_host()
         self._cut_primary()
@@ -183,11 +183,11 @@
         home = self.cut_database.members[0]
         self.marks.cut_at_s = self._journal.now_s
         self._orders.cut_zone(home.zone)
-        self._tell(f'{home.name} cut off with its zone {home.zone}')
+        self._tell(f'{home.name} partitioned with its zone {home.zone}')
         self._journal.sleep_until(HEAL_AT_S)
         self._orders.heal()
         self.marks.healed_at_s = self._journal.now_s
-        self._tell('cut healed')
+        self._tell('partition ended')
 
     def _take_service_down(self) -> None:
         self._journal.sleep_until(OUTAGE_AT_S)
@@ -202,7 +202,9 @@
         self.marks.has_returned = self._wait(
             lambda: self._leads(self.cut_database, home), RETURN_LIMIT_S
         )
-        done = 'leads again' if self.marks.has_returned else 'does not lead'
+        done = (
+            'is primary again' if self.marks.has_returned else 'is not primary'
+        )
         self._tell(f'{home} {done}')
 
     def _stop_zone(self) -> None:
@@ -217,7 +219,7 @@
         has_moved = self._wait(
             lambda: not self._leads(database, primary.member), STOP_LIMIT_S
         )
-        done = 'has left' if has_moved else 'still leads'
+        done = 'stepped down' if has_moved else 'is still primary'
         self._tell(f'planned stop of {zone}: {primary.member} {done}')
         gevent.sleep(SETTLED_S)
         self.marks.stops = (
--- a/packages/standins/src/trefoilpulley_standins/demo/tenants.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/tenants.py
@@ -1,4 +1,4 @@
-"""What the tenants of a deployment may use, and what they may not."""
+"""Work that the tenants of a deployment are and are not granted."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     from trefoilpulley_standins.deployment import Deployment
 
 FOREIGN_AT_MS = 2000
-"""Time of the tries at other tenants' databases, in milliseconds."""
+"""Time of the unauthorized requests, in milliseconds."""
 
 
 def list_works(deployment: Deployment) -> tuple[TenantWork, ...]:
-    """Return the work that each grant of the declarations allows."""
+    """Return the work that each grant in the declarations allows."""
     declarations = load_declarations(deployment)
     return tuple(
         _work_of(tenant.name, grant, deployment, declarations)
@@ -34,7 +34,7 @@
 
 @cache
 def find_writer(deployment: Deployment, database: int) -> str:
-    """Return the first tenant that may write to a database."""
+    """Return the first tenant with a write grant for a database."""
     return next(
         w.tenant
         for w in list_works(deployment)
@@ -45,19 +45,19 @@
 def make_foreign_steps(
     deployment: Deployment, first_session: int
 ) -> Iterator[Step]:
-    """Return a read and a write of each tenant where it has no grant.
+    """Yield a read and a write of each tenant on a database without a grant.
 
     Parameters
     ----------
     deployment : Deployment
-        Deployment.
+        Deployment whose declarations apply.
     first_session : int
-        Number of the first session; each tenant has one of its own.
+        Number of the first session; each tenant gets its own session.
 
     Returns
     -------
     Iterator[Step]
-        Steps; none for a tenant that may use every database.
+        Steps; none for a tenant that has grants for every database.
     """
     works = list_works(deployment)
     tenants = dict.fromkeys(w.tenant for w in works)
--- a/packages/standins/src/trefoilpulley_standins/demo/workload.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/workload.py
@@ -16,17 +16,17 @@
     from collections.abc import Iterator
 
 DURATION_MS = 60_000
-"""Length of a recording in milliseconds."""
+"""Duration of a recorded workload, in milliseconds."""
 
 SESSIONS = 24
-"""Sessions of a recording."""
+"""Number of sessions in a recorded workload."""
 
 PAUSE_MS = 900.0
-"""Mean time between two steps of a session, in milliseconds."""
+"""Mean interval between two steps of a session, in milliseconds."""
 
 
 class StepKind(StrEnum):
-    """What a session does."""
+    """Action of a step; ``ROAM`` moves the session to another host."""
 
     WRITE = 'write'
     TRANSACTION = 'transaction'
@@ -39,49 +39,49 @@
     """One step of a session."""
 
     at_ms: int
-    """Time since the start, in milliseconds."""
+    """Time since the start of the run, in milliseconds."""
 
     session: int
     """Number of the session."""
 
     kind: StepKind
-    """What the session does."""
+    """Action of the step."""
 
     tenant: str = ''
-    """Tenant of the session."""
+    """Name of the session's tenant."""
 
     work_class: str = ''
-    """Class of work; empty for a change of the entry host."""
+    """Name of the class of work; empty for ``StepKind.ROAM``."""
 
     database: int = 0
-    """Number of the database."""
+    """Number of the database, counted from 0."""
 
     is_foreign: bool = False
-    """Whether the tenant may not use the database."""
+    """Whether the tenant has no grant for the database."""
 
 
 @dataclass(frozen=True, slots=True)
 class TenantWork:
-    """Classes of work that a tenant uses on some databases."""
+    """Work that one grant allows a tenant."""
 
     tenant: str
-    """Tenant."""
+    """Name of the tenant."""
 
     writes: tuple[str, ...]
-    """Classes that write."""
+    """Names of the granted classes that write."""
 
     reads: tuple[str, ...]
-    """Classes that read."""
+    """Names of the granted classes that read."""
 
     databases: tuple[int, ...]
-    """Numbers of the databases."""
+    """Numbers of the granted databases."""
 
 
 _CONVERTER = make_converter(omit_if_default=True)
 
 
 def load_workload(path: Path) -> tuple[Step, ...]:
-    """Read a recording."""
+    """Load a recorded workload from a file of JSON lines."""
     with path.open(encoding='utf-8') as lines:
         return tuple(
             _CONVERTER.structure(json.loads(line), Step) for line in lines
@@ -89,7 +89,7 @@
 
 
 def dump_workload(path: Path, steps: Iterable[Step]) -> None:
-    """Write a recording."""
+    """Write a recorded workload to a file of JSON lines."""
     with path.open('w', encoding='utf-8') as file:
         for step in steps:
             document = _CONVERTER.unstructure(step)
@@ -99,19 +99,19 @@
 def record_workload(
     works: tuple[TenantWork, ...], seed: int
 ) -> tuple[Step, ...]:
-    """Draw a recording.
+    """Generate a random workload.
 
     Parameters
     ----------
     works : tuple[TenantWork, ...]
-        What the sessions may do; sessions go round them.
+        Work of the sessions, assigned to them in turn.
     seed : int
-        Seed of the recording.
+        Seed of the random generator.
 
     Returns
     -------
     tuple[Step, ...]
-        Steps of all sessions in the order of their times.
+        Steps of all sessions, ordered by time and session.
     """
     rng = random.Random(seed)
     steps: list[Step] = []
