--- a/features/steps/standins_demo_steps.py
+++ b/features/steps/standins_demo_steps.py
@@ -23,14 +23,14 @@
 from trefoilpulley_standins.demo.checker import StoredRow
 from trefoilpulley_standins.demo.journal import Entry
 from trefoilpulley_standins.demo.journal import Verdict
-from trefoilpulley_standins.demo.record import recording_of
+from trefoilpulley_standins.demo.record import recording_path
 from trefoilpulley_standins.demo.report import dump_report
 from trefoilpulley_standins.demo.report import Report
-from trefoilpulley_standins.demo.tenants import find_writer
-from trefoilpulley_standins.demo.tenants import list_works
+from trefoilpulley_standins.demo.tenants import find_writing_tenant
+from trefoilpulley_standins.demo.tenants import list_tenant_work
 from trefoilpulley_standins.demo.tenants import make_foreign_steps
+from trefoilpulley_standins.demo.workload import generate_workload
 from trefoilpulley_standins.demo.workload import load_workload
-from trefoilpulley_standins.demo.workload import record_workload
 from trefoilpulley_standins.demo.workload import Step
 from trefoilpulley_standins.demo.workload import StepKind
 from trefoilpulley_standins.demo.workload import TenantWork
@@ -128,7 +128,7 @@
         """Draw three recordings."""
         work = (TenantWork('weavers', ('filing',), ('lookup',), (0, 1, 2)),)
         first, again, other = (
-            record_workload(work, seed) for seed in (1, 1, 2)
+            generate_workload(work, seed) for seed in (1, 1, 2)
         )
         assert first == again
         assert first != other
@@ -143,20 +143,20 @@
     @then('the standins recording of "{name}" is drawn from the seed {seed:d}')
     def check_recording(context: Any, name: str, seed: int) -> None:
         """Draw the recording anew."""
-        works = list_works(find_deployment(name))
-        recorded = load_workload(recording_of(name))
-        assert recorded == record_workload(works, seed)
+        works = list_tenant_work(find_deployment(name))
+        recorded = load_workload(recording_path(name))
+        assert recorded == generate_workload(works, seed)
 
     @staticmethod
     @then('every standins step of "{name}" is granted')
     def check_granted(context: Any, name: str) -> None:
         """Expect a right for each step and for steady writers."""
         deployment = find_deployment(name)
-        steps = load_workload(recording_of(name))
+        steps = load_workload(recording_path(name))
         refused = [s for s in steps if not _is_granted(deployment, s)]
         assert not refused, refused[0]
         for number in range(deployment.databases):
-            tenant = find_writer(deployment, number)
+            tenant = find_writing_tenant(deployment, number)
             work = deployment.write_class
             step = Step(0, 0, StepKind.WRITE, tenant, work, number)
             assert _is_granted(deployment, step), step
@@ -379,6 +379,6 @@
         checker.count_ryw_violations(),
         checker.count_stale(),
         checker.count_false_not_run(),
-        checker.count_cut((_STOP,)),
+        checker.count_cut_by_planned_stop((_STOP,)),
     )
     return dict(zip(_KEYS, counts, strict=True))
--- a/packages/standins/src/trefoilpulley_standins/demo/caller.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/caller.py
@@ -26,10 +26,10 @@
     from trefoilpulley_standins.demo.workload import Step
     from trefoilpulley_standins.layout import Layout
 
-RETRY = RetryPolicy(deadline_s=8.0, attempt_timeout_s=1.5)
+RETRY_POLICY = RetryPolicy(deadline_s=8.0, attempt_timeout_s=1.5)
 """Deadline and timeout of the callers' retries."""
 
-TRANSACTION_PARTS = 2
+ROWS_PER_TRANSACTION = 2
 """Number of rows that each transaction writes."""
 
 
@@ -89,25 +89,25 @@
         ]
         self._conn: Connection | None = None
         self._token = b''
-        self._acknowledged: Counter[str] = Counter()
-        self._count = 0
-        self._sql = _Sql(layout)
+        self._acknowledged_rows: Counter[str] = Counter()
+        self._request_count = 0
+        self._statements = _Statements(layout)
 
     def run(self) -> None:
         """Run each step at its scheduled time, then disconnect."""
         for step in self._steps:
             self._journal.sleep_until(step.at_ms / 1000)
-            self._take(step)
-        self._leave()
+            self._run_step(step)
+        self._disconnect()
 
-    def _take(self, step: Step) -> None:
+    def _run_step(self, step: Step) -> None:
         if step.kind is StepKind.ROAM:
-            self._leave()
+            self._disconnect()
             return
-        self._count += 1
+        self._request_count += 1
         database = self._layout.databases[step.database].name
         entry = Entry(
-            f'{self._session}-{self._count}',
+            f'{self._session}-{self._request_count}',
             self._session,
             step.work_class,
             database,
@@ -115,31 +115,31 @@
             self._journal.now_s,
             0.0,
             Verdict.ANSWERED,
-            own_floor=self._acknowledged[database],
+            own_floor=self._acknowledged_rows[database],
             is_foreign=step.is_foreign,
         )
         try:
-            done = self._send(step, entry)
+            finished = self._send(step, entry)
         except gevent.GreenletExit:
             now_s = self._journal.now_s
-            done = replace(entry, ended_s=now_s, verdict=Verdict.UNKNOWN)
-            self._journal.entries.append(done)
+            finished = replace(entry, ended_s=now_s, verdict=Verdict.UNKNOWN)
+            self._journal.entries.append(finished)
             raise
-        if done.verdict is Verdict.ANSWERED:
-            self._acknowledged[database] += done.parts
-        self._journal.entries.append(done)
+        if finished.verdict is Verdict.ANSWERED:
+            self._acknowledged_rows[database] += finished.parts
+        self._journal.entries.append(finished)
 
     def _send(self, step: Step, entry: Entry) -> Entry:
         try:
-            entry = self._work(step, entry)
+            entry = self._run_request(step, entry)
         except OutcomeUnknownError as exc:
-            entry = self._settle(entry, exc)
+            entry = self._look_up_outcome(entry, exc)
         except Error as exc:
-            entry = _refuse(entry, exc)
+            entry = _mark_failed(entry, exc)
         host = self._conn.host if self._conn else ''
         return replace(entry, ended_s=self._journal.now_s, host=host)
 
-    def _work(self, step: Step, entry: Entry) -> Entry:
+    def _run_request(self, step: Step, entry: Entry) -> Entry:
         conn = self._connect(step)
         if step.kind is StepKind.READ:
             return self._read(conn, entry)
@@ -150,7 +150,7 @@
     def _read(self, conn: Connection, entry: Entry) -> Entry:
         conn.autocommit = True
         cursor = conn.cursor(entry.work_class, entry.database)
-        cursor.execute(self._sql.read, (entry.request, entry.session))
+        cursor.execute(self._statements.read, (entry.request, entry.session))
         request, last_id, own_rows = cursor.fetchone()
         return replace(
             entry,
@@ -164,7 +164,7 @@
         conn.autocommit = True
         cursor = conn.cursor(entry.work_class, entry.database)
         cursor.execute(
-            self._sql.write,
+            self._statements.write,
             (entry.request, entry.session, 1),
             request_id=entry.request,
         )
@@ -179,9 +179,10 @@
         conn.autocommit = False
         cursor = conn.cursor(entry.work_class, entry.database)
         try:
-            for part in range(1, TRANSACTION_PARTS + 1):
+            for part in range(1, ROWS_PER_TRANSACTION + 1):
                 cursor.execute(
-                    self._sql.write, (entry.request, entry.session, part)
+                    self._statements.write,
+                    (entry.request, entry.session, part),
                 )
             last_id = cursor.fetchone()[0]
             conn.commit(entry.request)
@@ -191,18 +192,20 @@
             entry,
             member=cursor.member,
             last_id=last_id,
-            parts=TRANSACTION_PARTS,
+            parts=ROWS_PER_TRANSACTION,
         )
 
-    def _settle(self, entry: Entry, exc: OutcomeUnknownError) -> Entry:
+    def _look_up_outcome(
+        self, entry: Entry, exc: OutcomeUnknownError
+    ) -> Entry:
         if entry.kind is StepKind.READ:
-            return _refuse(entry, exc)
+            return _mark_failed(entry, exc)
         try:
             self._conn.look_up(entry.request, entry.work_class, entry.database)
-        except Error as last:
-            return _refuse(entry, last)
+        except Error as lookup_error:
+            return _mark_failed(entry, lookup_error)
         is_single = entry.kind is StepKind.WRITE
-        return replace(entry, parts=1 if is_single else TRANSACTION_PARTS)
+        return replace(entry, parts=1 if is_single else ROWS_PER_TRANSACTION)
 
     def _connect(self, step: Step) -> Connection:
         if self._conn is None:
@@ -213,12 +216,12 @@
                 self._layout.databases[step.database].name,
                 step.work_class,
                 token=self._token,
-                retry=RETRY,
+                retry=RETRY_POLICY,
                 rng=self._rng,
             )
         return self._conn
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         if self._conn is None:
             return
         self._token = self._conn.token
@@ -226,7 +229,7 @@
         self._conn = None
 
 
-class _Sql:
+class _Statements:
     def __init__(self, layout: Layout) -> None:
         table = layout.deployment.table
         self.read = (
@@ -239,7 +242,7 @@
         )
 
 
-def _refuse(entry: Entry, exc: Error) -> Entry:
+def _mark_failed(entry: Entry, exc: Error) -> Entry:
     is_unknown = exc.run_state is RunState.UNKNOWN
     verdict = Verdict.UNKNOWN if is_unknown else Verdict.REFUSED
     return replace(entry, verdict=verdict, code=exc.code)
--- a/packages/standins/src/trefoilpulley_standins/demo/checker.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/checker.py
@@ -94,28 +94,29 @@
         self._writes = [
             e for e in self._entries if e.kind is not StepKind.READ
         ]
-        self._granted = [e for e in self._entries if not e.is_foreign]
+        self._authorized = [e for e in self._entries if not e.is_foreign]
         self._reads = [e for e in self._entries if e.kind is StepKind.READ]
-        self._parts = {
-            (m.database, m.member): _parts_of(m.rows) for m in members
+        self._parts_by_member = {
+            (m.database, m.member): _group_parts_by_request(m.rows)
+            for m in members
         }
-        self._acknowledged = _AcknowledgedIds(self._answered_writes())
+        self._acknowledged_ids = _AcknowledgedIds(self._answered_writes())
 
     def count(self, verdict: Verdict) -> int:
         """Return the number of authorized requests with a verdict."""
-        return sum(e.verdict is verdict for e in self._granted)
+        return sum(e.verdict is verdict for e in self._authorized)
 
     def count_lost(self) -> int:
         """Count acknowledged writes that are incomplete on any member."""
         return sum(
-            any(len(parts) < e.parts for parts in self._found(e))
+            any(len(parts) < e.parts for parts in self._parts_at_members(e))
             for e in self._answered_writes()
         )
 
     def count_doubled(self) -> int:
         """Count write requests that ran more than once."""
         return sum(
-            any(_has_repeats(parts) for parts in self._found(e))
+            any(_has_repeats(parts) for parts in self._parts_at_members(e))
             for e in self._writes
         )
 
@@ -132,7 +133,10 @@
             for row in m.rows
         )
         partial = sum(
-            any(0 < len(set(p)) < _expected(e) for p in self._found(e))
+            any(
+                0 < len(set(p)) < _expected_parts(e)
+                for p in self._parts_at_members(e)
+            )
             for e in self._writes
         )
         return foreign + partial
@@ -144,7 +148,7 @@
         another tenant's database that were not refused as unauthorized.
         """
         crossed = sum(not e.is_own_answer for e in self._answered_reads())
-        return crossed + self._count_let_through()
+        return crossed + self._count_not_denied()
 
     def count_ryw_violations(self) -> int:
         """Count reads that miss an earlier write of their own session."""
@@ -153,27 +157,28 @@
     def count_stale(self) -> int:
         """Count reads that are staler than their class allows."""
         return sum(
-            e.last_id < self._acknowledged.before(e.database, limit)
+            e.last_id
+            < self._acknowledged_ids.highest_before(e.database, limit)
             for e in self._answered_reads()
-            if (limit := self._age_limit_s(e)) is not None
+            if (limit := self._freshness_bound_s(e)) is not None
         )
 
     def count_false_not_run(self) -> int:
         """Count writes that were reported as not run but did run."""
         return sum(
-            any(self._found(e))
+            any(self._parts_at_members(e))
             for e in self._writes
             if e.verdict is Verdict.REFUSED
         )
 
-    def count_cut(self, windows: Iterable[StopWindow]) -> int:
+    def count_cut_by_planned_stop(self, windows: Iterable[StopWindow]) -> int:
         """Count requests sent during planned stops that got no answer."""
         return sum(
             e.verdict is not Verdict.ANSWERED
             and e.database == w.database
             and w.began_s <= e.began_s <= w.ended_s
             for w in windows
-            for e in self._granted
+            for e in self._authorized
         )
 
     def replica_read_share(self) -> float:
@@ -183,7 +188,9 @@
         excluded. The primary at a given time is the member that acknowledged
         the latest write before that time.
         """
-        allowed = [e for e in self._answered_reads() if self._may_lag(e)]
+        allowed = [
+            e for e in self._answered_reads() if self._allows_stale_reads(e)
+        ]
         replicas = sum(
             e.member != self._primary_at(e.database, e.began_s)
             for e in allowed
@@ -206,20 +213,21 @@
             last = e
         return None
 
-    def describe_classes(self) -> dict[str, ClassReport]:
+    def class_reports(self) -> dict[str, ClassReport]:
         """Return the report of each class of work by its name."""
         return {
-            c.name: self._describe_class(c) for c in self._declarations.classes
+            c.name: self._make_class_report(c)
+            for c in self._declarations.classes
         }
 
-    def _count_let_through(self) -> int:
+    def _count_not_denied(self) -> int:
         return sum(
             e.is_foreign and e.code != NotAuthorized.code
             for e in self._entries
         )
 
-    def _describe_class(self, work_class: WorkClass) -> ClassReport:
-        sent = [e for e in self._granted if e.work_class == work_class.name]
+    def _make_class_report(self, work_class: WorkClass) -> ClassReport:
+        sent = [e for e in self._authorized if e.work_class == work_class.name]
         times = sorted(
             (e.ended_s - e.began_s) * 1000
             for e in sent
@@ -241,20 +249,20 @@
     def _answered_reads(self) -> list[Entry]:
         return [e for e in self._reads if e.verdict is Verdict.ANSWERED]
 
-    def _found(self, entry: Entry) -> list[list[int]]:
+    def _parts_at_members(self, entry: Entry) -> list[list[int]]:
         return [
             parts.get(entry.request, [])
-            for (database, _), parts in self._parts.items()
+            for (database, _), parts in self._parts_by_member.items()
             if database == entry.database
         ]
 
-    def _age_limit_s(self, entry: Entry) -> float | None:
+    def _freshness_bound_s(self, entry: Entry) -> float | None:
         freshness = self._declarations.find_class(entry.work_class).freshness
         if freshness.kind is FreshnessKind.SESSION:
             return None
         return entry.began_s - (freshness.max_age_ms or 0) / 1000
 
-    def _may_lag(self, entry: Entry) -> bool:
+    def _allows_stale_reads(self, entry: Entry) -> bool:
         freshness = self._declarations.find_class(entry.work_class).freshness
         return freshness.kind is not FreshnessKind.PRESENT
 
@@ -273,19 +281,21 @@
 class _AcknowledgedIds:
     def __init__(self, writes: list[Entry]) -> None:
         self._times: dict[str, list[float]] = defaultdict(list)
-        self._greatest: dict[str, list[int]] = defaultdict(list)
+        self._highest: dict[str, list[int]] = defaultdict(list)
         for e in writes:
-            known = self._greatest[e.database]
+            known = self._highest[e.database]
             known.append(max(e.last_id, known[-1] if known else 0))
             self._times[e.database].append(e.ended_s)
 
-    def before(self, database: str, at_s: float) -> int:
+    def highest_before(self, database: str, at_s: float) -> int:
         """Return the highest row number acknowledged before a time."""
         count = bisect_left(self._times[database], at_s)
-        return self._greatest[database][count - 1] if count else 0
+        return self._highest[database][count - 1] if count else 0
 
 
-def _parts_of(rows: tuple[StoredRow, ...]) -> dict[str, list[int]]:
+def _group_parts_by_request(
+    rows: tuple[StoredRow, ...],
+) -> dict[str, list[int]]:
     parts: dict[str, list[int]] = defaultdict(list)
     for row in rows:
         parts[row.request].append(row.part)
@@ -296,7 +306,7 @@
     return any(count > 1 for count in Counter(parts).values())
 
 
-def _expected(entry: Entry) -> int:
+def _expected_parts(entry: Entry) -> int:
     return 1 if entry.kind is StepKind.WRITE else 2
 
 
--- a/packages/standins/src/trefoilpulley_standins/demo/observer.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/observer.py
@@ -23,10 +23,10 @@
     from trefoilpulley_standins.layout import Layout
     from trefoilpulley_wire.channel import Channel
 
-TIMEOUT_S = 2.0
+CALL_TIMEOUT_S = 2.0
 """Timeout of a call to a member, in seconds."""
 
-PAGE_ROWS = 2000
+ROWS_PER_PAGE = 2000
 """Number of rows read by one statement."""
 
 
@@ -45,7 +45,7 @@
 
     def statuses(self, database: DatabaseEntry) -> tuple[MemberStatus, ...]:
         """Return the status of each member that responds."""
-        found = (self._ask(m.name) for m in database.members)
+        found = (self._fetch_status(m.name) for m in database.members)
         return tuple(s for s in found if s is not None)
 
     def find_primary(self, database: DatabaseEntry) -> MemberStatus | None:
@@ -59,8 +59,10 @@
         if primary is None:
             return False
         held = [a.position for a in primary.acknowledgements]
-        is_whole = len(held) == len(database.members) - 1
-        return is_whole and all(p == primary.history.last for p in held)
+        has_all_replicas = len(held) == len(database.members) - 1
+        return has_all_replicas and all(
+            p == primary.history.last for p in held
+        )
 
     def read_rows(self, member: MemberEntry) -> tuple[StoredRow, ...]:
         """Return all rows of a member in order of their numbers."""
@@ -83,20 +85,22 @@
         statement = Statement(
             f'select id, request, session, part from {table} '
             'order by id limit ? offset ?',
-            (PAGE_ROWS, offset),
+            (ROWS_PER_PAGE, offset),
         )
-        reply = channel.call(Read(statement, BEGINNING), TIMEOUT_S).unwrap()
+        reply = channel.call(
+            Read(statement, BEGINNING), CALL_TIMEOUT_S
+        ).unwrap()
         if not isinstance(reply, MemberResult):
             raise RuntimeError(reply.code)
         return [StoredRow(*row) for row in reply.result.rows]
 
-    def _ask(self, member: str) -> MemberStatus | None:
+    def _fetch_status(self, member: str) -> MemberStatus | None:
         channel = self._channels.get(member)
         if channel is None or not channel.is_open:
             endpoint = self._layout.replication[member]
-            dialled = dial(endpoint, REPLICATION_CODEC)
-            if not is_successful(dialled):
+            dialed = dial(endpoint, REPLICATION_CODEC)
+            if not is_successful(dialed):
                 return None
-            channel = self._channels[member] = dialled.unwrap()
-        reply = channel.call(Observe(), TIMEOUT_S)
+            channel = self._channels[member] = dialed.unwrap()
+        reply = channel.call(Observe(), CALL_TIMEOUT_S)
         return reply.unwrap().status if is_successful(reply) else None
--- a/packages/standins/src/trefoilpulley_standins/demo/orders.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/orders.py
@@ -28,11 +28,11 @@
     from trefoilpulley_core.declarations import PlannedStop
     from trefoilpulley_standins.layout import Layout
 
-TIMEOUT_S = 2.0
+CALL_TIMEOUT_S = 2.0
 """Timeout of a control call, in seconds."""
 
 
-class Orders:
+class ControlClient:
     """Client of the control interfaces of a running deployment.
 
     Parameters
@@ -43,8 +43,8 @@
 
     def __init__(self, layout: Layout) -> None:
         self._layout = layout
-        self._platform = _url_of(layout.platform_control)
-        self._links = _url_of(layout.links.control)
+        self._platform = _make_url(layout.platform_control)
+        self._links = _make_url(layout.links.control)
         self._dialer = WebSocketDialer()
 
     def cut_zone(self, zone: str) -> None:
@@ -60,15 +60,15 @@
         _post(f'{self._links}/control', {'cuts': []})
         _post(f'{self._platform}/control', {'cut_zones': []})
 
-    def set_down(self, is_down: bool) -> None:
+    def set_service_down(self, is_down: bool) -> None:
         """Take the platform service down or bring it up."""
         _post(f'{self._platform}/control', {'is_down': is_down})
 
-    def list_hosts(self, hosts: tuple[HostEntry, ...]) -> None:
+    def write_hosts(self, hosts: tuple[HostEntry, ...]) -> None:
         """Write the platform's catalog of hosts."""
         self._put(CATALOG_HOSTS_KEY, encode_hosts(hosts))
 
-    def list_databases(self, databases: tuple[DatabaseEntry, ...]) -> None:
+    def write_databases(self, databases: tuple[DatabaseEntry, ...]) -> None:
         """Write the platform's catalog of database groups."""
         self._put(CATALOG_DATABASES_KEY, encode_databases(databases))
 
@@ -90,45 +90,48 @@
         self._put(CONFIGURATION_KEY, encode_configuration(changed))
         return revision
 
-    def count_calls(self) -> dict[str, int]:
+    def calls_by_kind(self) -> dict[str, int]:
         """Return the number of calls to the service by kind and by zone."""
         return _post(f'{self._platform}/control', {})['calls']
 
     def revision_of(self, endpoint: Endpoint) -> int:
         """Return the revision in force on a host; 0 if the host is silent."""
         state = self.state_of(endpoint)
-        held = state.get('configuration', {})
-        return held.get('configuration_revision', 0)
+        applied = state.get('configuration', {})
+        return applied.get('configuration_revision', 0)
 
     def state_of(self, endpoint: Endpoint) -> dict[str, Any]:
         """Return the state dump of a host; empty if the host is silent."""
-        dialled = self._dialer.dial(endpoint, TIMEOUT_S).value_or(None)
-        if dialled is None:
+        dialed = self._dialer.dial(endpoint, CALL_TIMEOUT_S).value_or(None)
+        if dialed is None:
             return {}
         secret = self._layout.hosts[0].operator_secret
-        reply = dialled.call(GetState(secret), TIMEOUT_S).value_or(None)
-        dialled.close()
+        reply = dialed.call(GetState(secret), CALL_TIMEOUT_S).value_or(None)
+        dialed.close()
         return getattr(reply, 'state', {})
 
     def _get(self, key: str) -> bytes:
-        body = {'key': _encode(key.encode())}
+        body = {'key': _encode_base64(key.encode())}
         answer = _post(f'{self._platform}/v3/kv/range', body)
         return b64decode(answer['kvs'][0]['value'])
 
     def _put(self, key: str, value: bytes) -> None:
-        body = {'key': _encode(key.encode()), 'value': _encode(value)}
+        body = {
+            'key': _encode_base64(key.encode()),
+            'value': _encode_base64(value),
+        }
         _post(f'{self._platform}/v3/kv/put', body)
 
 
-def _url_of(endpoint: Endpoint) -> str:
+def _make_url(endpoint: Endpoint) -> str:
     return f'http://{endpoint.address}:{endpoint.port}'
 
 
-def _encode(data: bytes) -> str:
+def _encode_base64(data: bytes) -> str:
     return b64encode(data).decode()
 
 
 def _post(url: str, document: Any) -> Any:
-    resp = requests.post(url, json=document, timeout=TIMEOUT_S)
+    resp = requests.post(url, json=document, timeout=CALL_TIMEOUT_S)
     resp.raise_for_status()
     return resp.json()
--- a/packages/standins/src/trefoilpulley_standins/demo/record.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/record.py
@@ -6,9 +6,9 @@
 
 import click
 
-from trefoilpulley_standins.demo.tenants import list_works
+from trefoilpulley_standins.demo.tenants import list_tenant_work
 from trefoilpulley_standins.demo.workload import dump_workload
-from trefoilpulley_standins.demo.workload import record_workload
+from trefoilpulley_standins.demo.workload import generate_workload
 from trefoilpulley_standins.deployment import DEPLOYMENTS
 
 RECORDINGS = Path(__file__).with_name('recordings')
@@ -20,11 +20,11 @@
 def main(seed: int) -> None:
     """Regenerate the recorded workload of every deployment."""
     for deployment in DEPLOYMENTS:
-        steps = record_workload(list_works(deployment), seed)
-        dump_workload(recording_of(deployment.name), steps)
+        steps = generate_workload(list_tenant_work(deployment), seed)
+        dump_workload(recording_path(deployment.name), steps)
 
 
-def recording_of(name: str) -> Path:
+def recording_path(name: str) -> Path:
     """Return the path of a deployment's recorded workload."""
     return RECORDINGS / f'{name}.jsonl'
 
--- a/packages/standins/src/trefoilpulley_standins/demo/report.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/report.py
@@ -124,19 +124,19 @@
         ', '.join(f'{k} {v}' for k, v in report.violations.items()),
         f'stale beyond target {report.stale_beyond_target}',
         f'reads at replicas {report.replica_read_share:.1%}',
-        f'failover gap {_seconds(report.failover_gap_s)}, '
-        f'return gap {_seconds(report.return_gap_s)}, '
-        f'configuration in force {_seconds(report.config_in_force_s)}',
+        f'failover gap {_format_seconds(report.failover_gap_s)}, '
+        f'return gap {_format_seconds(report.return_gap_s)}, '
+        f'configuration in force {_format_seconds(report.config_in_force_s)}',
     ]
-    for name, done in report.classes.items():
+    for name, result in report.classes.items():
         lines.append(
-            f'  {name}: {done.requests} requests, '
-            f'{done.in_time:.1%} within {done.target.within_ms} ms '
-            f'(target {done.target.share:.0%}), '
-            f'p50 {done.p50_ms} ms, p99 {done.p99_ms} ms'
+            f'  {name}: {result.requests} requests, '
+            f'{result.in_time:.1%} within {result.target.within_ms} ms '
+            f'(target {result.target.share:.0%}), '
+            f'p50 {result.p50_ms} ms, p99 {result.p99_ms} ms'
         )
     return lines
 
 
-def _seconds(value: float | None) -> str:
+def _format_seconds(value: float | None) -> str:
     return 'not seen' if value is None else f'{value:.3f} s'
--- a/packages/standins/src/trefoilpulley_standins/demo/run.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/run.py
@@ -14,15 +14,15 @@
 from trefoilpulley_standins.demo.journal import dump_journal
 from trefoilpulley_standins.demo.journal import Verdict
 from trefoilpulley_standins.demo.observer import Observer
-from trefoilpulley_standins.demo.orders import Orders
-from trefoilpulley_standins.demo.record import recording_of
+from trefoilpulley_standins.demo.orders import ControlClient
+from trefoilpulley_standins.demo.record import recording_path
 from trefoilpulley_standins.demo.report import Report
-from trefoilpulley_standins.demo.script import Script
-from trefoilpulley_standins.demo.tenants import find_writer
+from trefoilpulley_standins.demo.script import FaultScript
+from trefoilpulley_standins.demo.tenants import find_writing_tenant
 from trefoilpulley_standins.demo.tenants import make_foreign_steps
-from trefoilpulley_standins.demo.workload import DURATION_MS
 from trefoilpulley_standins.demo.workload import load_workload
-from trefoilpulley_standins.demo.workload import SESSIONS
+from trefoilpulley_standins.demo.workload import RECORDED_SESSIONS
+from trefoilpulley_standins.demo.workload import RECORDING_DURATION_MS
 from trefoilpulley_standins.demo.workload import Step
 from trefoilpulley_standins.demo.workload import StepKind
 from trefoilpulley_standins.starting import load_declarations
@@ -37,29 +37,29 @@
     from trefoilpulley_standins.deployment import Deployment
     from trefoilpulley_standins.layout import Layout
 
-READY_LIMIT_S = 10.0
+READY_TIMEOUT_S = 10.0
 """Time limit for all hosts to apply the declarations, in seconds."""
 
-CALLERS_LIMIT_S = 12.0
+CALLERS_TIMEOUT_S = 12.0
 """Time limit for callers to finish after the recording, in seconds."""
 
-SETTLE_LIMIT_S = 5.0
+CATCH_UP_TIMEOUT_S = 5.0
 """Time limit for replicas to catch up at the end, in seconds."""
 
-STEADY_SESSIONS = 16
+WRITE_ONLY_SESSIONS_PER_DATABASE = 16
 """Number of write-only sessions per database, which reveal write gaps."""
 
-STEADY_INTERVAL_MS = 1600
+WRITE_ONLY_INTERVAL_MS = 1600
 """Interval between writes of a write-only session, in milliseconds."""
 
-_POLL_S = 0.1
+_POLL_INTERVAL_S = 0.1
 
 
 def run_demo(
     deployment: Deployment,
     directory: Path,
     seed: int,
-    say: Callable[[str], None],
+    report_progress: Callable[[str], None],
 ) -> Report:
     """Start a deployment, run load and faults, and report the results.
 
@@ -71,21 +71,25 @@
         Directory of the journal, the settings files and the logs.
     seed : int
         Seed of the links and the callers.
-    say : Callable[[str], None]
+    report_progress : Callable[[str], None]
         Callback that receives progress messages.
     """
     layout = make_layout(deployment, directory / 'run', seed)
     processes = start_deployment(layout, directory / 'run')
-    orders = Orders(layout)
+    control = ControlClient(layout)
     observer = Observer(layout)
     try:
-        _wait_ready(layout, orders)
+        _wait_ready(layout, control)
         journal = Journal()
-        script = Script(layout, processes, orders, observer, journal, say)
+        script = FaultScript(
+            layout, processes, control, observer, journal, report_progress
+        )
         callers = _spawn_callers(layout, journal, seed)
         script.run()
-        left_s = DURATION_MS / 1000 + CALLERS_LIMIT_S - journal.now_s
-        gevent.joinall(callers, timeout=left_s)
+        remaining_s = (
+            RECORDING_DURATION_MS / 1000 + CALLERS_TIMEOUT_S - journal.now_s
+        )
+        gevent.joinall(callers, timeout=remaining_s)
         gevent.killall(callers)
         dump_journal(directory / 'journal.jsonl', journal.entries)
         members = _read_members(layout, observer)
@@ -93,13 +97,13 @@
         observer.close()
         processes.stop()
     checker = Checker(journal.entries, members, load_declarations(deployment))
-    return _judge(checker, script)
+    return _make_report(checker, script)
 
 
-def _wait_ready(layout: Layout, orders: Orders) -> None:
-    with gevent.Timeout(READY_LIMIT_S):
-        while not all(orders.revision_of(r.endpoint) for r in layout.routes):
-            gevent.sleep(_POLL_S)
+def _wait_ready(layout: Layout, control: ControlClient) -> None:
+    with gevent.Timeout(READY_TIMEOUT_S):
+        while not all(control.revision_of(r.endpoint) for r in layout.routes):
+            gevent.sleep(_POLL_INTERVAL_S)
 
 
 def _spawn_callers(
@@ -116,22 +120,29 @@
 
 
 def _list_steps(deployment: Deployment) -> tuple[Step, ...]:
-    recorded = load_workload(recording_of(deployment.name))
-    steady = tuple(_make_steady_writes(deployment))
-    free = SESSIONS + deployment.databases * STEADY_SESSIONS
-    return (*recorded, *steady, *make_foreign_steps(deployment, free))
+    recorded = load_workload(recording_path(deployment.name))
+    steady = tuple(_make_write_only_steps(deployment))
+    first_session = (
+        RECORDED_SESSIONS
+        + deployment.databases * WRITE_ONLY_SESSIONS_PER_DATABASE
+    )
+    return (*recorded, *steady, *make_foreign_steps(deployment, first_session))
 
 
-def _make_steady_writes(deployment: Deployment) -> Iterator[Step]:
-    writers = [find_writer(deployment, n) for n in range(deployment.databases)]
-    sessions = deployment.databases * STEADY_SESSIONS
+def _make_write_only_steps(deployment: Deployment) -> Iterator[Step]:
+    writers = [
+        find_writing_tenant(deployment, n) for n in range(deployment.databases)
+    ]
+    sessions = deployment.databases * WRITE_ONLY_SESSIONS_PER_DATABASE
     for number in range(sessions):
         database = number % deployment.databases
-        first_ms = number * STEADY_INTERVAL_MS // sessions
-        for at_ms in range(first_ms, DURATION_MS, STEADY_INTERVAL_MS):
+        first_ms = number * WRITE_ONLY_INTERVAL_MS // sessions
+        for at_ms in range(
+            first_ms, RECORDING_DURATION_MS, WRITE_ONLY_INTERVAL_MS
+        ):
             yield Step(
                 at_ms,
-                SESSIONS + number,
+                RECORDED_SESSIONS + number,
                 StepKind.WRITE,
                 writers[database],
                 deployment.write_class,
@@ -142,9 +153,9 @@
 def _read_members(
     layout: Layout, observer: Observer
 ) -> tuple[MemberRows, ...]:
-    with gevent.Timeout(SETTLE_LIMIT_S):
+    with gevent.Timeout(CATCH_UP_TIMEOUT_S):
         while not all(observer.is_settled(d) for d in layout.databases):
-            gevent.sleep(_POLL_S)
+            gevent.sleep(_POLL_INTERVAL_S)
     return tuple(
         MemberRows(d.name, m.name, observer.read_rows(m))
         for d in layout.databases
@@ -152,8 +163,8 @@
     )
 
 
-def _judge(checker: Checker, script: Script) -> Report:
-    marks = script.marks
+def _make_report(checker: Checker, script: FaultScript) -> Report:
+    observations = script.observations
     database = script.cut_database.name
     return Report(
         checker.count(Verdict.ANSWERED),
@@ -166,10 +177,10 @@
         checker.count_ryw_violations(),
         checker.count_stale(),
         checker.count_false_not_run(),
-        checker.count_cut(marks.stops),
+        checker.count_cut_by_planned_stop(observations.stops),
         checker.replica_read_share(),
-        checker.write_gap_s(database, marks.cut_at_s),
-        checker.write_gap_s(database, marks.healed_at_s),
-        marks.config_in_force_s,
-        checker.describe_classes(),
+        checker.write_gap_s(database, observations.cut_at_s),
+        checker.write_gap_s(database, observations.healed_at_s),
+        observations.config_in_force_s,
+        checker.class_reports(),
     )
--- a/packages/standins/src/trefoilpulley_standins/demo/script.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/script.py
@@ -10,9 +10,9 @@
 from trefoilpulley_client import connect
 from trefoilpulley_core.catalog import HostEntry
 from trefoilpulley_core.declarations import PlannedStop
-from trefoilpulley_standins.demo.caller import RETRY
+from trefoilpulley_standins.demo.caller import RETRY_POLICY
 from trefoilpulley_standins.demo.checker import StopWindow
-from trefoilpulley_standins.demo.tenants import find_writer
+from trefoilpulley_standins.demo.tenants import find_writing_tenant
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -20,7 +20,7 @@
     from trefoilpulley_core.catalog import DatabaseEntry
     from trefoilpulley_standins.demo.caller import Journal
     from trefoilpulley_standins.demo.observer import Observer
-    from trefoilpulley_standins.demo.orders import Orders
+    from trefoilpulley_standins.demo.orders import ControlClient
     from trefoilpulley_standins.layout import Layout
     from trefoilpulley_standins.processes import Processes
 
@@ -30,7 +30,7 @@
 KILL_AT_S = 7.0
 """Time at which an entry host is killed, in seconds."""
 
-DELIST_AFTER_S = 2.0
+DELIST_DELAY_S = 2.0
 """Delay before the killed host leaves the platform's catalog, in seconds."""
 
 CUT_AT_S = 11.0
@@ -45,23 +45,23 @@
 OUTAGE_S = 6.0
 """Duration of the service outage, in seconds."""
 
-RETURN_LIMIT_S = 18.0
+FAILBACK_TIMEOUT_S = 18.0
 """Time limit for the failback after the outage, in seconds."""
 
-STOP_LIMIT_S = 8.0
+STOP_TIMEOUT_S = 8.0
 """Time limit for a planned stop to move its primary, in seconds."""
 
-SETTLED_S = 2.0
+SETTLE_TIME_S = 2.0
 """Time after the move that belongs to the planned stop, in seconds."""
 
-CONFIGURATION_LIMIT_S = 10.0
+CONFIGURATION_TIMEOUT_S = 10.0
 """Time limit for all hosts to apply a configuration, in seconds."""
 
-_POLL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
 @dataclass(slots=True)
-class Marks:
+class Observations:
     """Times and outcomes observed while the faults ran."""
 
     config_in_force_s: float | None = None
@@ -80,7 +80,7 @@
     """Time spans of the planned stops."""
 
 
-class Script:
+class FaultScript:
     """Runs the faults one after another at their times.
 
     Parameters
@@ -89,13 +89,13 @@
         Layout of the running deployment.
     processes : Processes
         Processes of the deployment.
-    orders : Orders
+    control : ControlClient
         Control client of the deployment.
     observer : Observer
         Direct access to the members.
     journal : Journal
         Journal whose clock times the faults.
-    say : Callable[[str], None]
+    report_progress : Callable[[str], None]
         Callback that receives progress messages.
     """
 
@@ -103,19 +103,19 @@
         self,
         layout: Layout,
         processes: Processes,
-        orders: Orders,
+        control: ControlClient,
         observer: Observer,
         journal: Journal,
-        say: Callable[[str], None],
+        report_progress: Callable[[str], None],
     ) -> None:
         self._layout = layout
         self._processes = processes
-        self._orders = orders
+        self._control = control
         self._observer = observer
         self._journal = journal
-        self._say = say
-        self._killed = ''
-        self.marks = Marks()
+        self._report_progress = report_progress
+        self._killed_host = ''
+        self.observations = Observations()
         """Times and outcomes observed so far."""
 
     @property
@@ -134,20 +134,20 @@
         self._kill_host()
         self._cut_primary()
         self._take_service_down()
-        self._await_return()
+        self._await_failback()
         self._stop_zone()
 
     def _change_configuration(self) -> None:
         self._journal.sleep_until(CHANGE_AT_S)
         began = self._journal.now_s
-        revision = self._orders.declare_stops(())
-        if self._wait(
-            lambda: self._is_in_force(revision), CONFIGURATION_LIMIT_S
+        revision = self._control.declare_stops(())
+        if self._wait_until(
+            lambda: self._is_applied(revision), CONFIGURATION_TIMEOUT_S
         ):
-            self.marks.config_in_force_s = round(
+            self.observations.config_in_force_s = round(
                 self._journal.now_s - began, 3
             )
-        self._tell(f'revision {revision} of the declarations is in force')
+        self._report(f'revision {revision} of the declarations is in force')
 
     def _kill_host(self) -> None:
         self._journal.sleep_until(KILL_AT_S)
@@ -155,23 +155,25 @@
         route = next(r for r in self._layout.routes if r.zone != home)
         self._begin_transaction(route.host)
         self._processes.kill(route.host)
-        self._killed = route.host
-        self._tell(f'{route.host} killed in the middle of a transaction')
-        gevent.spawn_later(DELIST_AFTER_S, self._list_hosts)
+        self._killed_host = route.host
+        self._report(f'{route.host} killed in the middle of a transaction')
+        gevent.spawn_later(DELIST_DELAY_S, self._delist_killed_host)
 
     def _begin_transaction(self, host: str) -> None:
         cfg = next(h for h in self._layout.hosts if h.host == host)
         route = next(r for r in self._layout.routes if r.host == host)
         work = self._layout.deployment
         database = self.stopped_database
-        tenant = find_writer(work, self._layout.databases.index(database))
+        tenant = find_writing_tenant(
+            work, self._layout.databases.index(database)
+        )
         conn = connect(
             [f'{route.endpoint.address}:{route.endpoint.port}'],
             tenant,
             next(t.secret for t in cfg.tenants if t.tenant == tenant),
             database.name,
             work.write_class,
-            retry=RETRY,
+            retry=RETRY_POLICY,
         )
         conn.cursor().execute(
             f'insert into {work.table} (request, session, part) '
@@ -181,31 +183,34 @@
     def _cut_primary(self) -> None:
         self._journal.sleep_until(CUT_AT_S)
         home = self.cut_database.members[0]
-        self.marks.cut_at_s = self._journal.now_s
-        self._orders.cut_zone(home.zone)
-        self._tell(f'{home.name} partitioned with its zone {home.zone}')
+        self.observations.cut_at_s = self._journal.now_s
+        self._control.cut_zone(home.zone)
+        self._report(f'{home.name} partitioned with its zone {home.zone}')
         self._journal.sleep_until(HEAL_AT_S)
-        self._orders.heal()
-        self.marks.healed_at_s = self._journal.now_s
-        self._tell('partition ended')
+        self._control.heal()
+        self.observations.healed_at_s = self._journal.now_s
+        self._report('partition ended')
 
     def _take_service_down(self) -> None:
         self._journal.sleep_until(OUTAGE_AT_S)
-        self._orders.set_down(True)
-        self._tell("the platform's service is down")
+        self._control.set_service_down(True)
+        self._report("the platform's service is down")
         gevent.sleep(OUTAGE_S)
-        self._orders.set_down(False)
-        self._tell("the platform's service is back")
+        self._control.set_service_down(False)
+        self._report("the platform's service is back")
 
-    def _await_return(self) -> None:
+    def _await_failback(self) -> None:
         home = self.cut_database.members[0].name
-        self.marks.has_returned = self._wait(
-            lambda: self._leads(self.cut_database, home), RETURN_LIMIT_S
+        self.observations.has_returned = self._wait_until(
+            lambda: self._is_primary(self.cut_database, home),
+            FAILBACK_TIMEOUT_S,
         )
-        done = (
-            'is primary again' if self.marks.has_returned else 'is not primary'
+        outcome = (
+            'is primary again'
+            if self.observations.has_returned
+            else 'is not primary'
         )
-        self._tell(f'{home} {done}')
+        self._report(f'{home} {outcome}')
 
     def _stop_zone(self) -> None:
         database = self.stopped_database
@@ -215,44 +220,45 @@
         zone = database.find_member(primary.member).zone
         began = self._journal.now_s
         stop = PlannedStop('demo', database.ledger, zone)
-        self._orders.declare_stops((stop,))
-        has_moved = self._wait(
-            lambda: not self._leads(database, primary.member), STOP_LIMIT_S
+        self._control.declare_stops((stop,))
+        has_moved = self._wait_until(
+            lambda: not self._is_primary(database, primary.member),
+            STOP_TIMEOUT_S,
         )
-        done = 'stepped down' if has_moved else 'is still primary'
-        self._tell(f'planned stop of {zone}: {primary.member} {done}')
-        gevent.sleep(SETTLED_S)
-        self.marks.stops = (
+        outcome = 'stepped down' if has_moved else 'is still primary'
+        self._report(f'planned stop of {zone}: {primary.member} {outcome}')
+        gevent.sleep(SETTLE_TIME_S)
+        self.observations.stops = (
             StopWindow(database.name, began, self._journal.now_s),
         )
 
-    def _leads(self, database: DatabaseEntry, member: str) -> bool:
+    def _is_primary(self, database: DatabaseEntry, member: str) -> bool:
         primary = self._observer.find_primary(database)
         return primary is not None and primary.member == member
 
-    def _is_in_force(self, revision: int) -> bool:
+    def _is_applied(self, revision: int) -> bool:
         return all(
-            self._orders.revision_of(r.endpoint) >= revision
+            self._control.revision_of(r.endpoint) >= revision
             for r in self._layout.routes
-            if r.host != self._killed
+            if r.host != self._killed_host
         )
 
-    def _list_hosts(self) -> None:
-        self._orders.list_hosts(
+    def _delist_killed_host(self) -> None:
+        self._control.write_hosts(
             tuple(
                 HostEntry(h.host, h.region, h.zone, h.listen, h.peer_listen)
                 for h in self._layout.hosts
-                if h.host != self._killed
+                if h.host != self._killed_host
             )
         )
 
-    def _wait(self, check: Callable[[], bool], limit_s: float) -> bool:
-        deadline = self._journal.now_s + limit_s
+    def _wait_until(self, check: Callable[[], bool], timeout_s: float) -> bool:
+        deadline = self._journal.now_s + timeout_s
         while not check():
             if self._journal.now_s > deadline:
                 return False
-            gevent.sleep(_POLL_S)
+            gevent.sleep(_POLL_INTERVAL_S)
         return True
 
-    def _tell(self, text: str) -> None:
-        self._say(f'{self._journal.now_s:6.2f} s  {text}')
+    def _report(self, text: str) -> None:
+        self._report_progress(f'{self._journal.now_s:6.2f} s  {text}')
--- a/packages/standins/src/trefoilpulley_standins/demo/tenants.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/tenants.py
@@ -18,26 +18,26 @@
 
     from trefoilpulley_standins.deployment import Deployment
 
-FOREIGN_AT_MS = 2000
+FOREIGN_STEPS_AT_MS = 2000
 """Time of the unauthorized requests, in milliseconds."""
 
 
-def list_works(deployment: Deployment) -> tuple[TenantWork, ...]:
+def list_tenant_work(deployment: Deployment) -> tuple[TenantWork, ...]:
     """Return the work that each grant in the declarations allows."""
     declarations = load_declarations(deployment)
     return tuple(
-        _work_of(tenant.name, grant, deployment, declarations)
+        _make_tenant_work(tenant.name, grant, deployment, declarations)
         for tenant in declarations.tenants
         for grant in tenant.grants
     )
 
 
 @cache
-def find_writer(deployment: Deployment, database: int) -> str:
+def find_writing_tenant(deployment: Deployment, database: int) -> str:
     """Return the first tenant with a write grant for a database."""
     return next(
         w.tenant
-        for w in list_works(deployment)
+        for w in list_tenant_work(deployment)
         if deployment.write_class in w.writes and database in w.databases
     )
 
@@ -59,18 +59,18 @@
     Iterator[Step]
         Steps; none for a tenant that has grants for every database.
     """
-    works = list_works(deployment)
+    works = list_tenant_work(deployment)
     tenants = dict.fromkeys(w.tenant for w in works)
     for session, tenant in enumerate(tenants, first_session):
         own = [w for w in works if w.tenant == tenant]
-        foreign = _find_foreign(own, deployment)
+        foreign = _find_foreign_database(own, deployment)
         if foreign is None:
             continue
         for kind in (StepKind.READ, StepKind.WRITE):
             work_class = _first_class(own, kind)
             if work_class:
                 yield Step(
-                    FOREIGN_AT_MS,
+                    FOREIGN_STEPS_AT_MS,
                     session,
                     kind,
                     tenant,
@@ -80,7 +80,7 @@
                 )
 
 
-def _work_of(
+def _make_tenant_work(
     tenant: str,
     grant: Grant,
     deployment: Deployment,
@@ -102,7 +102,9 @@
     )
 
 
-def _find_foreign(own: list[TenantWork], deployment: Deployment) -> int | None:
+def _find_foreign_database(
+    own: list[TenantWork], deployment: Deployment
+) -> int | None:
     granted = {database for work in own for database in work.databases}
     others = (n for n in range(deployment.databases) if n not in granted)
     return next(others, None)
--- a/packages/standins/src/trefoilpulley_standins/demo/workload.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/workload.py
@@ -15,13 +15,13 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-DURATION_MS = 60_000
+RECORDING_DURATION_MS = 60_000
 """Duration of a recorded workload, in milliseconds."""
 
-SESSIONS = 24
+RECORDED_SESSIONS = 24
 """Number of sessions in a recorded workload."""
 
-PAUSE_MS = 900.0
+MEAN_STEP_INTERVAL_MS = 900.0
 """Mean interval between two steps of a session, in milliseconds."""
 
 
@@ -96,7 +96,7 @@
             file.write(json.dumps(document, separators=(',', ':')) + '\n')
 
 
-def record_workload(
+def generate_workload(
     works: tuple[TenantWork, ...], seed: int
 ) -> tuple[Step, ...]:
     """Generate a random workload.
@@ -115,18 +115,18 @@
     """
     rng = random.Random(seed)
     steps: list[Step] = []
-    for session in range(SESSIONS):
+    for session in range(RECORDED_SESSIONS):
         work = works[session % len(works)]
-        steps.extend(_draw_session(session, work, rng))
+        steps.extend(_generate_session(session, work, rng))
     return tuple(sorted(steps, key=lambda s: (s.at_ms, s.session)))
 
 
-def _draw_session(
+def _generate_session(
     session: int, work: TenantWork, rng: random.Random
 ) -> Iterator[Step]:
-    at_ms = rng.random() * PAUSE_MS
+    at_ms = rng.random() * MEAN_STEP_INTERVAL_MS
     database = rng.choice(work.databases)
-    while at_ms < DURATION_MS:
+    while at_ms < RECORDING_DURATION_MS:
         kind = _draw_kind(work, rng)
         if rng.random() < 0.1:
             database = rng.choice(work.databases)
@@ -138,7 +138,7 @@
             _draw_class(kind, work, rng),
             database,
         )
-        at_ms += rng.expovariate(1 / PAUSE_MS)
+        at_ms += rng.expovariate(1 / MEAN_STEP_INTERVAL_MS)
 
 
 def _draw_kind(work: TenantWork, rng: random.Random) -> StepKind:
--- a/packages/standins/src/trefoilpulley_standins/experiment/callers.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/callers.py
@@ -39,7 +39,7 @@
 LONGEST_MS = 60_000
 """Greatest time that the histograms hold, in milliseconds."""
 
-ANSWER_LIMIT_S = 5.0
+ANSWER_TIMEOUT_S = 5.0
 """Longest wait for an answer, in seconds."""
 
 DIALS_AT_ONCE = 16
@@ -51,12 +51,14 @@
 def open_caller(layout: Layout, number: int) -> Channel | None:
     """Open a caller's connection to one of the hosts; no link between."""
     host = layout.hosts[number % len(layout.hosts)]
-    opened = dial(host.listen, CALLER_CODEC, timeout_s=ANSWER_LIMIT_S)
+    opened = dial(host.listen, CALLER_CODEC, timeout_s=ANSWER_TIMEOUT_S)
     if not isinstance(opened, Success):
         return None
     channel = opened.unwrap()
     tenant = host.tenants[0]
-    greeted = channel.call(Hello(tenant.tenant, tenant.secret), ANSWER_LIMIT_S)
+    greeted = channel.call(
+        Hello(tenant.tenant, tenant.secret), ANSWER_TIMEOUT_S
+    )
     return channel if isinstance(greeted, Success) else None
 
 
@@ -171,7 +173,7 @@
             request.sql,
             token=self._token,
         )
-        reply = self._channel.call(message, ANSWER_LIMIT_S).value_or(None)
+        reply = self._channel.call(message, ANSWER_TIMEOUT_S).value_or(None)
         if isinstance(reply, Answer):
             self._token = reply.token
         return reply
--- a/packages/standins/src/trefoilpulley_standins/experiment/causes.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/causes.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from trefoilpulley_standins.demo.orders import Orders
+from trefoilpulley_standins.demo.orders import ControlClient
 from trefoilpulley_standins.experiment.spec import Fault
 from trefoilpulley_standins.experiment.spec import FaultKind
 
@@ -29,7 +29,7 @@
         Deployment.
     processes : Processes
         Its processes.
-    say : Callable[[str], None]
+    report_progress : Callable[[str], None]
         Tells a person what happens.
     """
 
@@ -37,11 +37,11 @@
         self,
         layout: Layout,
         processes: Processes,
-        say: Callable[[str], None],
+        report_progress: Callable[[str], None],
     ) -> None:
         self._processes = processes
-        self._orders = Orders(layout)
-        self._say = say
+        self._control = ControlClient(layout)
+        self._report_progress = report_progress
         self._greenlets: list[gevent.Greenlet] = []
         self.changes = 0
         """Changes of the declarations so far."""
@@ -61,22 +61,22 @@
         gevent.killall(self._greenlets)
 
     def _cause(self, fault: Fault) -> None:
-        self._say(f'    {fault.kind} {fault.target}')
+        self._report_progress(f'    {fault.kind} {fault.target}')
         match fault.kind:
             case FaultKind.KILL_HOST:
                 self._processes.kill(fault.target)
             case FaultKind.START_HOST:
                 self._processes.start_host(fault.target)
             case FaultKind.CUT_ZONE:
-                self._orders.cut_zone(fault.target)
+                self._control.cut_zone(fault.target)
             case FaultKind.HEAL:
-                self._orders.heal()
+                self._control.heal()
             case FaultKind.SERVICE_DOWN | FaultKind.SERVICE_UP:
                 is_down = fault.kind is FaultKind.SERVICE_DOWN
-                self._orders.set_down(is_down)
+                self._control.set_service_down(is_down)
 
     def _change(self, rate: float) -> None:
         while True:
             gevent.sleep(_MINUTE_S / rate)
-            self._orders.declare_stops(())
+            self._control.declare_stops(())
             self.changes += 1
--- a/packages/standins/src/trefoilpulley_standins/experiment/probe.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/probe.py
@@ -13,7 +13,7 @@
 from returns.result import Success
 
 from trefoilpulley_core.caller import GetState
-from trefoilpulley_standins.demo.orders import Orders
+from trefoilpulley_standins.demo.orders import ControlClient
 from trefoilpulley_wire.caller_codec import CALLER_CODEC
 from trefoilpulley_wire.dial import dial
 
@@ -23,13 +23,13 @@
     from trefoilpulley_standins.processes import Processes
     from trefoilpulley_wire.channel import Channel
 
-READY_LIMIT_S = 20.0
+READY_TIMEOUT_S = 20.0
 """Longest wait for every host to hold the declarations, in seconds."""
 
-ANSWER_LIMIT_S = 3.0
+ANSWER_TIMEOUT_S = 3.0
 """Longest wait for a state dump, in seconds."""
 
-_POLL_S = 0.2
+_POLL_INTERVAL_S = 0.2
 _KIB = 1024.0
 
 
@@ -113,21 +113,21 @@
     def __init__(self, layout: Layout, processes: Processes) -> None:
         self._layout = layout
         self._processes = processes
-        self._orders = Orders(layout)
+        self._control = ControlClient(layout)
         self._channels: dict[str, Channel] = {}
 
     def wait_ready(self) -> None:
         """Wait until every host and every member serves."""
-        with gevent.Timeout(READY_LIMIT_S):
+        with gevent.Timeout(READY_TIMEOUT_S):
             while not self._is_ready():
-                gevent.sleep(_POLL_S)
+                gevent.sleep(_POLL_INTERVAL_S)
 
     def sample(self) -> Sample:
         """Return the present state of everything that runs."""
         hosts = (self._sample_host(h) for h in self._layout.hosts)
         return Sample(
             tuple(h for h in hosts if h is not None),
-            Counter(self._orders.count_calls()),
+            Counter(self._control.calls_by_kind()),
             time.monotonic(),
         )
 
@@ -159,11 +159,13 @@
     def _ask(self, host: NodeSettings) -> dict[str, Any]:
         channel = self._channels.get(host.host)
         if channel is None or not channel.is_open:
-            opened = dial(host.listen, CALLER_CODEC, timeout_s=ANSWER_LIMIT_S)
+            opened = dial(
+                host.listen, CALLER_CODEC, timeout_s=ANSWER_TIMEOUT_S
+            )
             if not isinstance(opened, Success):
                 return {}
             channel = self._channels[host.host] = opened.unwrap()
-        reply = channel.call(GetState(host.operator_secret), ANSWER_LIMIT_S)
+        reply = channel.call(GetState(host.operator_secret), ANSWER_TIMEOUT_S)
         return getattr(reply.value_or(None), 'state', {})
 
 
--- a/packages/standins/src/trefoilpulley_standins/experiment/run.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/run.py
@@ -44,7 +44,7 @@
 def run_experiment(
     experiment: Experiment,
     directory: Path,
-    say: Callable[[str], None],
+    report_progress: Callable[[str], None],
 ) -> tuple[PointResult, ...]:
     """Run every point and write the results after each.
 
@@ -54,19 +54,21 @@
         Checked experiment.
     directory : Path
         Directory of the results.
-    say : Callable[[str], None]
+    report_progress : Callable[[str], None]
         Tells a person how far the run is.
     """
     directory.mkdir(parents=True, exist_ok=True)
     results: list[PointResult] = []
     values = experiment.sweep.values
     for number, value in enumerate(values, 1):
-        say(
+        report_progress(
             f'{experiment.name} {number}/{len(values)}: '
             f'{experiment.sweep.path} = {value:g}'
         )
         _check_memory()
-        results.append(_run_point(experiment.at(value), value, directory, say))
+        results.append(
+            _run_point(experiment.at(value), value, directory, report_progress)
+        )
         dump_results(directory / RESULTS_FILE, results)
     return tuple(results)
 
@@ -80,11 +82,11 @@
     experiment: Experiment,
     value: float,
     directory: Path,
-    say: Callable[[str], None],
+    report_progress: Callable[[str], None],
 ) -> PointResult:
     point_dir = directory / f'run-{value:g}'
     layout, processes = _start(experiment, point_dir)
-    point = _Point(experiment, layout, processes, say)
+    point = _Point(experiment, layout, processes, report_progress)
     try:
         point.run()
     finally:
@@ -131,12 +133,12 @@
         experiment: Experiment,
         layout: Layout,
         processes: GroupedProcesses,
-        say: Callable[[str], None],
+        report_progress: Callable[[str], None],
     ) -> None:
         self._experiment = experiment
         self._probe = Probe(layout, processes)
         self.callers = Callers(layout, experiment.load, experiment.seed)
-        self.causes = Causes(layout, processes, say)
+        self.causes = Causes(layout, processes, report_progress)
         self.window: Window
 
     def run(self) -> None:
--- a/packages/standins/src/trefoilpulley_standins/figures/classes.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/classes.py
@@ -16,7 +16,7 @@
 ) -> Iterator[Finding]:
     """Give the share in time of each class for requests sent in a time."""
     sent = [e for e in scene.journal.entries if began_s <= e.began_s < ended_s]
-    found = scene.make_checker(sent).describe_classes()
+    found = scene.make_checker(sent).class_reports()
     for name, done in found.items():
         if done.requests:
             yield Finding(
--- a/packages/standins/src/trefoilpulley_standins/figures/failover.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/failover.py
@@ -45,7 +45,7 @@
 RESTART_AT_S = 19.0
 """Time at which both are there again, and the service is back."""
 
-RETURN_LIMIT_S = 16.0
+FAILBACK_TIMEOUT_S = 16.0
 """Longest wait for every database's return home, in seconds."""
 
 AROUND_RETURN_S = 1.0
@@ -91,7 +91,7 @@
         """Cut, kill and pause; await the returns; judge."""
         faults = self._do_faults(scene)
         scene.wait(
-            lambda: scene.is_home(scene.layout.databases), RETURN_LIMIT_S
+            lambda: scene.is_home(scene.layout.databases), FAILBACK_TIMEOUT_S
         )
         scene.journal.sleep_until(scene.journal.now_s + AROUND_RETURN_S)
         checker = scene.end_load()
@@ -107,7 +107,7 @@
         journal = scene.journal
         if self._is_out:
             journal.sleep_until(OUTAGE_AT_S)
-            scene.orders.set_down(True)
+            scene.orders.set_service_down(True)
         scene.keep_states('before-cut')
         journal.sleep_until(CUT_AT_S)
         cut_s = journal.now_s
@@ -126,7 +126,7 @@
         os.kill(pid, signal.SIGCONT)
         scene.processes.restart_member(first.members[0].name)
         if self._is_out:
-            scene.orders.set_down(False)
+            scene.orders.set_service_down(False)
         mended_s = journal.now_s
         return (
             Fault('cut', third, cut_s, healed_s),
--- a/packages/standins/src/trefoilpulley_standins/figures/load.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/load.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from trefoilpulley_standins.demo.record import recording_of
-from trefoilpulley_standins.demo.tenants import find_writer
+from trefoilpulley_standins.demo.record import recording_path
+from trefoilpulley_standins.demo.tenants import find_writing_tenant
 from trefoilpulley_standins.demo.workload import load_workload
-from trefoilpulley_standins.demo.workload import SESSIONS
+from trefoilpulley_standins.demo.workload import RECORDED_SESSIONS
 from trefoilpulley_standins.demo.workload import Step
 from trefoilpulley_standins.demo.workload import StepKind
 from trefoilpulley_standins.deployment import Deployment
@@ -52,7 +52,7 @@
 
 def make_fault_load(deployment: Deployment) -> tuple[Step, ...]:
     """Return the recorded workload and steady writers beside it."""
-    recorded = load_workload(recording_of(deployment.name))
+    recorded = load_workload(recording_path(deployment.name))
     return (*recorded, *_make_writers(deployment))
 
 
@@ -75,7 +75,7 @@
             yield _make_step(
                 deployment,
                 at_ms,
-                SESSIONS + number,
+                RECORDED_SESSIONS + number,
                 StepKind.WRITE,
                 deployment.write_class,
             )
@@ -119,7 +119,7 @@
         at_ms,
         session,
         kind,
-        find_writer(deployment, database),
+        find_writing_tenant(deployment, database),
         work_class,
         database,
     )
--- a/packages/standins/src/trefoilpulley_standins/figures/planned.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/planned.py
@@ -35,13 +35,13 @@
 CHANGE_INTERVAL_S = 0.7
 """Time between two changes, in seconds."""
 
-MOVE_LIMIT_S = 10.0
+MOVE_TIMEOUT_S = 10.0
 """Longest wait for a primary to move, in seconds."""
 
-RETURN_LIMIT_S = 28.0
+FAILBACK_TIMEOUT_S = 28.0
 """Longest wait for the return after a stop, in seconds."""
 
-SETTLED_S = 1.0
+SETTLE_TIME_S = 1.0
 """Time that counts with a move after it, in seconds."""
 
 LEAVING_S = 4.0
@@ -105,16 +105,16 @@
         stop = PlannedStop('figures', database.ledger, home.zone)
         scene.orders.declare_stops((stop,))
         scene.wait(
-            lambda: scene.leader_of(database) != home.name, MOVE_LIMIT_S
+            lambda: scene.leader_of(database) != home.name, MOVE_TIMEOUT_S
         )
-        scene.journal.sleep_until(scene.journal.now_s + SETTLED_S)
+        scene.journal.sleep_until(scene.journal.now_s + SETTLE_TIME_S)
         return began_s
 
     def _resume(self, scene: Scene, database: DatabaseEntry) -> float:
         resumed_s = scene.journal.now_s
         scene.orders.declare_stops(())
-        scene.wait(lambda: scene.is_home((database,)), RETURN_LIMIT_S)
-        scene.journal.sleep_until(scene.journal.now_s + SETTLED_S)
+        scene.wait(lambda: scene.is_home((database,)), FAILBACK_TIMEOUT_S)
+        scene.journal.sleep_until(scene.journal.now_s + SETTLE_TIME_S)
         return resumed_s
 
     def _leaving(self, scene: Scene) -> tuple[tuple[str, str], ...]:
@@ -139,7 +139,7 @@
             for d in scene.layout.databases
         )
         noticed_s = scene.journal.now_s
-        scene.orders.list_databases(databases)
+        scene.orders.write_databases(databases)
         scene.journal.sleep_until(noticed_s + LEAVING_S)
         return noticed_s
 
@@ -160,8 +160,8 @@
     yield Finding(f'{what}, gap s', None if change is None else change.gap_s)
     if change is None:
         return
-    began_s = declared_s or change.last_s - SETTLED_S
-    ended_s = change.first_s + SETTLED_S
+    began_s = declared_s or change.last_s - SETTLE_TIME_S
+    ended_s = change.first_s + SETTLE_TIME_S
     cut = sum(
         e.verdict is not Verdict.ANSWERED
         and began_s <= e.began_s < ended_s
@@ -181,5 +181,5 @@
         if e.member == member and e.verdict is Verdict.ANSWERED
     ]
     last_s = max(times, default=0.0)
-    value = None if last_s > LEAVING_S - SETTLED_S else max(last_s, 0.0)
+    value = None if last_s > LEAVING_S - SETTLE_TIME_S else max(last_s, 0.0)
     return Finding(f'leaving {what}, last new work s', value, len(times))
--- a/packages/standins/src/trefoilpulley_standins/figures/scene.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/scene.py
@@ -18,7 +18,7 @@
 from trefoilpulley_standins.demo.journal import dump_journal
 from trefoilpulley_standins.demo.journal import Verdict
 from trefoilpulley_standins.demo.observer import Observer
-from trefoilpulley_standins.demo.orders import Orders
+from trefoilpulley_standins.demo.orders import ControlClient
 from trefoilpulley_standins.demo.workload import Step
 from trefoilpulley_standins.demo.workload import StepKind
 from trefoilpulley_standins.figures.marks import HostLogs
@@ -35,16 +35,16 @@
     from trefoilpulley_standins.layout import Layout
     from trefoilpulley_standins.processes import Processes
 
-READY_LIMIT_S = 15.0
+READY_TIMEOUT_S = 15.0
 """Longest wait for every host to hold the declarations, in seconds."""
 
-CALLERS_LIMIT_S = 12.0
+CALLERS_TIMEOUT_S = 12.0
 """Longest wait for the callers after the load, in seconds."""
 
-SETTLE_LIMIT_S = 10.0
+CATCH_UP_TIMEOUT_S = 10.0
 """Longest wait for the replicas at the end, in seconds."""
 
-_POLL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
 class Scene:
@@ -75,7 +75,7 @@
         self.processes = processes
         """Its processes."""
 
-        self.orders = Orders(layout)
+        self.control = ControlClient(layout)
         """Way to the service and the links."""
 
         self.observer = Observer(layout)
@@ -88,9 +88,9 @@
 
     def begin_load(self, steps: Iterable[Step]) -> None:
         """Wait for the hosts, then let the sessions take their steps."""
-        with gevent.Timeout(READY_LIMIT_S):
+        with gevent.Timeout(READY_TIMEOUT_S):
             while not self._is_ready():
-                gevent.sleep(_POLL_S)
+                gevent.sleep(_POLL_INTERVAL_S)
         own: dict[int, list[Step]] = defaultdict(list)
         for step in steps:
             own[step.session].append(step)
@@ -103,7 +103,7 @@
     def end_load(self) -> Checker:
         """End the load and return the judge of the run."""
         self._is_over = True
-        gevent.joinall(self._callers, timeout=CALLERS_LIMIT_S)
+        gevent.joinall(self._callers, timeout=CALLERS_TIMEOUT_S)
         gevent.killall(self._callers)
         dump_journal(self._directory / 'journal.jsonl', self.journal.entries)
         members = self._read_members()
@@ -131,18 +131,18 @@
     def keep_states(self, when: str) -> None:
         """Write the state of each host into the run's directory."""
         for route in self.layout.routes:
-            state = self.orders.state_of(route.endpoint)
+            state = self.control.state_of(route.endpoint)
             path = self._directory / f'state-{when}-{route.host}.json'
             text = json.dumps(state, indent=1, default=str)
             path.write_text(text, encoding='utf-8')
 
-    def wait(self, check: Callable[[], bool], limit_s: float) -> bool:
+    def wait(self, check: Callable[[], bool], timeout_s: float) -> bool:
         """Wait for a check to hold; return whether it did in time."""
-        deadline = self.journal.now_s + limit_s
+        deadline = self.journal.now_s + timeout_s
         while not check():
             if self.journal.now_s > deadline:
                 return False
-            gevent.sleep(_POLL_S)
+            gevent.sleep(_POLL_INTERVAL_S)
         return True
 
     def leader_of(self, database: DatabaseEntry) -> str:
@@ -161,7 +161,7 @@
 
     def _is_ready(self) -> bool:
         routes = self.layout.routes
-        return all(self.orders.revision_of(r.endpoint) for r in routes)
+        return all(self.control.revision_of(r.endpoint) for r in routes)
 
     def _make_caller(self, number: int, steps: list[Step]) -> Caller:
         return Caller(
@@ -174,9 +174,9 @@
 
     def _read_members(self) -> tuple[MemberRows, ...]:
         databases = self.layout.databases
-        with gevent.Timeout(SETTLE_LIMIT_S):
+        with gevent.Timeout(CATCH_UP_TIMEOUT_S):
             while not all(self.observer.is_settled(d) for d in databases):
-                gevent.sleep(_POLL_S)
+                gevent.sleep(_POLL_INTERVAL_S)
         return tuple(
             MemberRows(d.name, m.name, self.observer.read_rows(m))
             for d in databases
