--- a/packages/standins/src/trefoilpulley_standins/experiment/__init__.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on deployments of stand-ins on one machine."""
+"""Experiments that measure deployments of stand-ins on one machine."""
--- a/packages/standins/src/trefoilpulley_standins/experiment/__main__.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/__main__.py
@@ -6,7 +6,7 @@
 
 monkey.patch_all()
 
-# The patch must come before every other import.
+# gevent must patch the standard library before any other import.
 from trefoilpulley_standins.experiment.commands import main  # noqa: E402
 
 if __name__ == '__main__':
--- a/packages/standins/src/trefoilpulley_standins/experiment/callers.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/callers.py
@@ -1,4 +1,4 @@
-"""Callers of an experiment."""
+"""Callers of an experiment, which generate its load."""
 
 from __future__ import annotations
 
@@ -25,31 +25,44 @@
     from trefoilpulley_wire.channel import Channel
 
 READ_CLASS = 'order-status'
-"""Class of the reads."""
+"""Class of work of the reads."""
 
 WRITE_CLASS = 'filing'
-"""Class of the writes."""
+"""Class of work of the writes."""
 
 READ_SQL = 'select coalesce(max(id), 0) from filings'
-"""Statement of the reads."""
+"""SQL statement of the reads."""
 
 WRITE_SQL = "insert into filings (request, session, part) values ('r', 's', 1)"
-"""Statement of the writes."""
+"""SQL statement of the writes."""
 
 LONGEST_MS = 60_000
-"""Greatest time that the histograms hold, in milliseconds."""
+"""Longest response time that the histogram records, in milliseconds."""
 
 ANSWER_TIMEOUT_S = 5.0
-"""Longest wait for an answer, in seconds."""
+"""Timeout of dialing, authentication and statements, in seconds."""
 
 DIALS_AT_ONCE = 16
-"""Connections that are opened at once."""
+"""Maximum number of idle connections dialed concurrently."""
 
 _US = 1000
 
 
 def open_caller(layout: Layout, number: int) -> Channel | None:
-    """Open a caller's connection to one of the hosts; no link between."""
+    """Open an authenticated connection to a host, bypassing the links.
+
+    Parameters
+    ----------
+    layout : Layout
+        Layout of the running deployment.
+    number : int
+        Number of the caller; consecutive callers use consecutive hosts.
+
+    Returns
+    -------
+    Channel | None
+        Connection; ``None`` if dialing or authentication failed.
+    """
     host = layout.hosts[number % len(layout.hosts)]
     opened = dial(host.listen, CALLER_CODEC, timeout_s=ANSWER_TIMEOUT_S)
     if not isinstance(opened, Success):
@@ -63,19 +76,20 @@
 
 
 class Callers:
-    """Connections that are idle, and sessions that send statements.
+    """Idle connections and sessions that send statements.
 
-    Statements are sent at their times whether or not the earlier ones
-    have been answered, and their time counts from when they were due.
+    The load is an open loop: each statement is sent at its scheduled time,
+    even if earlier statements are unanswered, and its response time is
+    measured from the scheduled time.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     load : Load
-        Load.
+        Load to generate.
     seed : int
-        Seed of the statements' times and kinds.
+        Seed of the times and kinds of the statements.
     """
 
     def __init__(self, layout: Layout, load: Load, seed: int) -> None:
@@ -88,13 +102,13 @@
         self._greenlets: list[gevent.Greenlet] = []
         self._is_measuring = False
         self.histogram = HdrHistogram(1, LONGEST_MS * _US, 3)
-        """Times to the answers of the window, in microseconds."""
+        """Response times during the measurement window, in microseconds."""
 
         self.outcomes: Counter[str] = Counter()
-        """Answers of the window, and refusals by code."""
+        """Number of answers and of failures by code during the window."""
 
     def start(self) -> None:
-        """Open the connections and begin to send."""
+        """Open the idle connections and start to send statements."""
         dialling = Pool(DIALS_AT_ONCE)
         numbers = range(self._load.idle_callers)
         opened = dialling.map(self._open, numbers)
@@ -106,11 +120,11 @@
             self._greenlets.append(gevent.spawn(self._run, number, rng))
 
     def begin_window(self) -> None:
-        """Count from now on."""
+        """Start to record response times and outcomes."""
         self._is_measuring = True
 
     def stop(self) -> None:
-        """Stop to send and close the connections."""
+        """Stop sending statements and close the idle connections."""
         self._is_measuring = False
         gevent.killall(self._greenlets)
         self._pool.kill()
--- a/packages/standins/src/trefoilpulley_standins/experiment/causes.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/causes.py
@@ -1,4 +1,4 @@
-"""Causes the faults and changes of an experiment at their times."""
+"""Injects the faults and configuration changes of an experiment."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 class Causes:
-    """Faults and changes of one point.
+    """Injects the faults and configuration changes of one point.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     processes : Processes
-        Its processes.
+        Processes of the deployment.
     report_progress : Callable[[str], None]
-        Tells a person what happens.
+        Callback that receives progress messages.
     """
 
     def __init__(
@@ -44,10 +44,10 @@
         self._report_progress = report_progress
         self._greenlets: list[gevent.Greenlet] = []
         self.changes = 0
-        """Changes of the declarations so far."""
+        """Number of configuration changes made so far."""
 
     def start(self, experiment: Experiment) -> None:
-        """Begin the window's faults and changes."""
+        """Schedule the faults and start the configuration changes."""
         self._greenlets = [
             gevent.spawn_later(fault.at_s, self._cause, fault)
             for fault in experiment.faults
@@ -57,7 +57,7 @@
             self._greenlets.append(gevent.spawn(self._change, rate))
 
     def stop(self) -> None:
-        """Cause nothing more."""
+        """Cancel all pending faults and configuration changes."""
         gevent.killall(self._greenlets)
 
     def _cause(self, fault: Fault) -> None:
--- a/packages/standins/src/trefoilpulley_standins/experiment/commands.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/commands.py
@@ -21,14 +21,14 @@
 
 @click.group()
 def main() -> None:
-    """Run experiments on deployments of stand-ins."""
+    """Run, compare and plot experiments on stand-in deployments."""
 
 
 @main.command()
 @click.argument('file', type=_PATH)
 @click.option('--dir', 'directory', type=click.Path(path_type=Path))
 def run(file: Path, directory: Path | None) -> None:
-    """Run the experiment of FILE."""
+    """Run the experiment that FILE defines."""
     loaded = load_experiment(file)
     if not isinstance(loaded, Success):
         failure = loaded.failure()
@@ -46,7 +46,7 @@
 @click.argument('one', type=_PATH)
 @click.argument('other', type=_PATH)
 def compare(one: Path, other: Path) -> None:
-    """Compare the results ONE and OTHER."""
+    """Compare the results in ONE with those in OTHER."""
     for found in compare_results(load_results(one), load_results(other)):
         ratio = '' if found.ratio is None else f'{found.ratio:8.2f}'
         click.echo(
@@ -60,7 +60,7 @@
 @click.option('--out', type=click.Path(path_type=Path))
 @click.option('--figure', 'figures', multiple=True)
 def plot(result: Path, out: Path | None, figures: tuple[str, ...]) -> None:
-    """Plot RESULT as SVG or PNG."""
+    """Plot the figures in RESULT as SVG or PNG."""
     results = load_results(result)
     path = out or result.parent / f'{results[0].experiment}.svg'
     plot_results(results, path, figures or PLOTTED)
--- a/packages/standins/src/trefoilpulley_standins/experiment/comparison.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/comparison.py
@@ -1,4 +1,4 @@
-"""Compares two results point by point."""
+"""Comparison of the results of two experiment runs."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure of one point in two results."""
+    """Values of one figure at the same point of two results."""
 
     value: float
-    """Value of the swept field."""
+    """Value of the swept field at the point."""
 
     name: str
     """Name of the figure."""
 
     one: float
-    """Figure of the first result."""
+    """Value of the figure in the first result."""
 
     other: float
-    """Figure of the second result."""
+    """Value of the figure in the second result."""
 
     @property
     def ratio(self) -> float | None:
-        """Second by first; ``None`` where the first is 0."""
+        """Second value divided by the first; ``None`` if the first is 0."""
         return self.other / self.one if self.one else None
 
 
 def compare_results(
     one: Sequence[PointResult], other: Sequence[PointResult]
 ) -> Iterator[Difference]:
-    """Yield each figure that both results hold at the same point."""
+    """Yield the difference of each figure that both results contain."""
     points = {p.value: p for p in other}
     for point in one:
         match = points.get(point.value)
--- a/packages/standins/src/trefoilpulley_standins/experiment/figures.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a point from the samples before and after its window."""
+"""Figures of a point, computed from two samples and the callers."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     from trefoilpulley_standins.experiment.probe import Sample
 
 FRAME_OVERHEAD_BYTES = 60
-"""WebSocket, TCP and IP headers of one small message, without ACKs."""
+"""Size of the WebSocket, TCP and IP headers of a message, without ACKs."""
 
 _US_A_MS = 1000.0
 
 
 class Part(StrEnum):
-    """What a message is for."""
+    """Purpose of a message."""
 
     MEMBERSHIP = 'membership'
     DOCUMENTS = 'documents'
@@ -36,7 +36,7 @@
 
 
 CONTROL_PARTS = tuple(p for p in Part if p is not Part.WORK)
-"""Parts that are control."""
+"""Kinds of traffic that count as control traffic."""
 
 PEER_PARTS = {
     'Probe': Part.MEMBERSHIP,
@@ -61,7 +61,7 @@
     'ResumeWrites': Part.COORDINATION,
     'WarmConnections': Part.COORDINATION,
 }
-"""Part of each message between hosts; the others are work."""
+"""Traffic kind by type of message between hosts; others are work."""
 
 MEMBER_PARTS = {
     'Status': Part.MEMBERS,
@@ -72,33 +72,36 @@
     'Promote': Part.MEMBERS,
     'Follow': Part.MEMBERS,
 }
-"""Part of each message to and from members; the others are work."""
+"""Traffic kind by type of message with members; others are work."""
 
 
 @dataclass
 class PartTraffic:
-    """Messages and bytes of one part, both ways."""
+    """Messages and bytes by kind of traffic, in both directions."""
 
     messages: Counter[Part] = field(default_factory=Counter)
-    """Messages."""
+    """Number of messages by kind of traffic."""
 
     sizes: Counter[Part] = field(default_factory=Counter)
-    """Bytes with the headers."""
+    """Number of bytes by kind of traffic, including headers."""
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """Samples at the two ends of a window."""
+    """Samples at the start and the end of a measurement window."""
 
     before: Sample
-    """At its begin."""
+    """Sample at the start of the window."""
 
     after: Sample
-    """At its end."""
+    """Sample at the end of the window."""
 
     @property
     def pairs(self) -> list[tuple[HostSample, HostSample]]:
-        """Samples of each process that ran through the window."""
+        """Both samples of each host process that ran for the whole window.
+
+        A process is included only if both samples have a state dump.
+        """
         first = {h.pid: h for h in self.before.hosts}
         return [
             (first[h.pid], h)
@@ -108,7 +111,7 @@
 
 
 def count_parts(first: HostSample, last: HostSample) -> PartTraffic:
-    """Return the traffic of one host by part."""
+    """Return the traffic of one host between two samples."""
     traffic = PartTraffic()
     for side, parts in (('peers', PEER_PARTS), ('members', MEMBER_PARTS)):
         messages = last.messages(side) - first.messages(side)
@@ -124,7 +127,17 @@
 def make_figures(
     window: Window, callers: Callers, changes: int
 ) -> tuple[Figure, ...]:
-    """Return the figures of a window."""
+    """Return the figures of a window, sorted by name.
+
+    Parameters
+    ----------
+    window : Window
+        Samples of the measurement window.
+    callers : Callers
+        Callers that recorded response times during the window.
+    changes : int
+        Number of configuration changes during the window.
+    """
     figures = [
         *_make_host_figures(window),
         *_make_service_figures(window),
--- a/packages/standins/src/trefoilpulley_standins/experiment/groups.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/groups.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment whose members share a few of them."""
+"""Deployment processes with several members per process."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     from trefoilpulley_standins.layout import Layout
 
 GROUP_MEMBERS = 24
-"""Members that share a process."""
+"""Maximum number of members in one process."""
 
 
 class GroupedProcesses(Processes):
-    """Starts several members in each process.
+    """Processes of a deployment that run the members in groups.
 
     Parameters
     ----------
     layout : Layout
-        Settings of the processes.
+        Layout of the deployment to start.
     directory : Path
         Directory of the settings files and logs.
     """
@@ -38,7 +38,11 @@
         self._group_dir = directory
 
     def start_member(self, name: str) -> None:
-        """Start the group whose first member this is."""
+        """Start the process whose first member has this name.
+
+        Names of other members are ignored, because the process of the first
+        member of the group runs them.
+        """
         group = self._groups.get(name)
         if group is None:
             return
--- a/packages/standins/src/trefoilpulley_standins/experiment/plot.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/plot.py
@@ -1,4 +1,4 @@
-"""Plots the figures of a result against the swept field."""
+"""Plots of an experiment's figures against the swept field."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     'answer p50 ms',
     'answer p99 ms',
 )
-"""Figures that are plotted unless others are asked for."""
+"""Names of the figures that are plotted by default."""
 
 COLUMNS = 2
-"""Plots beside each other."""
+"""Number of plots in a row."""
 
 
 def plot_results(
@@ -32,16 +32,16 @@
     path: Path,
     names: Sequence[str] = PLOTTED,
 ) -> None:
-    """Write one plot for each figure that the result holds.
+    """Write one image with a plot of each figure that the results contain.
 
     Parameters
     ----------
     results : Sequence[PointResult]
-        Points of one experiment.
+        Results of the points of one experiment.
     path : Path
-        File to write; its suffix is the format, such as ``.svg``.
+        File to write; the suffix sets the format, such as ``.svg``.
     names : Sequence[str]
-        Figures.
+        Names of the figures to plot.
     """
     matplotlib.use('agg')
     from matplotlib import pyplot
--- a/packages/standins/src/trefoilpulley_standins/experiment/probe.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/probe.py
@@ -1,4 +1,4 @@
-"""Samples of the processes of a running deployment."""
+"""Samples of the hosts and the service of a running deployment."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     from trefoilpulley_wire.channel import Channel
 
 READY_TIMEOUT_S = 20.0
-"""Longest wait for every host to hold the declarations, in seconds."""
+"""Time limit for all hosts and members to be ready, in seconds."""
 
 ANSWER_TIMEOUT_S = 3.0
-"""Longest wait for a state dump, in seconds."""
+"""Timeout of fetching a state dump, in seconds."""
 
 _POLL_INTERVAL_S = 0.2
 _KIB = 1024.0
@@ -35,49 +35,49 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSample:
-    """One host at one time."""
+    """Sample of one host process."""
 
     host: str
-    """Name of the host."""
+    """Name of the entry host."""
 
     pid: int
-    """Number of its process."""
+    """Process identifier of the host."""
 
     at_s: float
-    """Monotonic time in seconds."""
+    """Monotonic time of the sample, in seconds."""
 
     cpu_s: float
-    """Processor time of the process, in seconds."""
+    """CPU time used by the process so far, in seconds."""
 
     rss_kb: float
-    """Resident memory in KiB."""
+    """Resident memory of the process, in KiB."""
 
     state: dict[str, Any]
-    """State dump; empty where the host gave none."""
+    """State dump of the host; empty if the host returned none."""
 
     @property
     def pooled(self) -> frozenset[str]:
-        """Names of the members that the host pools."""
+        """Names of the members to which the host pools connections."""
         found = self.state.get('pooler', {}).get('members', ())
         return frozenset(m['member'] for m in found)
 
     @property
     def acting_shards(self) -> int:
-        """Shards that the host coordinates."""
+        """Number of shards that the host coordinates."""
         shards = self.state.get('coordination', {}).get('shards', ())
         return sum(s['is_acting'] for s in shards)
 
     @property
     def callers(self) -> int:
-        """Connections of callers."""
+        """Number of callers connected to the host."""
         return self.state.get('entry', {}).get('callers', 0)
 
     def messages(self, side: str) -> Counter[str]:
-        """Return the messages by type of one side."""
+        """Return the number of messages by type, with peers or members."""
         return self._counts(side, 'messages')
 
     def sizes(self, side: str) -> Counter[str]:
-        """Return the bytes by type of one side."""
+        """Return the number of bytes by type, with peers or members."""
         return self._counts(side, 'size_bytes')
 
     def _counts(self, side: str, field: str) -> Counter[str]:
@@ -87,27 +87,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The deployment at one time."""
+    """Sample of a deployment."""
 
     hosts: tuple[HostSample, ...]
-    """Each running host."""
+    """Samples of the running hosts."""
 
     calls: Counter[str]
-    """Calls to the platform's service by kind and zone."""
+    """Number of calls to the platform service by kind and by zone."""
 
     at_s: float
-    """Monotonic time in seconds."""
+    """Monotonic time of the sample, in seconds."""
 
 
 class Probe:
-    """Takes samples of the hosts and of the platform's service.
+    """Takes samples of the hosts and the platform service.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     processes : Processes
-        Its processes.
+        Processes of the deployment.
     """
 
     def __init__(self, layout: Layout, processes: Processes) -> None:
@@ -117,13 +117,13 @@
         self._channels: dict[str, Channel] = {}
 
     def wait_ready(self) -> None:
-        """Wait until every host and every member serves."""
+        """Wait until all hosts have declarations and reach all members."""
         with gevent.Timeout(READY_TIMEOUT_S):
             while not self._is_ready():
                 gevent.sleep(_POLL_INTERVAL_S)
 
     def sample(self) -> Sample:
-        """Return the present state of everything that runs."""
+        """Return a sample of the hosts and the platform service."""
         hosts = (self._sample_host(h) for h in self._layout.hosts)
         return Sample(
             tuple(h for h in hosts if h is not None),
@@ -132,7 +132,7 @@
         )
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to the hosts."""
         for channel in self._channels.values():
             channel.close()
 
--- a/packages/standins/src/trefoilpulley_standins/experiment/result.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/result.py
@@ -1,4 +1,4 @@
-"""Results of an experiment."""
+"""Results of an experiment, stored as JSON lines."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
     from pathlib import Path
 
 RESULTS_FILE = 'results.jsonl'
-"""File with one line for each point."""
+"""Name of the results file, which has one line per point."""
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One measured figure."""
+    """Measured value with a name."""
 
     name: str
-    """What is measured, with its unit."""
+    """Name of the measured quantity, with its unit."""
 
     value: float
-    """Value."""
+    """Measured value, in the unit that the name states."""
 
 
 @dataclass(frozen=True, slots=True)
 class PointResult:
-    """Figures of one point of a sweep."""
+    """Figures measured at one point of a sweep."""
 
     experiment: str
     """Name of the experiment."""
 
     path: str
-    """Field that is swept."""
+    """Path of the swept field."""
 
     value: float
-    """Value of the field."""
+    """Value of the swept field."""
 
     seed: int
-    """Seed."""
+    """Seed of the experiment."""
 
     figures: tuple[Figure, ...]
-    """Figures, by name in order."""
+    """Figures, sorted by name."""
 
     def find(self, name: str) -> float | None:
-        """Return a figure, or ``None``."""
+        """Return the value of a figure; ``None`` if it was not measured."""
         found = (f.value for f in self.figures if f.name == name)
         return next(found, None)
 
@@ -56,13 +56,13 @@
 
 
 def dump_results(path: Path, results: Iterable[PointResult]) -> None:
-    """Write results as JSON lines."""
+    """Write results to a file of JSON lines."""
     lines = (_CONVERTER.dumps(r) + '\n' for r in results)
     path.write_text(''.join(lines), encoding='utf-8')
 
 
 def load_results(path: Path) -> tuple[PointResult, ...]:
-    """Read results; a directory stands for its file of results."""
+    """Load results from a file, or from the results file of a directory."""
     file = path / RESULTS_FILE if path.is_dir() else path
     lines = file.read_text(encoding='utf-8').splitlines()
     return tuple(
--- a/packages/standins/src/trefoilpulley_standins/experiment/run.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/run.py
@@ -1,4 +1,4 @@
-"""Runs an experiment point by point."""
+"""Runs the points of an experiment one after another."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
     from trefoilpulley_standins.layout import Layout
 
 OUTPUT = Path('build/experiments')
-"""Directory of the results."""
+"""Default parent directory of the results."""
 
 MEMORY_SHARE = 0.5
-"""Share of the machine's memory above which no point starts."""
+"""Share of used memory above which no point is started."""
 
 START_ATTEMPTS = 3
-"""Attempts to start a deployment."""
+"""Maximum number of attempts to start a deployment."""
 
 
 class MemoryShort(RuntimeError):
-    """Half of the machine's memory is in use."""
+    """Too much of the machine's memory is in use to start a point."""
 
 
 def run_experiment(
@@ -46,16 +46,21 @@
     directory: Path,
     report_progress: Callable[[str], None],
 ) -> tuple[PointResult, ...]:
-    """Run every point and write the results after each.
+    """Run all points and write the results after each point.
 
     Parameters
     ----------
     experiment : Experiment
-        Checked experiment.
+        Validated experiment.
     directory : Path
-        Directory of the results.
+        Directory of the results, settings files and logs.
     report_progress : Callable[[str], None]
-        Tells a person how far the run is.
+        Callback that receives progress messages.
+
+    Returns
+    -------
+    tuple[PointResult, ...]
+        Results in the order of the points.
     """
     directory.mkdir(parents=True, exist_ok=True)
     results: list[PointResult] = []
@@ -113,7 +118,7 @@
             _wait_ready(layout, processes)
             return layout, processes
         except (ProcessFailed, gevent.Timeout):
-            # Another process may have taken a port that was free.
+            # Another process may have bound a port after it was chosen.
             processes.stop()
             if not attempts_left:
                 raise
--- a/packages/standins/src/trefoilpulley_standins/experiment/spec.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/spec.py
@@ -1,4 +1,4 @@
-"""Experiments as JSON files."""
+"""Definitions of experiments, loaded from JSON files."""
 
 from __future__ import annotations
 
@@ -26,30 +26,30 @@
     from pathlib import Path
 
 MAX_HOSTS = 24
-"""Host processes that one experiment may start."""
+"""Maximum number of host processes in an experiment."""
 
 MAX_MEMBERS = 96
-"""Stand-in members that one experiment may start."""
+"""Maximum number of stand-in members in an experiment."""
 
 MAX_CALLERS = 4000
-"""Callers' connections that one experiment may open."""
+"""Maximum number of callers' connections in an experiment."""
 
 MAX_RUN_S = 60.0
-"""Longest time of one point, without the start, in seconds."""
+"""Maximum duration of a point, excluding its startup, in seconds."""
 
 BASE = 'karamanlis'
-"""Deployment whose declarations and tenants the experiments use."""
+"""Name of the deployment on which the experiments are based."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidExperiment(Failure):
-    """The experiment's file has faults."""
+    """The definition of the experiment is invalid."""
 
     code = 'invalid-experiment'
     run_state = RunState.NOT_RUN
 
     faults: tuple[str, ...] = ()
-    """Each fault with its path."""
+    """Descriptions of the faults, each with its JSON path."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,41 +57,41 @@
     """Size of the deployment."""
 
     zones: int = 1
-    """Availability zones."""
+    """Number of availability zones."""
 
     hosts_per_zone: int = 2
-    """Entry hosts of each zone."""
+    """Number of entry hosts per zone."""
 
     databases: int = 2
-    """Databases, of three members each."""
+    """Number of databases, each with three members."""
 
     slots: int = 8
-    """Slots of each member."""
+    """Number of slots of each member."""
 
     connections: int = 16
-    """Connections that each member accepts."""
+    """Maximum number of connections that each member accepts."""
 
     connect_ms: float = 12.0
-    """Time that a new connection to a member costs, in milliseconds."""
+    """Time needed to connect to a member, in milliseconds."""
 
     zone_delay_ms: float = 3.0
     """One-way delay between zones, in milliseconds."""
 
     lag_ms: float = 5.0
-    """Lag of the replicas, in milliseconds."""
+    """Replication lag, in milliseconds."""
 
     @property
     def hosts(self) -> int:
-        """Entry hosts of the deployment."""
+        """Number of entry hosts in the deployment."""
         return self.zones * self.hosts_per_zone
 
     @property
     def members(self) -> int:
-        """Members of the deployment."""
+        """Number of members in the deployment."""
         return self.databases * find_deployment(BASE).members
 
     def to_deployment(self) -> Deployment:
-        """Return the deployment of this size."""
+        """Return the base deployment scaled to this size."""
         return replace(
             find_deployment(BASE),
             zones=tuple(f'zone-{n}' for n in range(self.zones)),
@@ -107,29 +107,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Load of an experiment."""
+    """Load that the callers generate."""
 
     idle_callers: int = 0
-    """Connections that only say hello, spread over the hosts."""
+    """Number of idle connections, spread over the hosts."""
 
     callers: int = 4
-    """Connections that send statements, spread over the hosts."""
+    """Number of connections that send statements, spread over the hosts."""
 
     statements_per_s: float = 0.0
-    """Statements a second of all callers together."""
+    """Total rate of statements of all callers, per second."""
 
     write_share: float = 0.2
-    """Share of the statements that write."""
+    """Share of the statements that are writes."""
 
     databases_in_use: int = 0
-    """Databases that the callers use; 0 for all."""
+    """Number of databases that the callers use; 0 for all."""
 
     changes_per_min: float = 0.0
-    """Changes of the declarations a minute."""
+    """Rate of configuration changes, per minute."""
 
 
 class FaultKind(StrEnum):
-    """Faults that an experiment can cause."""
+    """Kind of a fault that an experiment injects or ends."""
 
     KILL_HOST = 'kill-host'
     START_HOST = 'start-host'
@@ -141,59 +141,59 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault at a time."""
+    """Fault injected at a given time."""
 
     at_s: float
-    """Time since the window's begin, in seconds."""
+    """Time since the start of the measurement window, in seconds."""
 
     kind: FaultKind
-    """What happens."""
+    """Kind of the fault."""
 
     target: str = ''
-    """Host or zone that it happens to."""
+    """Name of the affected host or zone, if any."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """One field that takes several values."""
+    """Field that takes a different value at each point."""
 
     path: str
-    """Part and field, such as ``deployment.hosts_per_zone``."""
+    """Path of the field, such as ``deployment.hosts_per_zone``."""
 
     values: tuple[float, ...]
-    """Values, one point each."""
+    """Values of the field, one per point."""
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """One experiment."""
+    """Definition of an experiment."""
 
     name: str
-    """Name, also of the directory of its results."""
+    """Name of the experiment and of its default results directory."""
 
     sweep: Sweep
-    """What is varied."""
+    """Field that is varied between the points."""
 
     deployment: Size = Size()
     """Size of the deployment."""
 
     load: Load = Load()
-    """Load."""
+    """Load that the callers generate."""
 
     faults: tuple[Fault, ...] = ()
-    """Faults."""
+    """Faults to inject during the measurement window."""
 
     settle_s: float = 5.0
-    """Time before the window, in seconds."""
+    """Time under load before the measurement window, in seconds."""
 
     window_s: float = 8.0
-    """Time that is measured, in seconds."""
+    """Duration of the measurement window, in seconds."""
 
     seed: int = 1
-    """Seed of the load and the links."""
+    """Seed of the load and of the links."""
 
     def at(self, value: float) -> Experiment:
-        """Return the experiment with the swept field at a value."""
+        """Return the experiment with the swept field set to a value."""
         part, _, name = self.sweep.path.partition('.')
         old = getattr(self, part)
         whole = int(value) if isinstance(getattr(old, name), int) else value
@@ -211,7 +211,7 @@
 
 
 def load_experiment(path: Path) -> Result[Experiment, Failure]:
-    """Read and check an experiment's file."""
+    """Load and validate an experiment file."""
     try:
         document = json.loads(path.read_text(encoding='utf-8'))
     except (OSError, ValueError) as exc:
@@ -220,19 +220,25 @@
 
 
 def parse_experiment(document: Any) -> Result[Experiment, Failure]:
-    """Check the document of an experiment."""
+    """Validate the JSON document of an experiment."""
     try:
         found = _CONVERTER.structure(document, Experiment)
         points = [found.at(v) for v in found.sweep.values]
     except ClassValidationError as exc:
         faults = tuple(transform_error(exc, path='$'))
-        return Failed(InvalidExperiment('file has faults', faults))
+        return Failed(
+            InvalidExperiment('experiment definition is invalid', faults)
+        )
     except (AttributeError, TypeError, ValueError):
         fault = f'$.sweep.path: no such field: {found.sweep.path}'
-        return Failed(InvalidExperiment('file has faults', (fault,)))
+        return Failed(
+            InvalidExperiment('experiment definition is invalid', (fault,))
+        )
     faults = tuple(_find_faults(points))
     if faults:
-        return Failed(InvalidExperiment('file has faults', faults))
+        return Failed(
+            InvalidExperiment('experiment definition is invalid', faults)
+        )
     return Success(found)
 
 
@@ -252,7 +258,7 @@
         ),
     )
     over = [b for b in bounds if max(b.values, default=0) > b.most]
-    faults = [f'$: {b.path} is over {b.most:g}' for b in over]
+    faults = [f'$: {b.path} is over the limit of {b.most:g}' for b in over]
     if not points:
         faults.append('$.sweep.values: is empty')
     return faults
