--- a/features/steps/capacity_experiment_steps.py
+++ b/features/steps/capacity_experiment_steps.py
@@ -15,8 +15,8 @@
 from trefoilpulley_standins.experiment.callers import Callers
 from trefoilpulley_standins.experiment.comparison import compare_results
 from trefoilpulley_standins.experiment.figures import make_figures
-from trefoilpulley_standins.experiment.figures import MEMBER_PARTS
-from trefoilpulley_standins.experiment.figures import PEER_PARTS
+from trefoilpulley_standins.experiment.figures import MEMBER_TRAFFIC_KINDS
+from trefoilpulley_standins.experiment.figures import PEER_TRAFFIC_KINDS
 from trefoilpulley_standins.experiment.figures import Window
 from trefoilpulley_standins.experiment.probe import HostSample
 from trefoilpulley_standins.experiment.probe import Sample
@@ -164,9 +164,12 @@
     @then('each message without a capacity part is known as work')
     def check_parts(context: Any) -> None:
         """Look at the messages of both codecs."""
-        assert _messages_of(member_codec) - set(MEMBER_PARTS) == MEMBER_WORK
+        assert (
+            _messages_of(member_codec) - set(MEMBER_TRAFFIC_KINDS)
+            == MEMBER_WORK
+        )
         peers = _messages_of(peer) | _messages_of(membership)
-        rest = peers - set(PEER_PARTS) - PARTS_OF_MESSAGES
+        rest = peers - set(PEER_TRAFFIC_KINDS) - PARTS_OF_MESSAGES
         assert all(name.startswith('Pooled') for name in rest), rest
 
     @staticmethod
--- a/packages/standins/src/trefoilpulley_standins/experiment/callers.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/callers.py
@@ -36,19 +36,19 @@
 WRITE_SQL = "insert into filings (request, session, part) values ('r', 's', 1)"
 """SQL statement of the writes."""
 
-LONGEST_MS = 60_000
+MAX_RECORDED_MS = 60_000
 """Longest response time that the histogram records, in milliseconds."""
 
 ANSWER_TIMEOUT_S = 5.0
 """Timeout of dialing, authentication and statements, in seconds."""
 
-DIALS_AT_ONCE = 16
+MAX_CONCURRENT_DIALS = 16
 """Maximum number of idle connections dialed concurrently."""
 
-_US = 1000
+_SI_PREFIX_FACTOR = 1000
 
 
-def open_caller(layout: Layout, number: int) -> Channel | None:
+def open_caller_channel(layout: Layout, number: int) -> Channel | None:
     """Open an authenticated connection to a host, bypassing the links.
 
     Parameters
@@ -69,10 +69,10 @@
         return None
     channel = opened.unwrap()
     tenant = host.tenants[0]
-    greeted = channel.call(
+    welcomed = channel.call(
         Hello(tenant.tenant, tenant.secret), ANSWER_TIMEOUT_S
     )
-    return channel if isinstance(greeted, Success) else None
+    return channel if isinstance(welcomed, Success) else None
 
 
 class Callers:
@@ -101,7 +101,9 @@
         self._pool = Pool()
         self._greenlets: list[gevent.Greenlet] = []
         self._is_measuring = False
-        self.histogram = HdrHistogram(1, LONGEST_MS * _US, 3)
+        self.histogram = HdrHistogram(
+            1, MAX_RECORDED_MS * _SI_PREFIX_FACTOR, 3
+        )
         """Response times during the measurement window, in microseconds."""
 
         self.outcomes: Counter[str] = Counter()
@@ -109,9 +111,9 @@
 
     def start(self) -> None:
         """Open the idle connections and start to send statements."""
-        dialling = Pool(DIALS_AT_ONCE)
+        dial_pool = Pool(MAX_CONCURRENT_DIALS)
         numbers = range(self._load.idle_callers)
-        opened = dialling.map(self._open, numbers)
+        opened = dial_pool.map(self._open, numbers)
         self._idle = [c for c in opened if c is not None]
         if not self._load.statements_per_s:
             return
@@ -132,36 +134,43 @@
             channel.close()
 
     def _open(self, number: int) -> Channel | None:
-        return open_caller(self._layout, number)
+        return open_caller_channel(self._layout, number)
 
     def _run(self, number: int, rng: random.Random) -> None:
-        rate = self._load.statements_per_s / self._load.callers
+        rate_per_s = self._load.statements_per_s / self._load.callers
         session = _Session(self._layout, number)
-        due = time.monotonic()
+        due_s = time.monotonic()
         count = 0
         while True:
-            due += rng.expovariate(rate)
-            gevent.sleep(max(due - time.monotonic(), 0))
+            due_s += rng.expovariate(rate_per_s)
+            gevent.sleep(max(due_s - time.monotonic(), 0))
             count += 1
             name = f'{self._prefix}-{number}-{count}'
             request = self._make_request(name, rng)
-            self._pool.spawn(self._send, session, request, due)
+            self._pool.spawn(self._send, session, request, due_s)
 
     def _make_request(self, name: str, rng: random.Random) -> Execute:
         databases = self._layout.databases
-        used = self._load.databases_in_use or len(databases)
-        database = databases[rng.randrange(used)].name
+        used_count = self._load.databases_in_use or len(databases)
+        database = databases[rng.randrange(used_count)].name
         if rng.random() < self._load.write_share:
             return Execute(name, WRITE_CLASS, database, WRITE_SQL)
         return Execute(name, READ_CLASS, database, READ_SQL)
 
-    def _send(self, session: _Session, request: Execute, due: float) -> None:
+    def _send(self, session: _Session, request: Execute, due_s: float) -> None:
         reply = session.call(request)
         if not self._is_measuring:
             return
         if isinstance(reply, Answer):
-            taken_us = max(1, int((time.monotonic() - due) * _US * _US))
-            self.histogram.record_value(taken_us)
+            response_us = max(
+                1,
+                int(
+                    (time.monotonic() - due_s)
+                    * _SI_PREFIX_FACTOR
+                    * _SI_PREFIX_FACTOR
+                ),
+            )
+            self.histogram.record_value(response_us)
             self.outcomes['answered'] += 1
         else:
             self.outcomes[getattr(reply, 'code', 'unreachable')] += 1
@@ -176,7 +185,7 @@
 
     def call(self, request: Execute) -> Any:
         if self._channel is None or not self._channel.is_open:
-            self._channel = open_caller(self._layout, self._number)
+            self._channel = open_caller_channel(self._layout, self._number)
         if self._channel is None:
             self._number += 1
             return None
--- a/packages/standins/src/trefoilpulley_standins/experiment/causes.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/causes.py
@@ -20,7 +20,7 @@
 _MINUTE_S = 60.0
 
 
-class Causes:
+class FaultInjector:
     """Injects the faults and configuration changes of one point.
 
     Parameters
@@ -49,18 +49,20 @@
     def start(self, experiment: Experiment) -> None:
         """Schedule the faults and start the configuration changes."""
         self._greenlets = [
-            gevent.spawn_later(fault.at_s, self._cause, fault)
+            gevent.spawn_later(fault.at_s, self._inject, fault)
             for fault in experiment.faults
         ]
-        rate = experiment.load.changes_per_min
-        if rate:
-            self._greenlets.append(gevent.spawn(self._change, rate))
+        changes_per_min = experiment.load.changes_per_min
+        if changes_per_min:
+            self._greenlets.append(
+                gevent.spawn(self._change_repeatedly, changes_per_min)
+            )
 
     def stop(self) -> None:
         """Cancel all pending faults and configuration changes."""
         gevent.killall(self._greenlets)
 
-    def _cause(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         self._report_progress(f'    {fault.kind} {fault.target}')
         match fault.kind:
             case FaultKind.KILL_HOST:
@@ -75,8 +77,8 @@
                 is_down = fault.kind is FaultKind.SERVICE_DOWN
                 self._control.set_service_down(is_down)
 
-    def _change(self, rate: float) -> None:
+    def _change_repeatedly(self, changes_per_min: float) -> None:
         while True:
-            gevent.sleep(_MINUTE_S / rate)
+            gevent.sleep(_MINUTE_S / changes_per_min)
             self._control.declare_stops(())
             self.changes += 1
--- a/packages/standins/src/trefoilpulley_standins/experiment/commands.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/commands.py
@@ -9,10 +9,10 @@
 from returns.result import Success
 
 from trefoilpulley_standins.experiment.comparison import compare_results
+from trefoilpulley_standins.experiment.plot import DEFAULT_FIGURES
 from trefoilpulley_standins.experiment.plot import plot_results
-from trefoilpulley_standins.experiment.plot import PLOTTED
 from trefoilpulley_standins.experiment.result import load_results
-from trefoilpulley_standins.experiment.run import OUTPUT
+from trefoilpulley_standins.experiment.run import RESULTS_DIRECTORY
 from trefoilpulley_standins.experiment.run import run_experiment
 from trefoilpulley_standins.experiment.spec import load_experiment
 
@@ -37,7 +37,7 @@
             click.echo(f'  {fault}', err=True)
         sys.exit(1)
     experiment = loaded.unwrap()
-    directory = directory or OUTPUT / experiment.name
+    directory = directory or RESULTS_DIRECTORY / experiment.name
     run_experiment(experiment, directory, click.echo)
     click.echo(f'results in {directory}')
 
@@ -63,5 +63,5 @@
     """Plot the figures in RESULT as SVG or PNG."""
     results = load_results(result)
     path = out or result.parent / f'{results[0].experiment}.svg'
-    plot_results(results, path, figures or PLOTTED)
+    plot_results(results, path, figures or DEFAULT_FIGURES)
     click.echo(str(path))
--- a/packages/standins/src/trefoilpulley_standins/experiment/figures.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/figures.py
@@ -21,10 +21,10 @@
 FRAME_OVERHEAD_BYTES = 60
 """Size of the WebSocket, TCP and IP headers of a message, without ACKs."""
 
-_US_A_MS = 1000.0
+_US_PER_MS = 1000.0
 
 
-class Part(StrEnum):
+class TrafficKind(StrEnum):
     """Purpose of a message."""
 
     MEMBERSHIP = 'membership'
@@ -35,54 +35,56 @@
     WORK = 'work'
 
 
-CONTROL_PARTS = tuple(p for p in Part if p is not Part.WORK)
+CONTROL_TRAFFIC_KINDS = tuple(
+    p for p in TrafficKind if p is not TrafficKind.WORK
+)
 """Kinds of traffic that count as control traffic."""
 
-PEER_PARTS = {
-    'Probe': Part.MEMBERSHIP,
-    'ProbeAnswer': Part.MEMBERSHIP,
-    'ProbeForMe': Part.MEMBERSHIP,
-    'ProbeReport': Part.MEMBERSHIP,
-    'News': Part.MEMBERSHIP,
-    'Exchange': Part.MEMBERSHIP,
-    'PeerHello': Part.MEMBERSHIP,
-    'PeerWelcome': Part.MEMBERSHIP,
-    'Document': Part.DOCUMENTS,
-    'FetchDocument': Part.DOCUMENTS,
-    'GetDigest': Part.DIGESTS,
-    'Digests': Part.DIGESTS,
-    'GetStatus': Part.COORDINATION,
-    'StatusReport': Part.COORDINATION,
-    'FenceMember': Part.COORDINATION,
-    'PromoteMember': Part.COORDINATION,
-    'FollowMember': Part.COORDINATION,
-    'PauseWrites': Part.COORDINATION,
-    'PauseReport': Part.COORDINATION,
-    'ResumeWrites': Part.COORDINATION,
-    'WarmConnections': Part.COORDINATION,
+PEER_TRAFFIC_KINDS = {
+    'Probe': TrafficKind.MEMBERSHIP,
+    'ProbeAnswer': TrafficKind.MEMBERSHIP,
+    'ProbeForMe': TrafficKind.MEMBERSHIP,
+    'ProbeReport': TrafficKind.MEMBERSHIP,
+    'News': TrafficKind.MEMBERSHIP,
+    'Exchange': TrafficKind.MEMBERSHIP,
+    'PeerHello': TrafficKind.MEMBERSHIP,
+    'PeerWelcome': TrafficKind.MEMBERSHIP,
+    'Document': TrafficKind.DOCUMENTS,
+    'FetchDocument': TrafficKind.DOCUMENTS,
+    'GetDigest': TrafficKind.DIGESTS,
+    'Digests': TrafficKind.DIGESTS,
+    'GetStatus': TrafficKind.COORDINATION,
+    'StatusReport': TrafficKind.COORDINATION,
+    'FenceMember': TrafficKind.COORDINATION,
+    'PromoteMember': TrafficKind.COORDINATION,
+    'FollowMember': TrafficKind.COORDINATION,
+    'PauseWrites': TrafficKind.COORDINATION,
+    'PauseReport': TrafficKind.COORDINATION,
+    'ResumeWrites': TrafficKind.COORDINATION,
+    'WarmConnections': TrafficKind.COORDINATION,
 }
 """Traffic kind by type of message between hosts; others are work."""
 
-MEMBER_PARTS = {
-    'Status': Part.MEMBERS,
-    'MemberReport': Part.MEMBERS,
-    'StillAlive': Part.MEMBERS,
-    'WatchProgress': Part.MEMBERS,
-    'Fence': Part.MEMBERS,
-    'Promote': Part.MEMBERS,
-    'Follow': Part.MEMBERS,
+MEMBER_TRAFFIC_KINDS = {
+    'Status': TrafficKind.MEMBERS,
+    'MemberReport': TrafficKind.MEMBERS,
+    'StillAlive': TrafficKind.MEMBERS,
+    'WatchProgress': TrafficKind.MEMBERS,
+    'Fence': TrafficKind.MEMBERS,
+    'Promote': TrafficKind.MEMBERS,
+    'Follow': TrafficKind.MEMBERS,
 }
 """Traffic kind by type of message with members; others are work."""
 
 
 @dataclass
-class PartTraffic:
+class Traffic:
     """Messages and bytes by kind of traffic, in both directions."""
 
-    messages: Counter[Part] = field(default_factory=Counter)
+    messages: Counter[TrafficKind] = field(default_factory=Counter)
     """Number of messages by kind of traffic."""
 
-    sizes: Counter[Part] = field(default_factory=Counter)
+    size_bytes: Counter[TrafficKind] = field(default_factory=Counter)
     """Number of bytes by kind of traffic, including headers."""
 
 
@@ -110,17 +112,22 @@
         ]
 
 
-def count_parts(first: HostSample, last: HostSample) -> PartTraffic:
+def count_traffic(first: HostSample, last: HostSample) -> Traffic:
     """Return the traffic of one host between two samples."""
-    traffic = PartTraffic()
-    for side, parts in (('peers', PEER_PARTS), ('members', MEMBER_PARTS)):
+    traffic = Traffic()
+    for side, traffic_kinds in (
+        ('peers', PEER_TRAFFIC_KINDS),
+        ('members', MEMBER_TRAFFIC_KINDS),
+    ):
         messages = last.messages(side) - first.messages(side)
-        sizes = last.sizes(side) - first.sizes(side)
+        size_bytes = last.size_bytes(side) - first.size_bytes(side)
         for kind, number in messages.items():
-            part = parts.get(kind, Part.WORK)
-            traffic.messages[part] += number
-            framing = number * FRAME_OVERHEAD_BYTES
-            traffic.sizes[part] += sizes[kind] + framing
+            traffic_kind = traffic_kinds.get(kind, TrafficKind.WORK)
+            traffic.messages[traffic_kind] += number
+            framing_bytes = number * FRAME_OVERHEAD_BYTES
+            traffic.size_bytes[traffic_kind] += (
+                size_bytes[kind] + framing_bytes
+            )
     return traffic
 
 
@@ -143,66 +150,70 @@
         *_make_service_figures(window),
         *_make_caller_figures(window, callers),
         Figure('changes', changes),
-        Figure('members moved', _count_moved(window)),
-        Figure('members a host before', _share_before(window)),
+        Figure('members moved', _count_moved_members(window)),
+        Figure('members a host before', _members_per_host_before(window)),
     ]
     return tuple(sorted(figures, key=lambda f: f.name))
 
 
 def _make_host_figures(window: Window) -> Iterator[Figure]:
     pairs = window.pairs
-    spans = [last.at_s - first.at_s for first, last in pairs]
-    traffic = [count_parts(*pair) for pair in pairs]
-    cpu = [
-        (last.cpu_s - first.cpu_s) / span
-        for (first, last), span in zip(pairs, spans, strict=True)
+    spans_s = [last.at_s - first.at_s for first, last in pairs]
+    traffic = [count_traffic(*pair) for pair in pairs]
+    cpu_shares = [
+        (last.cpu_s - first.cpu_s) / span_s
+        for (first, last), span_s in zip(pairs, spans_s, strict=True)
     ]
     yield Figure('hosts', len(pairs))
-    yield Figure('cpu share mean', statistics.fmean(cpu))
-    yield Figure('cpu share most', max(cpu))
+    yield Figure('cpu share mean', statistics.fmean(cpu_shares))
+    yield Figure('cpu share most', max(cpu_shares))
     rss = [last.rss_kb for _, last in pairs]
     yield Figure('rss KB mean', statistics.fmean(rss))
     yield Figure('rss KB most', max(rss))
-    pooled = [len(last.pooled) for _, last in pairs]
-    yield Figure('members pooled mean', statistics.fmean(pooled))
+    pooled_counts = [len(last.pooled_members) for _, last in pairs]
+    yield Figure('members pooled mean', statistics.fmean(pooled_counts))
     acting = [last.acting_shards for _, last in pairs]
     yield Figure('shards acting sum', sum(acting))
     yield Figure('callers', sum(last.callers for _, last in pairs))
     used = [last.state['entry']['databases_in_use'] for _, last in pairs]
     yield Figure('databases in use mean', statistics.fmean(used))
-    yield from _make_part_figures(traffic, spans)
+    yield from _make_traffic_figures(traffic, spans_s)
 
 
-def _make_part_figures(
-    traffic: list[PartTraffic], spans: list[float]
+def _make_traffic_figures(
+    traffic: list[Traffic], spans_s: list[float]
 ) -> Iterator[Figure]:
     messages: Counter[str] = Counter()
-    sizes: Counter[str] = Counter()
-    for one, span in zip(traffic, spans, strict=True):
-        for part in Part:
-            messages[part] += one.messages[part] / span / len(traffic)
-            sizes[part] += one.sizes[part] / span / len(traffic)
-    for part in Part:
-        yield Figure(f'{part} messages/s mean', messages[part])
-        yield Figure(f'{part} bytes/s mean', sizes[part])
-    total = sum(messages[p] for p in CONTROL_PARTS)
+    size_bytes: Counter[str] = Counter()
+    for one, span_s in zip(traffic, spans_s, strict=True):
+        for traffic_kind in TrafficKind:
+            messages[traffic_kind] += (
+                one.messages[traffic_kind] / span_s / len(traffic)
+            )
+            size_bytes[traffic_kind] += (
+                one.size_bytes[traffic_kind] / span_s / len(traffic)
+            )
+    for traffic_kind in TrafficKind:
+        yield Figure(f'{traffic_kind} messages/s mean', messages[traffic_kind])
+        yield Figure(f'{traffic_kind} bytes/s mean', size_bytes[traffic_kind])
+    total = sum(messages[p] for p in CONTROL_TRAFFIC_KINDS)
     yield Figure('control messages/s mean', total)
-    total_bytes = sum(sizes[p] for p in CONTROL_PARTS)
+    total_bytes = sum(size_bytes[p] for p in CONTROL_TRAFFIC_KINDS)
     yield Figure('control bytes/s mean', total_bytes)
     most = [
-        sum(one.sizes[p] for p in CONTROL_PARTS) / span
-        for one, span in zip(traffic, spans, strict=True)
+        sum(one.size_bytes[p] for p in CONTROL_TRAFFIC_KINDS) / span_s
+        for one, span_s in zip(traffic, spans_s, strict=True)
     ]
     yield Figure('control bytes/s most', max(most))
 
 
 def _make_service_figures(window: Window) -> Iterator[Figure]:
-    span = window.after.at_s - window.before.at_s
+    span_s = window.after.at_s - window.before.at_s
     before, after = window.before.calls, window.after.calls
     for kind in ('reads', 'writes', 'leases', 'watches'):
         made = after[kind] - before[kind]
-        yield Figure(f'service {kind}/s', made / span)
-    yield Figure('service calls/s', _count_calls(after - before) / span)
+        yield Figure(f'service {kind}/s', made / span_s)
+    yield Figure('service calls/s', _count_calls(after - before) / span_s)
     yield Figure('service calls at the start', _count_calls(before))
 
 
@@ -211,23 +222,23 @@
 
 
 def _make_caller_figures(window: Window, callers: Callers) -> Iterator[Figure]:
-    span = window.after.at_s - window.before.at_s
+    span_s = window.after.at_s - window.before.at_s
     answered = callers.outcomes['answered']
     refused = sum(callers.outcomes.values()) - answered
-    yield Figure('statements/s', answered / span)
+    yield Figure('statements/s', answered / span_s)
     yield Figure('refused', refused)
     if answered:
-        for share in (50, 99):
-            taken_us = callers.histogram.get_value_at_percentile(share)
-            yield Figure(f'answer p{share} ms', taken_us / _US_A_MS)
+        for percentile in (50, 99):
+            response_us = callers.histogram.get_value_at_percentile(percentile)
+            yield Figure(f'answer p{percentile} ms', response_us / _US_PER_MS)
 
 
-def _count_moved(window: Window) -> int:
-    before = {m: h.host for h in window.before.hosts for m in h.pooled}
-    after = [(m, h.host) for h in window.after.hosts for m in h.pooled]
+def _count_moved_members(window: Window) -> int:
+    before = {m: h.host for h in window.before.hosts for m in h.pooled_members}
+    after = [(m, h.host) for h in window.after.hosts for m in h.pooled_members]
     return len({m for m, host in after if before.get(m, host) != host})
 
 
-def _share_before(window: Window) -> float:
-    pooled = {m for h in window.before.hosts for m in h.pooled}
+def _members_per_host_before(window: Window) -> float:
+    pooled = {m for h in window.before.hosts for m in h.pooled_members}
     return len(pooled) / len(window.before.hosts)
--- a/packages/standins/src/trefoilpulley_standins/experiment/groups.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/groups.py
@@ -13,7 +13,7 @@
 
     from trefoilpulley_standins.layout import Layout
 
-GROUP_MEMBERS = 24
+MEMBERS_PER_PROCESS = 24
 """Maximum number of members in one process."""
 
 
@@ -32,10 +32,10 @@
         super().__init__(layout, directory)
         members = layout.members.members
         self._groups = {
-            members[first].name: members[first : first + GROUP_MEMBERS]
-            for first in range(0, len(members), GROUP_MEMBERS)
+            members[first].name: members[first : first + MEMBERS_PER_PROCESS]
+            for first in range(0, len(members), MEMBERS_PER_PROCESS)
         }
-        self._group_dir = directory
+        self._settings_directory = directory
 
     def start_member(self, name: str) -> None:
         """Start the process whose first member has this name.
@@ -47,6 +47,6 @@
         if group is None:
             return
         key = f'group-{name.replace("/", "-")}'
-        path = self._group_dir / f'{key}.json'
+        path = self._settings_directory / f'{key}.json'
         path.write_text(dump_group(GroupSettings(group)), encoding='utf-8')
         self._start_module('group', path, key=key)
--- a/packages/standins/src/trefoilpulley_standins/experiment/plot.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/plot.py
@@ -12,7 +12,7 @@
 
     from trefoilpulley_standins.experiment.result import PointResult
 
-PLOTTED = (
+DEFAULT_FIGURES = (
     'control messages/s mean',
     'control bytes/s mean',
     'cpu share mean',
@@ -23,14 +23,14 @@
 )
 """Names of the figures that are plotted by default."""
 
-COLUMNS = 2
+COLUMN_COUNT = 2
 """Number of plots in a row."""
 
 
 def plot_results(
     results: Sequence[PointResult],
     path: Path,
-    names: Sequence[str] = PLOTTED,
+    names: Sequence[str] = DEFAULT_FIGURES,
 ) -> None:
     """Write one image with a plot of each figure that the results contain.
 
@@ -46,19 +46,21 @@
     matplotlib.use('agg')
     from matplotlib import pyplot
 
-    held = [n for n in names if any(r.find(n) is not None for r in results)]
-    rows = -(-len(held) // COLUMNS)
+    measured = [
+        n for n in names if any(r.find(n) is not None for r in results)
+    ]
+    rows = -(-len(measured) // COLUMN_COUNT)
     figure, grid = pyplot.subplots(
-        rows, COLUMNS, figsize=(10, 3 * rows), squeeze=False
+        rows, COLUMN_COUNT, figsize=(10, 3 * rows), squeeze=False
     )
-    for axes, name in zip(grid.flat, held, strict=False):
+    for axes, name in zip(grid.flat, measured, strict=False):
         points = [(r.value, r.find(name)) for r in results]
         points = [(x, y) for x, y in points if y is not None]
         axes.plot(*zip(*points, strict=True), marker='o')
         axes.set_xlabel(results[0].path)
         axes.set_ylabel(name)
         axes.set_ylim(bottom=0)
-    for axes in grid.flat[len(held) :]:
+    for axes in grid.flat[len(measured) :]:
         axes.remove()
     figure.suptitle(results[0].experiment)
     figure.tight_layout()
--- a/packages/standins/src/trefoilpulley_standins/experiment/probe.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/probe.py
@@ -56,7 +56,7 @@
     """State dump of the host; empty if the host returned none."""
 
     @property
-    def pooled(self) -> frozenset[str]:
+    def pooled_members(self) -> frozenset[str]:
         """Names of the members to which the host pools connections."""
         found = self.state.get('pooler', {}).get('members', ())
         return frozenset(m['member'] for m in found)
@@ -74,13 +74,13 @@
 
     def messages(self, side: str) -> Counter[str]:
         """Return the number of messages by type, with peers or members."""
-        return self._counts(side, 'messages')
+        return self._counts_by_type(side, 'messages')
 
-    def sizes(self, side: str) -> Counter[str]:
+    def size_bytes(self, side: str) -> Counter[str]:
         """Return the number of bytes by type, with peers or members."""
-        return self._counts(side, 'size_bytes')
+        return self._counts_by_type(side, 'size_bytes')
 
-    def _counts(self, side: str, field: str) -> Counter[str]:
+    def _counts_by_type(self, side: str, field: str) -> Counter[str]:
         found = self.state.get('traffic', {}).get(side, ())
         return Counter({t['message']: t[field] for t in found})
 
@@ -122,7 +122,7 @@
             while not self._is_ready():
                 gevent.sleep(_POLL_INTERVAL_S)
 
-    def sample(self) -> Sample:
+    def take_sample(self) -> Sample:
         """Return a sample of the hosts and the platform service."""
         hosts = (self._sample_host(h) for h in self._layout.hosts)
         return Sample(
@@ -137,43 +137,45 @@
             channel.close()
 
     def _is_ready(self) -> bool:
-        states = [self._ask(h) for h in self._layout.hosts]
+        states = [self._fetch_state(h) for h in self._layout.hosts]
         if not all(_has_declarations(s) for s in states):
             return False
-        reached = {m for state in states for m in _reachable(state)}
-        return len(reached) == len(self._layout.members.members)
+        reached_members = {
+            m for state in states for m in _reachable_members(state)
+        }
+        return len(reached_members) == len(self._layout.members.members)
 
     def _sample_host(self, host: NodeSettings) -> HostSample | None:
         try:
             pid = self._processes.pid_of(host.host)
             process = psutil.Process(pid)
-            spent = process.cpu_times()
+            cpu_times = process.cpu_times()
             rss_kb = process.memory_info().rss / _KIB
         except (KeyError, psutil.NoSuchProcess):
             return None
         at_s = time.monotonic()
-        cpu_s = spent.user + spent.system
-        state = self._ask(host)
+        cpu_s = cpu_times.user + cpu_times.system
+        state = self._fetch_state(host)
         return HostSample(host.host, pid, at_s, cpu_s, rss_kb, state)
 
-    def _ask(self, host: NodeSettings) -> dict[str, Any]:
+    def _fetch_state(self, host: NodeSettings) -> dict[str, Any]:
         channel = self._channels.get(host.host)
         if channel is None or not channel.is_open:
-            opened = dial(
+            dialed = dial(
                 host.listen, CALLER_CODEC, timeout_s=ANSWER_TIMEOUT_S
             )
-            if not isinstance(opened, Success):
+            if not isinstance(dialed, Success):
                 return {}
-            channel = self._channels[host.host] = opened.unwrap()
+            channel = self._channels[host.host] = dialed.unwrap()
         reply = channel.call(GetState(host.operator_secret), ANSWER_TIMEOUT_S)
         return getattr(reply.value_or(None), 'state', {})
 
 
 def _has_declarations(state: dict[str, Any]) -> bool:
-    held = state.get('configuration', {})
-    return held.get('configuration_revision', 0) > 0
+    applied = state.get('configuration', {})
+    return applied.get('configuration_revision', 0) > 0
 
 
-def _reachable(state: dict[str, Any]) -> list[str]:
-    pooled = state.get('pooler', {}).get('members', ())
-    return [m['member'] for m in pooled if m['is_reachable']]
+def _reachable_members(state: dict[str, Any]) -> list[str]:
+    pooled_members = state.get('pooler', {}).get('members', ())
+    return [m['member'] for m in pooled_members if m['is_reachable']]
--- a/packages/standins/src/trefoilpulley_standins/experiment/run.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/run.py
@@ -10,7 +10,7 @@
 import psutil
 
 from trefoilpulley_standins.experiment.callers import Callers
-from trefoilpulley_standins.experiment.causes import Causes
+from trefoilpulley_standins.experiment.causes import FaultInjector
 from trefoilpulley_standins.experiment.figures import make_figures
 from trefoilpulley_standins.experiment.figures import Window
 from trefoilpulley_standins.experiment.groups import GroupedProcesses
@@ -27,17 +27,17 @@
     from trefoilpulley_standins.experiment.spec import Experiment
     from trefoilpulley_standins.layout import Layout
 
-OUTPUT = Path('build/experiments')
+RESULTS_DIRECTORY = Path('build/experiments')
 """Default parent directory of the results."""
 
-MEMORY_SHARE = 0.5
+MAX_MEMORY_SHARE = 0.5
 """Share of used memory above which no point is started."""
 
-START_ATTEMPTS = 3
+MAX_START_ATTEMPTS = 3
 """Maximum number of attempts to start a deployment."""
 
 
-class MemoryShort(RuntimeError):
+class InsufficientMemory(RuntimeError):
     """Too much of the machine's memory is in use to start a point."""
 
 
@@ -72,15 +72,17 @@
         )
         _check_memory()
         results.append(
-            _run_point(experiment.at(value), value, directory, report_progress)
+            _run_point(
+                experiment.with_value(value), value, directory, report_progress
+            )
         )
         dump_results(directory / RESULTS_FILE, results)
     return tuple(results)
 
 
 def _check_memory() -> None:
-    if psutil.virtual_memory().percent > MEMORY_SHARE * 100:
-        raise MemoryShort()
+    if psutil.virtual_memory().percent > MAX_MEMORY_SHARE * 100:
+        raise InsufficientMemory()
 
 
 def _run_point(
@@ -102,16 +104,18 @@
         experiment.sweep.path,
         value,
         experiment.seed,
-        make_figures(point.window, point.callers, point.causes.changes),
+        make_figures(
+            point.window, point.callers, point.fault_injector.changes
+        ),
     )
 
 
 def _start(
     experiment: Experiment, directory: Path
 ) -> tuple[Layout, GroupedProcesses]:
-    size = experiment.deployment.to_deployment()
-    for attempts_left in reversed(range(START_ATTEMPTS)):
-        layout = make_layout(size, directory, experiment.seed)
+    deployment = experiment.deployment.to_deployment()
+    for attempts_left in reversed(range(MAX_START_ATTEMPTS)):
+        layout = make_layout(deployment, directory, experiment.seed)
         processes = GroupedProcesses(layout, directory)
         try:
             processes.start()
@@ -143,20 +147,20 @@
         self._experiment = experiment
         self._probe = Probe(layout, processes)
         self.callers = Callers(layout, experiment.load, experiment.seed)
-        self.causes = Causes(layout, processes, report_progress)
+        self.fault_injector = FaultInjector(layout, processes, report_progress)
         self.window: Window
 
     def run(self) -> None:
         try:
             self.callers.start()
             gevent.sleep(self._experiment.settle_s)
-            before = self._probe.sample()
+            before = self._probe.take_sample()
             self.callers.begin_window()
-            self.causes.start(self._experiment)
+            self.fault_injector.start(self._experiment)
             gevent.sleep(self._experiment.window_s)
-            self.window = Window(before, self._probe.sample())
+            self.window = Window(before, self._probe.take_sample())
         finally:
-            self.causes.stop()
+            self.fault_injector.stop()
             self.callers.stop()
             self._probe.close()
 
--- a/packages/standins/src/trefoilpulley_standins/experiment/spec.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/spec.py
@@ -37,7 +37,7 @@
 MAX_RUN_S = 60.0
 """Maximum duration of a point, excluding its startup, in seconds."""
 
-BASE = 'karamanlis'
+BASE_DEPLOYMENT = 'karamanlis'
 """Name of the deployment on which the experiments are based."""
 
 
@@ -88,12 +88,12 @@
     @property
     def members(self) -> int:
         """Number of members in the deployment."""
-        return self.databases * find_deployment(BASE).members
+        return self.databases * find_deployment(BASE_DEPLOYMENT).members
 
     def to_deployment(self) -> Deployment:
         """Return the base deployment scaled to this size."""
         return replace(
-            find_deployment(BASE),
+            find_deployment(BASE_DEPLOYMENT),
             zones=tuple(f'zone-{n}' for n in range(self.zones)),
             hosts=self.hosts,
             databases=self.databases,
@@ -192,12 +192,16 @@
     seed: int = 1
     """Seed of the load and of the links."""
 
-    def at(self, value: float) -> Experiment:
+    def with_value(self, value: float) -> Experiment:
         """Return the experiment with the swept field set to a value."""
         part, _, name = self.sweep.path.partition('.')
-        old = getattr(self, part)
-        whole = int(value) if isinstance(getattr(old, name), int) else value
-        return replace(self, **{part: replace(old, **{name: whole})})
+        old_part = getattr(self, part)
+        typed_value = (
+            int(value) if isinstance(getattr(old_part, name), int) else value
+        )
+        return replace(
+            self, **{part: replace(old_part, **{name: typed_value})}
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -223,7 +227,7 @@
     """Validate the JSON document of an experiment."""
     try:
         found = _CONVERTER.structure(document, Experiment)
-        points = [found.at(v) for v in found.sweep.values]
+        points = [found.with_value(v) for v in found.sweep.values]
     except ClassValidationError as exc:
         faults = tuple(transform_error(exc, path='$'))
         return Failed(
@@ -257,8 +261,8 @@
             [p.settle_s + p.window_s for p in points],
         ),
     )
-    over = [b for b in bounds if max(b.values, default=0) > b.most]
-    faults = [f'$: {b.path} is over the limit of {b.most:g}' for b in over]
+    exceeded = [b for b in bounds if max(b.values, default=0) > b.most]
+    faults = [f'$: {b.path} is over the limit of {b.most:g}' for b in exceeded]
     if not points:
         faults.append('$.sweep.values: is empty')
     return faults
--- a/packages/standins/src/trefoilpulley_standins/measure/gather.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/gather.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from trefoilpulley_standins.experiment.result import load_results
-from trefoilpulley_standins.experiment.run import OUTPUT
+from trefoilpulley_standins.experiment.run import RESULTS_DIRECTORY
 from trefoilpulley_standins.measure.lines import LINES
 from trefoilpulley_standins.measure.overhead import OUTPUT as OVERHEAD
 from trefoilpulley_standins.measure.slopes import fit_slope
@@ -47,7 +47,7 @@
         results = [
             result
             for name in line.experiments
-            for result in load_results(OUTPUT / name)
+            for result in load_results(RESULTS_DIRECTORY / name)
         ]
         files = ' '.join(
             f'{EXPERIMENT_COMMAND}/{n}.json' for n in line.experiments
--- a/packages/standins/src/trefoilpulley_standins/measure/overhead.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/overhead.py
@@ -17,7 +17,7 @@
 from trefoilpulley_core.caller import Execute
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.upstream import Statement
-from trefoilpulley_standins.experiment.callers import open_caller
+from trefoilpulley_standins.experiment.callers import open_caller_channel
 from trefoilpulley_standins.experiment.callers import READ_CLASS
 from trefoilpulley_standins.experiment.callers import READ_SQL
 from trefoilpulley_standins.experiment.groups import GroupedProcesses
@@ -150,7 +150,7 @@
 def _measure_latency(layout: Layout) -> tuple[HdrHistogram, HdrHistogram]:
     member = layout.databases[0].members[0]
     direct = dial(member.endpoint, MEMBER_CODEC).unwrap()
-    caller = open_caller(layout, 0)
+    caller = open_caller_channel(layout, 0)
     alone = HdrHistogram(1, _LONGEST_US, 3)
     through = HdrHistogram(1, _LONGEST_US, 3)
     for number in range(WARM_UP + PAIRS):
@@ -173,7 +173,7 @@
 
 
 def _measure_throughput(layout: Layout, host: psutil.Process) -> _FullLoad:
-    callers = [open_caller(layout, n) for n in range(CALLERS)]
+    callers = [open_caller_channel(layout, n) for n in range(CALLERS)]
     load = _FullLoad()
 
     def run(caller: Channel) -> None:
@@ -201,7 +201,7 @@
     layout: Layout, host: psutil.Process
 ) -> tuple[float, float]:
     before = host.memory_info().rss, _cpu_s(host)
-    callers = [open_caller(layout, n) for n in range(IDLE_CALLERS)]
+    callers = [open_caller_channel(layout, n) for n in range(IDLE_CALLERS)]
     gevent.sleep(1.0)
     after = host.memory_info().rss, _cpu_s(host)
     for caller in callers:
