--- a/packages/standins/src/trefoilpulley_standins/figures/__init__.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/__init__.py
@@ -1,1 +1,1 @@
-"""Figures of failover, return, reads and configuration, in whole runs."""
+"""Measurements of failover, failback, reads and configuration changes."""
--- a/packages/standins/src/trefoilpulley_standins/figures/__main__.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/__main__.py
@@ -1,4 +1,4 @@
-"""Command that makes the figures of whole runs."""
+"""Command line of the measurements of whole runs."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 monkey.patch_all()
 
-# The patch must come before every other import.
+# gevent must patch the standard library before any other import.
 from pathlib import Path  # noqa: E402
 
 import click  # noqa: E402
@@ -22,17 +22,17 @@
 from trefoilpulley_standins.figures.table import render_table  # noqa: E402
 
 RESULT = Path('build/measure/figures.json')
-"""File of the results."""
+"""File of the samples of all runs."""
 
 RUNS = Path('build/figures')
-"""Directory of the runs' settings files, logs and journals."""
+"""Directory of the settings files, logs and journals of the runs."""
 
 _NAMES = [d.name for d in DEPLOYMENTS]
 
 
 @click.group()
 def main() -> None:
-    """Make the figures of failover, return, reads and configuration."""
+    """Measure failover, failback, reads and configuration changes."""
 
 
 @main.command()
@@ -58,7 +58,7 @@
     first_seed: int,
     seeds: int,
 ) -> None:
-    """Run parts; the results of other runs are kept."""
+    """Run parts and replace their earlier samples; keep all others."""
     for seed in range(first_seed, first_seed + seeds):
         for deployment in deployments:
             for part in parts:
@@ -78,10 +78,10 @@
     '--most-stolen',
     default=1.0,
     show_default=True,
-    help="Share of the processors' time above which a run is left out.",
+    help='Maximum share of stolen CPU time; other runs are excluded.',
 )
 def table(most_stolen: float) -> None:
-    """Print the table of the results."""
+    """Print a table of the samples and their targets."""
     found = load_samples(RESULT)
     samples = tuple(s for s in found if s.stolen <= most_stolen)
     for line in render_table(samples):
--- a/packages/standins/src/trefoilpulley_standins/figures/classes.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/classes.py
@@ -1,4 +1,4 @@
-"""Classes of work against their targets in a time of a run."""
+"""Promptness of the classes of work during a phase of a run."""
 
 from __future__ import annotations
 
@@ -14,7 +14,24 @@
 def judge_classes(
     scene: Scene, phase: str, began_s: float, ended_s: float
 ) -> Iterator[Finding]:
-    """Give the share in time of each class for requests sent in a time."""
+    """Yield the share of prompt answers of each class during a phase.
+
+    Parameters
+    ----------
+    scene : Scene
+        Run to evaluate.
+    phase : str
+        Name of the phase in the figures.
+    began_s : float
+        Start of the phase, in seconds since the start of the load.
+    ended_s : float
+        End of the phase, in seconds since the start of the load.
+
+    Yields
+    ------
+    Finding
+        Share of each class that had requests sent during the phase.
+    """
     sent = [e for e in scene.journal.entries if began_s <= e.began_s < ended_s]
     found = scene.make_checker(sent).class_reports()
     for name, done in found.items():
--- a/packages/standins/src/trefoilpulley_standins/figures/failover.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/failover.py
@@ -1,4 +1,4 @@
-"""Failover by a cut, a death and a pause, and the return after each."""
+"""Failover after a partition, a kill and a pause, and each failback."""
 
 from __future__ import annotations
 
@@ -28,54 +28,54 @@
     from trefoilpulley_standins.figures.scene import Scene
 
 OUTAGE_AT_S = 2.0
-"""Time at which the service goes out, where the part wants it."""
+"""Time at which the service goes down, if it does, in seconds."""
 
 CUT_AT_S = 3.0
-"""Time at which the third database's home zone is cut off."""
+"""Time at which the third database's home zone is partitioned."""
 
 HEAL_AT_S = 10.0
-"""Time at which the cut ends."""
+"""Time at which the partition ends, in seconds."""
 
 KILL_AT_S = 11.5
-"""Time of the death of the first database's home primary."""
+"""Time at which the first database's home primary is killed."""
 
 PAUSE_AT_S = 12.0
 """Time at which the second database's home primary is paused."""
 
 RESTART_AT_S = 19.0
-"""Time at which both are there again, and the service is back."""
+"""Time at which both primaries and the service are up again."""
 
 FAILBACK_TIMEOUT_S = 16.0
-"""Longest wait for every database's return home, in seconds."""
+"""Time limit for the failback of all databases, in seconds."""
 
 AROUND_RETURN_S = 1.0
-"""Time before and after a return that counts with it, in seconds."""
+"""Time before and after a failback that belongs to it, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Fault of a primary."""
+    """Fault injected at a primary."""
 
     name: str
-    """Name in the figures."""
+    """Name of the fault in the figures."""
 
     database: DatabaseEntry
-    """Database that loses its primary."""
+    """Database whose primary fails."""
 
     at_s: float
-    """Time of the fault."""
+    """Time of the fault, in seconds."""
 
     ended_s: float
-    """Time at which the fault was mended."""
+    """Time at which the fault ended, in seconds."""
 
 
 class Failover(Part):
-    """Three faults in one run, each on a database of its own.
+    """Three faults in one run, each at the primary of another database.
 
     Parameters
     ----------
     is_service_out : bool
-        Whether the platform's service is out from before the faults.
+        Whether the platform service is down during the faults.
     """
 
     def __init__(self, is_service_out: bool) -> None:
@@ -84,11 +84,11 @@
         self._service = 'service out' if is_service_out else 'service up'
 
     def make_load(self, deployment: Deployment) -> tuple[Step, ...]:
-        """Return the recorded workload and steady writers."""
+        """Return the recorded workload and write-only sessions."""
         return make_fault_load(deployment)
 
     def run(self, scene: Scene) -> Iterator[Finding]:
-        """Cut, kill and pause; await the returns; judge."""
+        """Inject the faults, await all failbacks and yield the figures."""
         faults = self._do_faults(scene)
         scene.wait(
             lambda: scene.is_home(scene.layout.databases), FAILBACK_TIMEOUT_S
--- a/packages/standins/src/trefoilpulley_standins/figures/gaps.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/gaps.py
@@ -1,4 +1,4 @@
-"""Times without acknowledged writes at a change of the primary."""
+"""Gaps without acknowledged writes at changes of the primary."""
 
 from __future__ import annotations
 
@@ -17,51 +17,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Change of the member that acknowledges a database's writes."""
+    """Change of the member that acknowledges the writes of a database."""
 
     database: str
-    """Database."""
+    """Name of the database."""
 
     source: str
-    """Member that acknowledged writes before."""
+    """Member that acknowledged writes before the change."""
 
     target: str
-    """Member that acknowledges them now."""
+    """Member that acknowledged writes after the change."""
 
     last_s: float
-    """Time of the last acknowledgement by the source, in seconds."""
+    """Time of the last acknowledgment by the source, in seconds."""
 
     first_s: float
-    """Time of the first acknowledgement by the target, in seconds."""
+    """Time of the first acknowledgment by the target, in seconds."""
 
     @property
     def gap_s(self) -> float:
-        """Time without an acknowledgement, in seconds."""
+        """Duration of the gap without an acknowledgment, in seconds."""
         return self.first_s - self.last_s
 
 
 @dataclass(frozen=True, slots=True)
 class GapParts:
-    """What the gap of a failover is made of, in seconds."""
+    """Phases of the gap of a failover, in seconds."""
 
     silence_s: float
-    """From the last acknowledgement to the fault."""
+    """Time from the last acknowledgment to the fault."""
 
     detection_s: float
-    """From the fault to the begin of the promotion; the claim is in it."""
+    """Time from the fault to the start of the promotion, with the claim."""
 
     promotion_s: float
-    """From there to the new primary; fence and election are in it."""
+    """Duration of the promotion, including fencing and election."""
 
     service_s: float
-    """From there to the first acknowledgement: connect, queue, write."""
+    """Time from the promotion's end to the first acknowledgment.
+
+    This phase includes connecting, queueing and the write.
+    """
 
 
 def find_changes(entries: Iterable[Entry]) -> tuple[Change, ...]:
-    """Return the changes of primary that callers' writes have seen.
+    """Return the changes of primary that are visible in callers' writes.
 
-    A late answer of the old primary does not count as a change back: only
-    a member that was sent the write after the last change counts.
+    A late answer from the old primary does not count as a change back: a
+    write counts only if the caller sent it after the latest change.
     """
     latest: dict[str, Entry] = {}
     changes: list[Change] = []
@@ -80,7 +83,7 @@
 def find_failover(
     changes: Iterable[Change], database: str, fault_s: float
 ) -> Change | None:
-    """Return the first change of a database after a fault."""
+    """Return the first change of a database's primary after a fault."""
     return next(
         (c for c in changes if c.database == database and c.first_s > fault_s),
         None,
@@ -90,7 +93,7 @@
 def find_return(
     changes: Iterable[Change], database: str, home: str, since_s: float
 ) -> Change | None:
-    """Return the first change of a database to its home primary."""
+    """Return the first change to a database's home primary after a time."""
     return next(
         (
             c
@@ -106,7 +109,7 @@
 def split_gap(
     change: Change, fault_s: float, promotions: Iterable[Promotion]
 ) -> GapParts | None:
-    """Return what a gap is made of; None without its promotion."""
+    """Return the phases of a gap; ``None`` if its promotion is not logged."""
     found = next(
         (
             p
--- a/packages/standins/src/trefoilpulley_standins/figures/load.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/load.py
@@ -1,4 +1,4 @@
-"""Load of the runs."""
+"""Workloads of the measured runs."""
 
 from __future__ import annotations
 
@@ -14,50 +14,50 @@
 from trefoilpulley_standins.deployment import Deployment
 
 WRITERS = 12
-"""Sessions for each database that only write."""
+"""Number of write-only sessions per database."""
 
 WRITE_INTERVAL_MS = 720
-"""Time between two writes of such a session, in milliseconds."""
+"""Interval between writes of a write-only session, in milliseconds."""
 
 READERS = 8
-"""Sessions for each database and kind that show where reads go."""
+"""Number of reading sessions per database and class of reads."""
 
 ROUND_MS = 1200
-"""Time of a round of reads in milliseconds."""
+"""Duration of a round of reads, in milliseconds."""
 
 READS_AT_MS = (100, 400, 800)
-"""Times of the reads in a round, in milliseconds; the write is at 0."""
+"""Times of the reads in a round, in milliseconds; any write is at 0."""
 
 DURATION_MS = 60_000
-"""Longest load in milliseconds."""
+"""Maximum duration of the load, in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadClasses:
-    """Classes of the reads."""
+    """Classes of work of the reads in a deployment."""
 
     session: str
-    """Class that wants its session's writes."""
+    """Class that requires the writes of its own session."""
 
     aged: str
-    """Class that states an age."""
+    """Class that allows a maximum age."""
 
 
 READ_CLASSES = {
     'karamanlis': ReadClasses('order-status', 'lookup'),
     'sleevecraft': ReadClasses('order-status', 'catalogue-lookup'),
 }
-"""Classes of the reads by deployment."""
+"""Classes of work of the reads by name of the deployment."""
 
 
 def make_fault_load(deployment: Deployment) -> tuple[Step, ...]:
-    """Return the recorded workload and steady writers beside it."""
+    """Return the recorded workload and additional write-only sessions."""
     recorded = load_workload(recording_path(deployment.name))
     return (*recorded, *_make_writers(deployment))
 
 
 def make_read_load(deployment: Deployment) -> tuple[Step, ...]:
-    """Return sessions that write and read, and others that only read."""
+    """Return the steps of sessions that write and read or only read."""
     classes = READ_CLASSES[deployment.name]
     return (
         *_make_rounds(deployment, 0, classes.session),
--- a/packages/standins/src/trefoilpulley_standins/figures/marks.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/marks.py
@@ -1,4 +1,4 @@
-"""Times in the hosts' logs."""
+"""Times of promotions and documents, read from the hosts' logs."""
 
 from __future__ import annotations
 
@@ -17,50 +17,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Promotion:
-    """Promotion of a member, in seconds since the start of the load."""
+    """Promotion of a member; times count from the start of the load."""
 
     database: str
-    """Database."""
+    """Name of the database."""
 
     primary: str
-    """Member that was promoted."""
+    """Name of the promoted member."""
 
     reason: str
-    """Why the promotion began."""
+    """Reason for the promotion."""
 
     began_s: float
-    """Time at which it began."""
+    """Start of the promotion, in seconds."""
 
     promoted_s: float
-    """Time at which the member led."""
+    """Time at which the member became primary, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """Document that a host has put in force."""
+    """Document that a host applied."""
 
     host: str
     """Name of the host."""
 
     kind: str
-    """Kind of the document."""
+    """Kind of the document, such as ``configuration``."""
 
     revision: int
-    """Revision."""
+    """Revision of the document."""
 
     at_s: float
-    """Time, in seconds since the start of the load."""
+    """Time of applying, in seconds since the start of the load."""
 
 
 class HostLogs:
-    """Logs of the hosts of a run.
+    """Log files of the hosts of a run.
 
     Parameters
     ----------
     directory : Path
-        Directory of the logs.
+        Directory of the log files.
     started_at : float
-        Time of day of the load's start, in seconds.
+        Unix time of the start of the load, in seconds.
     """
 
     def __init__(self, directory: Path, started_at: float) -> None:
@@ -68,12 +68,12 @@
         self._started_at = started_at
 
     def promotions(self) -> tuple[Promotion, ...]:
-        """Return the promotions in the order of their ends."""
+        """Return the completed promotions in the order of completion."""
         found = [p for path in self._paths for p in self._promotions_in(path)]
         return tuple(sorted(found, key=lambda p: p.promoted_s))
 
     def documents(self) -> tuple[InForce, ...]:
-        """Return when each host put which document in force."""
+        """Return the documents that each host applied."""
         return tuple(
             InForce(
                 path.stem, line['kind'], line['revision'], self._time_of(line)
--- a/packages/standins/src/trefoilpulley_standins/figures/part.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/part.py
@@ -1,4 +1,4 @@
-"""Parts of the figures: what a run does and what it finds."""
+"""Interface of the parts, each of which measures certain figures."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """Value of a figure."""
+    """Value of a figure measured in a run."""
 
     figure: str
     """Name of the figure."""
 
     value: float | None
-    """Value; None where the event did not come in time."""
+    """Measured value; ``None`` if the event did not occur in time."""
 
     count: int = 1
-    """Requests that the value rests on."""
+    """Number of requests on which the value is based."""
 
 
 class Part(abc.ABC):
-    """One run of a deployment."""
+    """Procedure that runs a deployment and measures figures."""
 
     name: str
-    """Name of the part."""
+    """Name of the part, as given on the command line."""
 
     def adapt(self, layout: Layout) -> Layout:
-        """Return the layout that the part starts."""
+        """Return the layout with the changes that the part requires."""
         return layout
 
     @abc.abstractmethod
     def make_load(self, deployment: Deployment) -> tuple[Step, ...]:
-        """Return the steps of the sessions."""
+        """Return the steps of the sessions that generate the load."""
 
     @abc.abstractmethod
     def run(self, scene: Scene) -> Iterator[Finding]:
-        """Do to the deployment what the part is for, and judge it."""
+        """Exercise the deployment under load and yield the figures."""
--- a/packages/standins/src/trefoilpulley_standins/figures/planned.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/planned.py
@@ -1,4 +1,4 @@
-"""Configuration, planned stop, its return, and leaving upstreams."""
+"""Configuration changes, a planned stop and leaving upstreams."""
 
 from __future__ import annotations
 
@@ -27,49 +27,49 @@
     from trefoilpulley_standins.figures.scene import Scene
 
 FIRST_CHANGE_AT_S = 2.0
-"""Time of the first change of configuration, in seconds."""
+"""Time of the first configuration change, in seconds."""
 
 CHANGES = 6
-"""Changes of configuration before the planned stop."""
+"""Number of configuration changes before the planned stop."""
 
 CHANGE_INTERVAL_S = 0.7
-"""Time between two changes, in seconds."""
+"""Interval between two configuration changes, in seconds."""
 
 MOVE_TIMEOUT_S = 10.0
-"""Longest wait for a primary to move, in seconds."""
+"""Time limit for the primary to move away, in seconds."""
 
 FAILBACK_TIMEOUT_S = 28.0
-"""Longest wait for the return after a stop, in seconds."""
+"""Time limit for the failback after the stop, in seconds."""
 
 SETTLE_TIME_S = 1.0
-"""Time that counts with a move after it, in seconds."""
+"""Time after a move that belongs to it, in seconds."""
 
 LEAVING_S = 4.0
-"""Time for which the work at leaving upstreams is watched, in seconds."""
+"""Time for which work at leaving upstreams is observed, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Revision:
-    """Change of configuration."""
+    """Configuration revision written during the run."""
 
     number: int
-    """Revision."""
+    """Number of the revision."""
 
     at_s: float
-    """Time at which it was written."""
+    """Time at which the revision was written, in seconds."""
 
 
 class Planned(Part):
-    """Changes, a planned stop of a zone, and two leaving upstreams."""
+    """Configuration changes, a planned stop and two leaving upstreams."""
 
     name = 'planned'
 
     def make_load(self, deployment: Deployment) -> tuple[Step, ...]:
-        """Return the recorded workload and steady writers."""
+        """Return the recorded workload and write-only sessions."""
         return make_fault_load(deployment)
 
     def run(self, scene: Scene) -> Iterator[Finding]:
-        """Change, stop, resume, and let upstreams leave; judge."""
+        """Make the planned changes and yield the figures of each."""
         changed = self._change_often(scene)
         stopped = scene.layout.databases[1]
         began_s = self._stop_zone(scene, stopped)
--- a/packages/standins/src/trefoilpulley_standins/figures/reads.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/reads.py
@@ -1,4 +1,4 @@
-"""Share of the reads at replicas by lag and policy."""
+"""Share of reads served by replicas, by lag and routing policy."""
 
 from __future__ import annotations
 
@@ -27,31 +27,31 @@
 """Replication lags in milliseconds."""
 
 WARM_S = 1.2
-"""Time after a change of the lag that does not count, in seconds."""
+"""Time excluded after each change of the lag, in seconds."""
 
 WINDOW_S = 4.0
-"""Time in which reads count at each lag, in seconds."""
+"""Duration of the measurement at each lag, in seconds."""
 
 QUEUES = {'targets': 'deadline', 'thin': 'fifo', 'plain': 'fifo'}
-"""Slot queue of each routing policy."""
+"""Type of slot queue used with each routing policy."""
 
 
 @dataclass(frozen=True, slots=True)
 class LagWindow:
-    """Time at one lag."""
+    """Time span in which reads are measured at one lag."""
 
     lag_ms: float
-    """Lag in milliseconds."""
+    """Replication lag in milliseconds."""
 
     began_s: float
-    """Begin."""
+    """Start of the time span, in seconds since the start of the load."""
 
     ended_s: float
-    """End."""
+    """End of the time span, in seconds since the start of the load."""
 
 
 class Reads(Part):
-    """Reads at each lag under one policy.
+    """Reads at several replication lags under one routing policy.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
         self._policy = policy
 
     def adapt(self, layout: Layout) -> Layout:
-        """Set the policy of every host."""
+        """Return the layout with the routing policy set on every host."""
         hosts = tuple(
             replace(h, routing=self._policy, slots=QUEUES[self._policy])
             for h in layout.hosts
@@ -72,11 +72,11 @@
         return replace(layout, hosts=hosts)
 
     def make_load(self, deployment: Deployment) -> tuple[Step, ...]:
-        """Return sessions that write and read, and others that read."""
+        """Return the steps of sessions that write and read or only read."""
         return make_read_load(deployment)
 
     def run(self, scene: Scene) -> Iterator[Finding]:
-        """Read at each lag; judge."""
+        """Measure the reads at each lag and yield the figures."""
         windows = [self._read_at(scene, lag_ms) for lag_ms in LAGS_MS]
         _set_lag(scene, LAGS_MS[0])
         checker = scene.end_load()
--- a/packages/standins/src/trefoilpulley_standins/figures/run.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/run.py
@@ -1,4 +1,4 @@
-"""Runs of the parts."""
+"""Runs the parts and records samples of their figures."""
 
 from __future__ import annotations
 
@@ -31,11 +31,24 @@
     Reads('thin'),
     Reads('plain'),
 )
-"""Parts in the order of their runs."""
+"""All parts, in the default order of their runs."""
 
 
 def run_part(key: RunKey, directory: Path) -> tuple[Sample, ...]:
-    """Start a deployment, run one part, and return its values."""
+    """Start a deployment, run one part and return its samples.
+
+    Parameters
+    ----------
+    key : RunKey
+        Deployment, part and seed of the run.
+    directory : Path
+        Directory of the settings files, logs and journal.
+
+    Returns
+    -------
+    tuple[Sample, ...]
+        Samples of all figures of the part, and of the longest stall.
+    """
     part = next(p for p in PARTS if p.name == key.part)
     deployment = find_deployment(key.deployment)
     layout = part.adapt(make_layout(deployment, directory, key.seed))
--- a/packages/standins/src/trefoilpulley_standins/figures/sample.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/sample.py
@@ -1,4 +1,4 @@
-"""Values of the figures, one for each run."""
+"""Samples of the figures, stored in a JSON file."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RunKey:
-    """Run that a value is from."""
+    """Identity of a run."""
 
     deployment: str
     """Name of the deployment."""
 
     part: str
-    """Part of the figures that ran."""
+    """Name of the part that ran."""
 
     seed: int
     """Seed of the run."""
@@ -31,29 +31,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Value of a figure in one run."""
+    """Value of a figure in one run, with the machine's load."""
 
     run: RunKey
-    """Run."""
+    """Run in which the value was measured."""
 
     figure: str
     """Name of the figure."""
 
     value: float | None
-    """Value; None where the event did not come in time."""
+    """Measured value; ``None`` if the event did not occur in time."""
 
     count: int = 1
-    """Requests that the value rests on."""
+    """Number of requests on which the value is based."""
 
     load: float = 0.0
-    """Load average of the machine at the run's end, over one minute."""
+    """One-minute load average of the machine at the end of the run."""
 
     stolen: float = 0.0
-    """Share of the processors' time that the machine did not get."""
+    """Share of CPU time that the hypervisor withheld from the machine."""
 
 
 def load_samples(path: Path) -> tuple[Sample, ...]:
-    """Read the samples of earlier runs; none without a file."""
+    """Load the samples of earlier runs; empty if there is no file."""
     if not path.exists():
         return ()
     document = json.loads(path.read_text(encoding='utf-8'))
@@ -61,7 +61,7 @@
 
 
 def dump_samples(path: Path, samples: Iterable[Sample]) -> None:
-    """Write samples."""
+    """Write samples to a JSON file, creating its directory."""
     path.parent.mkdir(parents=True, exist_ok=True)
     document = _CONVERTER.unstructure(list(samples))
     path.write_text(json.dumps(document, indent=1) + '\n', encoding='utf-8')
@@ -70,5 +70,5 @@
 def replace_run(
     samples: Iterable[Sample], key: RunKey, found: Iterable[Sample]
 ) -> tuple[Sample, ...]:
-    """Return the samples with those of one run made anew."""
+    """Return the samples with those of one run replaced."""
     return (*(s for s in samples if s.run != key), *found)
--- a/packages/standins/src/trefoilpulley_standins/figures/scene.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/scene.py
@@ -1,4 +1,4 @@
-"""A deployment under load, with what a run does to it."""
+"""Running deployment under load, as the parts use it."""
 
 from __future__ import annotations
 
@@ -36,28 +36,28 @@
     from trefoilpulley_standins.processes import Processes
 
 READY_TIMEOUT_S = 15.0
-"""Longest wait for every host to hold the declarations, in seconds."""
+"""Time limit for all hosts to apply the declarations, in seconds."""
 
 CALLERS_TIMEOUT_S = 12.0
-"""Longest wait for the callers after the load, in seconds."""
+"""Time limit for callers to finish after the load, in seconds."""
 
 CATCH_UP_TIMEOUT_S = 10.0
-"""Longest wait for the replicas at the end, in seconds."""
+"""Time limit for replicas to catch up at the end, in seconds."""
 
 _POLL_INTERVAL_S = 0.05
 
 
 class Scene:
-    """Deployment that runs, its callers and the ways to its parts.
+    """Running deployment with its load and the clients to control it.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     processes : Processes
-        Its processes.
+        Processes of the deployment.
     directory : Path
-        Directory of the settings files and logs.
+        Directory of the settings files, logs and journal.
     seed : int
         Seed of the callers.
     """
@@ -70,16 +70,16 @@
         seed: int,
     ) -> None:
         self.layout = layout
-        """Deployment."""
+        """Layout of the running deployment."""
 
         self.processes = processes
-        """Its processes."""
+        """Processes of the deployment."""
 
         self.control = ControlClient(layout)
-        """Way to the service and the links."""
+        """Control client of the service and the links."""
 
         self.observer = Observer(layout)
-        """Way to the members."""
+        """Direct access to the members."""
 
         self._directory = directory
         self._seed = seed
@@ -87,7 +87,7 @@
         self._is_over = False
 
     def begin_load(self, steps: Iterable[Step]) -> None:
-        """Wait for the hosts, then let the sessions take their steps."""
+        """Wait until all hosts are ready, then start the sessions."""
         with gevent.Timeout(READY_TIMEOUT_S):
             while not self._is_ready():
                 gevent.sleep(_POLL_INTERVAL_S)
@@ -101,7 +101,10 @@
         ]
 
     def end_load(self) -> Checker:
-        """End the load and return the judge of the run."""
+        """Stop the load, write the journal and return a checker of the run.
+
+        Waits until the replicas have caught up with their primaries.
+        """
         self._is_over = True
         gevent.joinall(self._callers, timeout=CALLERS_TIMEOUT_S)
         gevent.killall(self._callers)
@@ -112,24 +115,24 @@
     def make_checker(
         self, entries: Iterable, members: tuple[MemberRows, ...] = ()
     ) -> Checker:
-        """Return a judge of some entries."""
+        """Return a checker of the given journal entries."""
         declarations = load_declarations(self.layout.deployment)
         return Checker(entries, members, declarations)
 
     @property
     def home_rows(self) -> tuple[MemberRows, ...]:
-        """The home primaries, without rows."""
+        """Home primaries of all databases, without rows."""
         return tuple(
             MemberRows(d.name, d.members[0].name, ())
             for d in self.layout.databases
         )
 
     def logs(self) -> HostLogs:
-        """Return the hosts' logs."""
+        """Return the log files of the hosts."""
         return HostLogs(self._directory, self._started_at)
 
     def keep_states(self, when: str) -> None:
-        """Write the state of each host into the run's directory."""
+        """Write the state dump of each host to the directory of the run."""
         for route in self.layout.routes:
             state = self.control.state_of(route.endpoint)
             path = self._directory / f'state-{when}-{route.host}.json'
@@ -137,7 +140,7 @@
             path.write_text(text, encoding='utf-8')
 
     def wait(self, check: Callable[[], bool], timeout_s: float) -> bool:
-        """Wait for a check to hold; return whether it did in time."""
+        """Wait until a check succeeds; return whether it did in time."""
         deadline = self.journal.now_s + timeout_s
         while not check():
             if self.journal.now_s > deadline:
@@ -146,7 +149,10 @@
         return True
 
     def leader_of(self, database: DatabaseEntry) -> str:
-        """Return the member that acknowledged the latest write."""
+        """Return the member that acknowledged the database's latest write.
+
+        Returns an empty string before the first acknowledged write.
+        """
         for entry in reversed(self.journal.entries):
             if entry.kind is StepKind.READ or not entry.member:
                 continue
@@ -156,7 +162,7 @@
         return ''
 
     def is_home(self, databases: Iterable[DatabaseEntry]) -> bool:
-        """Return whether each database's writes are at its home primary."""
+        """Return whether all databases are written at their home primaries."""
         return all(self.leader_of(d) == d.members[0].name for d in databases)
 
     def _is_ready(self) -> bool:
@@ -186,7 +192,7 @@
 
 @contextmanager
 def open_scene(layout: Layout, directory: Path, seed: int) -> Iterator[Scene]:
-    """Start a deployment; end it in any case."""
+    """Start a deployment, and stop it when the context ends."""
     processes = start_deployment(layout, directory)
     scene = Scene(layout, processes, directory, seed)
     try:
--- a/packages/standins/src/trefoilpulley_standins/figures/stalls.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/stalls.py
@@ -1,4 +1,4 @@
-"""Stalls of the measuring process, which blur every time it takes."""
+"""Detection of stalls in the measuring process, which distort times."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 import gevent
 
 TICK_S = 0.02
-"""Time between two looks at the clock, in seconds."""
+"""Interval between two checks of the clock, in seconds."""
 
 
 class StallWatch:
-    """Keeps the longest time for which this process did not run."""
+    """Records the longest time for which this process did not run."""
 
     def __init__(self) -> None:
         self.longest_s = 0.0
-        """Longest stall in seconds."""
+        """Duration of the longest stall, in seconds."""
 
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the watch."""
+        """Stop checking the clock."""
         self._greenlet.kill()
 
     def _run(self) -> None:
--- a/packages/standins/src/trefoilpulley_standins/figures/table.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/table.py
@@ -1,4 +1,4 @@
-"""Table of the figures."""
+"""Markdown table of the figures and their targets."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     'requests',
     'met',
 )
-"""Columns of the table."""
+"""Headers of the table's columns."""
 
 
 def render_table(samples: Iterable[Sample]) -> Iterator[str]:
-    """Give the lines of the table."""
+    """Yield the lines of the table."""
     rows: dict[tuple[str, str], list[Sample]] = defaultdict(list)
     for sample in samples:
         rows[sample.run.deployment, sample.figure].append(sample)
@@ -41,7 +41,7 @@
 
 
 def describe_load(samples: tuple[Sample, ...]) -> str:
-    """Return how loaded the machine was."""
+    """Return a description of the machine's load during the runs."""
     loads = sorted(s.load for s in samples)
     stolen = sorted(s.stolen for s in samples)
     seeds = sorted({s.run.seed for s in samples})
--- a/packages/standins/src/trefoilpulley_standins/figures/targets.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/targets.py
@@ -1,4 +1,4 @@
-"""Targets of the figures."""
+"""Targets that the figures must meet."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Bound of a figure."""
+    """Bounds of the values of a figure."""
 
     figure: str
-    """First part of the figure's name."""
+    """Prefix of the figure's name."""
 
     worst: float
-    """Bound of the worst value."""
+    """Bound for the worst value."""
 
     median: float | None = None
-    """Bound of the median, where there is one."""
+    """Bound for the median; ``None`` if there is none."""
 
     is_floor: bool = False
-    """Whether values must not be below it; otherwise not above it."""
+    """Whether the bounds are minimums; otherwise they are maximums."""
 
     def worst_of(self, values: list[float]) -> float:
-        """Return the worst value."""
+        """Return the value that is worst for this target."""
         return min(values) if self.is_floor else max(values)
 
     def is_met(self, values: list[float | None]) -> bool:
-        """Return whether values meet the target."""
+        """Return whether the values meet the target; ``None`` never does."""
         if any(v is None for v in values):
             return False
         return self._holds(self.worst_of(values), self.worst) and (
@@ -48,7 +48,7 @@
         return operator.ge if self.is_floor else operator.le
 
     def __str__(self) -> str:
-        """Return the target as the table shows it."""
+        """Return the text of the target for the table."""
         sign = '≥' if self.is_floor else '≤'
         worst = f'{sign} {self.worst:g}'
         if self.median is None:
@@ -86,11 +86,11 @@
     Target('configuration in force s', 2.0),
     Target('leaving', 2.0),
 )
-"""Targets; the first whose name begins a figure's name holds."""
+"""Targets; the first one with a matching prefix applies to a figure."""
 
 
 def find_target(deployment: str, figure: str) -> Target | None:
-    """Return the target of a figure; None where it has none."""
+    """Return the target of a figure; ``None`` if it has no target."""
     if figure.startswith('in time, '):
         return _target_of_class(deployment, figure)
     return next((t for t in TARGETS if figure.startswith(t.figure)), None)
--- a/packages/standins/src/trefoilpulley_standins/figures/violations.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/violations.py
@@ -1,4 +1,4 @@
-"""Counts that must be 0 after each run."""
+"""Counts of violated guarantees, which must be 0 after each run."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def count_violations(checker: Checker, when: str) -> Iterator[Finding]:
-    """Give the counts of a run."""
+    """Yield the count of each kind of violation in a run."""
     yield Finding(f'lost, {when}', checker.count_lost())
     yield Finding(f'doubled, {when}', checker.count_doubled())
     yield Finding(f'mixed, {when}', checker.count_mixed())
