--- a/features/steps/standins_figures_steps.py
+++ b/features/steps/standins_figures_steps.py
@@ -11,9 +11,9 @@
 from trefoilpulley_standins.demo.journal import Entry
 from trefoilpulley_standins.demo.journal import Verdict
 from trefoilpulley_standins.demo.workload import StepKind
-from trefoilpulley_standins.figures.gaps import find_changes
+from trefoilpulley_standins.figures.gaps import find_failback
 from trefoilpulley_standins.figures.gaps import find_failover
-from trefoilpulley_standins.figures.gaps import find_return
+from trefoilpulley_standins.figures.gaps import find_primary_changes
 from trefoilpulley_standins.figures.gaps import split_gap
 from trefoilpulley_standins.figures.marks import Promotion
 from trefoilpulley_standins.figures.targets import find_target
@@ -60,7 +60,7 @@
     @when('the figures changes are sought')
     def seek(context: Any) -> None:
         """Find the changes of primary."""
-        context.changes = find_changes(context.entries)
+        context.changes = find_primary_changes(context.entries)
 
     @staticmethod
     @then('the figures failover of {name} after {at:g} takes {gap:g} s')
@@ -83,7 +83,7 @@
         context: Any, name: str, home: str, at: float, gap: float
     ) -> None:
         """Check the gap at a return."""
-        found = find_return(context.changes, name, home, at)
+        found = find_failback(context.changes, name, home, at)
         assert round(found.gap_s, 3) == gap, found
 
     @staticmethod
--- a/packages/standins/src/trefoilpulley_standins/demo/checker.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/checker.py
@@ -147,8 +147,8 @@
         These are answers that belong to another request, and requests for
         another tenant's database that were not refused as unauthorized.
         """
-        crossed = sum(not e.is_own_answer for e in self._answered_reads())
-        return crossed + self._count_not_denied()
+        misrouted = sum(not e.is_own_answer for e in self._answered_reads())
+        return misrouted + self._count_not_denied()
 
     def count_ryw_violations(self) -> int:
         """Count reads that miss an earlier write of their own session."""
--- a/packages/standins/src/trefoilpulley_standins/demo/run.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/run.py
@@ -113,20 +113,24 @@
     for step in _list_steps(layout.deployment):
         steps[step.session].append(step)
     callers = [
-        Caller(layout, journal, f's{n}', own, seed * 1000 + n)
-        for n, own in steps.items()
+        Caller(layout, journal, f's{n}', session_steps, seed * 1000 + n)
+        for n, session_steps in steps.items()
     ]
     return [gevent.spawn(caller.run) for caller in callers]
 
 
 def _list_steps(deployment: Deployment) -> tuple[Step, ...]:
     recorded = load_workload(recording_path(deployment.name))
-    steady = tuple(_make_write_only_steps(deployment))
+    write_only = tuple(_make_write_only_steps(deployment))
     first_session = (
         RECORDED_SESSIONS
         + deployment.databases * WRITE_ONLY_SESSIONS_PER_DATABASE
     )
-    return (*recorded, *steady, *make_foreign_steps(deployment, first_session))
+    return (
+        *recorded,
+        *write_only,
+        *make_foreign_steps(deployment, first_session),
+    )
 
 
 def _make_write_only_steps(deployment: Deployment) -> Iterator[Step]:
--- a/packages/standins/src/trefoilpulley_standins/demo/tenants.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/tenants.py
@@ -62,12 +62,12 @@
     works = list_tenant_work(deployment)
     tenants = dict.fromkeys(w.tenant for w in works)
     for session, tenant in enumerate(tenants, first_session):
-        own = [w for w in works if w.tenant == tenant]
-        foreign = _find_foreign_database(own, deployment)
+        tenant_work = [w for w in works if w.tenant == tenant]
+        foreign = _find_foreign_database(tenant_work, deployment)
         if foreign is None:
             continue
         for kind in (StepKind.READ, StepKind.WRITE):
-            work_class = _first_class(own, kind)
+            work_class = _first_class(tenant_work, kind)
             if work_class:
                 yield Step(
                     FOREIGN_STEPS_AT_MS,
@@ -103,17 +103,17 @@
 
 
 def _find_foreign_database(
-    own: list[TenantWork], deployment: Deployment
+    tenant_work: list[TenantWork], deployment: Deployment
 ) -> int | None:
-    granted = {database for work in own for database in work.databases}
+    granted = {database for work in tenant_work for database in work.databases}
     others = (n for n in range(deployment.databases) if n not in granted)
     return next(others, None)
 
 
-def _first_class(own: list[TenantWork], kind: StepKind) -> str:
+def _first_class(tenant_work: list[TenantWork], kind: StepKind) -> str:
     names = (
         name
-        for work in own
+        for work in tenant_work
         for name in (work.reads if kind is StepKind.READ else work.writes)
     )
     return next(names, '')
--- a/packages/standins/src/trefoilpulley_standins/figures/classes.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/classes.py
@@ -5,20 +5,20 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
 
-from trefoilpulley_standins.figures.part import Finding
+from trefoilpulley_standins.figures.part import Measurement
 
 if TYPE_CHECKING:
-    from trefoilpulley_standins.figures.scene import Scene
+    from trefoilpulley_standins.figures.scene import Testbed
 
 
-def judge_classes(
-    scene: Scene, phase: str, began_s: float, ended_s: float
-) -> Iterator[Finding]:
+def measure_classes(
+    testbed: Testbed, phase: str, began_s: float, ended_s: float
+) -> Iterator[Measurement]:
     """Yield the share of prompt answers of each class during a phase.
 
     Parameters
     ----------
-    scene : Scene
+    testbed : Testbed
         Run to evaluate.
     phase : str
         Name of the phase in the figures.
@@ -29,13 +29,15 @@
 
     Yields
     ------
-    Finding
+    Measurement
         Share of each class that had requests sent during the phase.
     """
-    sent = [e for e in scene.journal.entries if began_s <= e.began_s < ended_s]
-    found = scene.make_checker(sent).class_reports()
-    for name, done in found.items():
-        if done.requests:
-            yield Finding(
-                f'in time, {phase}, {name}', done.in_time, done.requests
+    sent = [
+        e for e in testbed.journal.entries if began_s <= e.began_s < ended_s
+    ]
+    reports = testbed.make_checker(sent).class_reports()
+    for name, report in reports.items():
+        if report.requests:
+            yield Measurement(
+                f'in time, {phase}, {name}', report.in_time, report.requests
             )
--- a/packages/standins/src/trefoilpulley_standins/figures/failover.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/failover.py
@@ -10,13 +10,13 @@
 from typing import TYPE_CHECKING
 
 from trefoilpulley_standins.demo.journal import Verdict
-from trefoilpulley_standins.figures.classes import judge_classes
-from trefoilpulley_standins.figures.gaps import find_changes
+from trefoilpulley_standins.figures.classes import measure_classes
+from trefoilpulley_standins.figures.gaps import find_failback
 from trefoilpulley_standins.figures.gaps import find_failover
-from trefoilpulley_standins.figures.gaps import find_return
+from trefoilpulley_standins.figures.gaps import find_primary_changes
 from trefoilpulley_standins.figures.gaps import split_gap
 from trefoilpulley_standins.figures.load import make_fault_load
-from trefoilpulley_standins.figures.part import Finding
+from trefoilpulley_standins.figures.part import Measurement
 from trefoilpulley_standins.figures.part import Part
 from trefoilpulley_standins.figures.violations import count_violations
 
@@ -24,8 +24,8 @@
     from trefoilpulley_core.catalog import DatabaseEntry
     from trefoilpulley_standins.demo.workload import Step
     from trefoilpulley_standins.deployment import Deployment
-    from trefoilpulley_standins.figures.gaps import Change
-    from trefoilpulley_standins.figures.scene import Scene
+    from trefoilpulley_standins.figures.gaps import PrimaryChange
+    from trefoilpulley_standins.figures.scene import Testbed
 
 OUTAGE_AT_S = 2.0
 """Time at which the service goes down, if it does, in seconds."""
@@ -48,7 +48,7 @@
 FAILBACK_TIMEOUT_S = 16.0
 """Time limit for the failback of all databases, in seconds."""
 
-AROUND_RETURN_S = 1.0
+FAILBACK_MARGIN_S = 1.0
 """Time before and after a failback that belongs to it, in seconds."""
 
 
@@ -80,96 +80,107 @@
 
     def __init__(self, is_service_out: bool) -> None:
         self.name = 'failover-out' if is_service_out else 'failover'
-        self._is_out = is_service_out
-        self._service = 'service out' if is_service_out else 'service up'
+        self._is_service_out = is_service_out
+        self._service_label = 'service out' if is_service_out else 'service up'
 
     def make_load(self, deployment: Deployment) -> tuple[Step, ...]:
         """Return the recorded workload and write-only sessions."""
         return make_fault_load(deployment)
 
-    def run(self, scene: Scene) -> Iterator[Finding]:
+    def run(self, testbed: Testbed) -> Iterator[Measurement]:
         """Inject the faults, await all failbacks and yield the figures."""
-        faults = self._do_faults(scene)
-        scene.wait(
-            lambda: scene.is_home(scene.layout.databases), FAILBACK_TIMEOUT_S
+        faults = self._inject_faults(testbed)
+        testbed.wait_until(
+            lambda: testbed.has_home_primaries(testbed.layout.databases),
+            FAILBACK_TIMEOUT_S,
         )
-        scene.journal.sleep_until(scene.journal.now_s + AROUND_RETURN_S)
-        checker = scene.end_load()
-        yield from count_violations(checker, self._service)
-        changes = find_changes(scene.journal.entries)
-        yield from judge_classes(scene, 'normal', 1.0, OUTAGE_AT_S)
+        testbed.journal.sleep_until(testbed.journal.now_s + FAILBACK_MARGIN_S)
+        checker = testbed.end_load()
+        yield from count_violations(checker, self._service_label)
+        changes = find_primary_changes(testbed.journal.entries)
+        yield from measure_classes(testbed, 'normal', 1.0, OUTAGE_AT_S)
         for fault in faults:
-            yield from self._judge_failover(scene, fault, changes)
-            yield from self._judge_return(scene, fault, changes)
+            yield from self._measure_failover(testbed, fault, changes)
+            yield from self._measure_failback(testbed, fault, changes)
 
-    def _do_faults(self, scene: Scene) -> tuple[Fault, ...]:
-        first, second, third = scene.layout.databases
-        journal = scene.journal
-        if self._is_out:
+    def _inject_faults(self, testbed: Testbed) -> tuple[Fault, ...]:
+        first, second, third = testbed.layout.databases
+        journal = testbed.journal
+        if self._is_service_out:
             journal.sleep_until(OUTAGE_AT_S)
-            scene.orders.set_service_down(True)
-        scene.keep_states('before-cut')
+            testbed.control.set_service_down(True)
+        testbed.save_states('before-cut')
         journal.sleep_until(CUT_AT_S)
         cut_s = journal.now_s
-        scene.orders.cut_zone(third.members[0].zone)
+        testbed.control.cut_zone(third.members[0].zone)
         journal.sleep_until(HEAL_AT_S)
-        scene.orders.heal()
+        testbed.control.heal()
         healed_s = journal.now_s
         journal.sleep_until(KILL_AT_S)
         killed_s = journal.now_s
-        scene.processes.kill(first.members[0].name)
+        testbed.processes.kill(first.members[0].name)
         journal.sleep_until(PAUSE_AT_S)
         paused_s = journal.now_s
-        pid = scene.processes.pid_of(second.members[0].name)
+        pid = testbed.processes.pid_of(second.members[0].name)
         os.kill(pid, signal.SIGSTOP)
         journal.sleep_until(RESTART_AT_S)
         os.kill(pid, signal.SIGCONT)
-        scene.processes.restart_member(first.members[0].name)
-        if self._is_out:
-            scene.orders.set_service_down(False)
-        mended_s = journal.now_s
+        testbed.processes.restart_member(first.members[0].name)
+        if self._is_service_out:
+            testbed.control.set_service_down(False)
+        restarted_s = journal.now_s
         return (
             Fault('cut', third, cut_s, healed_s),
-            Fault('death', first, killed_s, mended_s),
-            Fault('pause', second, paused_s, mended_s),
+            Fault('death', first, killed_s, restarted_s),
+            Fault('pause', second, paused_s, restarted_s),
         )
 
-    def _judge_failover(
-        self, scene: Scene, fault: Fault, changes: tuple[Change, ...]
-    ) -> Iterator[Finding]:
-        when = f'{self._service}, {fault.name}'
+    def _measure_failover(
+        self,
+        testbed: Testbed,
+        fault: Fault,
+        changes: tuple[PrimaryChange, ...],
+    ) -> Iterator[Measurement]:
+        condition = f'{self._service_label}, {fault.name}'
         change = find_failover(changes, fault.database.name, fault.at_s)
         gap_s = None if change is None else change.gap_s
-        yield Finding(f'failover gap s, {when}', gap_s)
+        yield Measurement(f'failover gap s, {condition}', gap_s)
         if change is None:
             return
-        parts = split_gap(change, fault.at_s, scene.logs().promotions())
+        parts = split_gap(change, fault.at_s, testbed.host_logs().promotions())
         if parts is not None:
             for field in fields(parts):
                 value = getattr(parts, field.name)
-                yield Finding(f'{field.name}, {when}', value)
-        phase = f'failover, {self._service}'
-        yield from judge_classes(scene, phase, fault.at_s, change.first_s)
+                yield Measurement(f'{field.name}, {condition}', value)
+        phase = f'failover, {self._service_label}'
+        yield from measure_classes(
+            testbed, phase, fault.at_s, change.first_ack_s
+        )
 
-    def _judge_return(
-        self, scene: Scene, fault: Fault, changes: tuple[Change, ...]
-    ) -> Iterator[Finding]:
+    def _measure_failback(
+        self,
+        testbed: Testbed,
+        fault: Fault,
+        changes: tuple[PrimaryChange, ...],
+    ) -> Iterator[Measurement]:
         home = fault.database.members[0].name
-        change = find_return(changes, fault.database.name, home, fault.at_s)
+        change = find_failback(changes, fault.database.name, home, fault.at_s)
         after = f'return after {fault.name}'
         gap_s = None if change is None else change.gap_s
-        yield Finding(f'{after}, gap s', gap_s)
+        yield Measurement(f'{after}, gap s', gap_s)
         if change is None:
             return
-        yield Finding(f'{after}, comes s', change.first_s - fault.ended_s)
-        began_s = change.last_s - AROUND_RETURN_S
-        ended_s = change.first_s + AROUND_RETURN_S
-        cut = [
+        yield Measurement(
+            f'{after}, comes s', change.first_ack_s - fault.ended_s
+        )
+        began_s = change.last_ack_s - FAILBACK_MARGIN_S
+        ended_s = change.first_ack_s + FAILBACK_MARGIN_S
+        failed_requests = [
             e
-            for e in scene.journal.entries
+            for e in testbed.journal.entries
             if e.database == fault.database.name
             and began_s <= e.began_s < ended_s
             and e.verdict is not Verdict.ANSWERED
         ]
-        yield Finding(f'{after}, requests cut', len(cut))
-        yield from judge_classes(scene, 'return', began_s, ended_s)
+        yield Measurement(f'{after}, requests cut', len(failed_requests))
+        yield from measure_classes(testbed, 'return', began_s, ended_s)
--- a/packages/standins/src/trefoilpulley_standins/figures/gaps.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/gaps.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class PrimaryChange:
     """Change of the member that acknowledges the writes of a database."""
 
     database: str
@@ -28,16 +28,16 @@
     target: str
     """Member that acknowledged writes after the change."""
 
-    last_s: float
+    last_ack_s: float
     """Time of the last acknowledgment by the source, in seconds."""
 
-    first_s: float
+    first_ack_s: float
     """Time of the first acknowledgment by the target, in seconds."""
 
     @property
     def gap_s(self) -> float:
         """Duration of the gap without an acknowledgment, in seconds."""
-        return self.first_s - self.last_s
+        return self.first_ack_s - self.last_ack_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,39 +60,45 @@
     """
 
 
-def find_changes(entries: Iterable[Entry]) -> tuple[Change, ...]:
+def find_primary_changes(
+    entries: Iterable[Entry],
+) -> tuple[PrimaryChange, ...]:
     """Return the changes of primary that are visible in callers' writes.
 
     A late answer from the old primary does not count as a change back: a
     write counts only if the caller sent it after the latest change.
     """
-    latest: dict[str, Entry] = {}
-    changes: list[Change] = []
+    latest_by_database: dict[str, Entry] = {}
+    changes: list[PrimaryChange] = []
     changed_at: dict[str, float] = {}
     for entry in sorted(_acknowledged(entries), key=lambda e: e.ended_s):
-        last = latest.get(entry.database)
+        last = latest_by_database.get(entry.database)
         if last is not None and last.member != entry.member:
             if entry.began_s < changed_at.get(entry.database, 0.0):
                 continue
-            changes.append(_change(last, entry))
+            changes.append(_make_change(last, entry))
             changed_at[entry.database] = entry.ended_s
-        latest[entry.database] = entry
+        latest_by_database[entry.database] = entry
     return tuple(changes)
 
 
 def find_failover(
-    changes: Iterable[Change], database: str, fault_s: float
-) -> Change | None:
+    changes: Iterable[PrimaryChange], database: str, fault_s: float
+) -> PrimaryChange | None:
     """Return the first change of a database's primary after a fault."""
     return next(
-        (c for c in changes if c.database == database and c.first_s > fault_s),
+        (
+            c
+            for c in changes
+            if c.database == database and c.first_ack_s > fault_s
+        ),
         None,
     )
 
 
-def find_return(
-    changes: Iterable[Change], database: str, home: str, since_s: float
-) -> Change | None:
+def find_failback(
+    changes: Iterable[PrimaryChange], database: str, home: str, since_s: float
+) -> PrimaryChange | None:
     """Return the first change to a database's home primary after a time."""
     return next(
         (
@@ -100,14 +106,14 @@
             for c in changes
             if c.database == database
             and c.target == home
-            and c.first_s > since_s
+            and c.first_ack_s > since_s
         ),
         None,
     )
 
 
 def split_gap(
-    change: Change, fault_s: float, promotions: Iterable[Promotion]
+    change: PrimaryChange, fault_s: float, promotions: Iterable[Promotion]
 ) -> GapParts | None:
     """Return the phases of a gap; ``None`` if its promotion is not logged."""
     found = next(
@@ -123,10 +129,10 @@
     if found is None:
         return None
     return GapParts(
-        fault_s - change.last_s,
+        fault_s - change.last_ack_s,
         found.began_s - fault_s,
         found.promoted_s - found.began_s,
-        change.first_s - found.promoted_s,
+        change.first_ack_s - found.promoted_s,
     )
 
 
@@ -140,7 +146,7 @@
     ]
 
 
-def _change(last: Entry, first: Entry) -> Change:
-    return Change(
+def _make_change(last: Entry, first: Entry) -> PrimaryChange:
+    return PrimaryChange(
         first.database, last.member, first.member, last.ended_s, first.ended_s
     )
--- a/packages/standins/src/trefoilpulley_standins/figures/load.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/load.py
@@ -13,22 +13,22 @@
 from trefoilpulley_standins.demo.workload import StepKind
 from trefoilpulley_standins.deployment import Deployment
 
-WRITERS = 12
+WRITE_ONLY_SESSIONS_PER_DATABASE = 12
 """Number of write-only sessions per database."""
 
-WRITE_INTERVAL_MS = 720
+WRITE_ONLY_INTERVAL_MS = 720
 """Interval between writes of a write-only session, in milliseconds."""
 
-READERS = 8
+READ_SESSIONS_PER_DATABASE = 8
 """Number of reading sessions per database and class of reads."""
 
-ROUND_MS = 1200
+ROUND_DURATION_MS = 1200
 """Duration of a round of reads, in milliseconds."""
 
-READS_AT_MS = (100, 400, 800)
+READ_OFFSETS_MS = (100, 400, 800)
 """Times of the reads in a round, in milliseconds; any write is at 0."""
 
-DURATION_MS = 60_000
+LOAD_DURATION_MS = 60_000
 """Maximum duration of the load, in milliseconds."""
 
 
@@ -53,25 +53,27 @@
 def make_fault_load(deployment: Deployment) -> tuple[Step, ...]:
     """Return the recorded workload and additional write-only sessions."""
     recorded = load_workload(recording_path(deployment.name))
-    return (*recorded, *_make_writers(deployment))
+    return (*recorded, *_make_write_only_steps(deployment))
 
 
 def make_read_load(deployment: Deployment) -> tuple[Step, ...]:
     """Return the steps of sessions that write and read or only read."""
     classes = READ_CLASSES[deployment.name]
     return (
-        *_make_rounds(deployment, 0, classes.session),
-        *_make_rounds(
-            deployment, READERS * deployment.databases, classes.aged
+        *_make_read_rounds(deployment, 0, classes.session),
+        *_make_read_rounds(
+            deployment,
+            READ_SESSIONS_PER_DATABASE * deployment.databases,
+            classes.aged,
         ),
     )
 
 
-def _make_writers(deployment: Deployment) -> Iterator[Step]:
-    sessions = deployment.databases * WRITERS
+def _make_write_only_steps(deployment: Deployment) -> Iterator[Step]:
+    sessions = deployment.databases * WRITE_ONLY_SESSIONS_PER_DATABASE
     for number in range(sessions):
-        first_ms = number * WRITE_INTERVAL_MS // sessions
-        for at_ms in range(first_ms, DURATION_MS, WRITE_INTERVAL_MS):
+        first_ms = number * WRITE_ONLY_INTERVAL_MS // sessions
+        for at_ms in range(first_ms, LOAD_DURATION_MS, WRITE_ONLY_INTERVAL_MS):
             yield _make_step(
                 deployment,
                 at_ms,
@@ -81,14 +83,14 @@
             )
 
 
-def _make_rounds(
+def _make_read_rounds(
     deployment: Deployment, first: int, read_class: str
 ) -> Iterator[Step]:
     has_writes = read_class == READ_CLASSES[deployment.name].session
-    sessions = deployment.databases * READERS
+    sessions = deployment.databases * READ_SESSIONS_PER_DATABASE
     for number in range(sessions):
-        shift_ms = number * ROUND_MS // sessions
-        for at_ms in range(shift_ms, DURATION_MS, ROUND_MS):
+        first_ms = number * ROUND_DURATION_MS // sessions
+        for at_ms in range(first_ms, LOAD_DURATION_MS, ROUND_DURATION_MS):
             if has_writes:
                 yield _make_step(
                     deployment,
@@ -97,10 +99,10 @@
                     StepKind.WRITE,
                     deployment.write_class,
                 )
-            for after_ms in READS_AT_MS:
+            for offset_ms in READ_OFFSETS_MS:
                 yield _make_step(
                     deployment,
-                    at_ms + after_ms,
+                    at_ms + offset_ms,
                     first + number,
                     StepKind.READ,
                     read_class,
--- a/packages/standins/src/trefoilpulley_standins/figures/marks.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/marks.py
@@ -11,8 +11,8 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-_NOTICE = 'tp1501'
-_IN_FORCE = 'tp1402'
+_NOTICE_TYPE = 'tp1501'
+_DOCUMENT_APPLIED_TYPE = 'tp1402'
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class AppliedDocument:
     """Document that a host applied."""
 
     host: str
@@ -72,42 +72,45 @@
         found = [p for path in self._paths for p in self._promotions_in(path)]
         return tuple(sorted(found, key=lambda p: p.promoted_s))
 
-    def documents(self) -> tuple[InForce, ...]:
+    def documents(self) -> tuple[AppliedDocument, ...]:
         """Return the documents that each host applied."""
         return tuple(
-            InForce(
-                path.stem, line['kind'], line['revision'], self._time_of(line)
+            AppliedDocument(
+                path.stem,
+                event['kind'],
+                event['revision'],
+                self._time_of(event),
             )
             for path in self._paths
-            for line in _lines(path, _IN_FORCE)
+            for event in _read_events(path, _DOCUMENT_APPLIED_TYPE)
         )
 
     def _promotions_in(self, path: Path) -> Iterator[Promotion]:
         began: dict[tuple[str, str], dict[str, Any]] = {}
-        for line in _lines(path, _NOTICE):
-            details = line['details']
+        for event in _read_events(path, _NOTICE_TYPE):
+            details = event['details']
             key = (details['database'], details.get('term', ''))
-            if line['notice'] == 'PromotionBegan':
-                began[key] = line
-            if line['notice'] == 'PrimaryPromoted' and key in began:
+            if event['notice'] == 'PromotionBegan':
+                began[key] = event
+            if event['notice'] == 'PrimaryPromoted' and key in began:
                 first = began[key]
                 yield Promotion(
                     details['database'],
                     details['primary'],
                     first['details']['reason'],
                     self._time_of(first),
-                    self._time_of(line),
+                    self._time_of(event),
                 )
 
-    def _time_of(self, line: dict[str, Any]) -> float:
-        return line['timestamp'] - self._started_at
+    def _time_of(self, event: dict[str, Any]) -> float:
+        return event['timestamp'] - self._started_at
 
 
-def _lines(path: Path, message_type: str) -> Iterator[dict[str, Any]]:
+def _read_events(path: Path, message_type: str) -> Iterator[dict[str, Any]]:
     with path.open(encoding='utf-8') as lines:
         for text in lines:
             if message_type not in text:
                 continue
-            line = json.loads(text)
-            if line.get('message_type') == message_type:
-                yield line
+            event = json.loads(text)
+            if event.get('message_type') == message_type:
+                yield event
--- a/packages/standins/src/trefoilpulley_standins/figures/part.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/part.py
@@ -10,12 +10,12 @@
 if TYPE_CHECKING:
     from trefoilpulley_standins.demo.workload import Step
     from trefoilpulley_standins.deployment import Deployment
-    from trefoilpulley_standins.figures.scene import Scene
+    from trefoilpulley_standins.figures.scene import Testbed
     from trefoilpulley_standins.layout import Layout
 
 
 @dataclass(frozen=True, slots=True)
-class Finding:
+class Measurement:
     """Value of a figure measured in a run."""
 
     figure: str
@@ -34,7 +34,7 @@
     name: str
     """Name of the part, as given on the command line."""
 
-    def adapt(self, layout: Layout) -> Layout:
+    def adapt_layout(self, layout: Layout) -> Layout:
         """Return the layout with the changes that the part requires."""
         return layout
 
@@ -43,5 +43,5 @@
         """Return the steps of the sessions that generate the load."""
 
     @abc.abstractmethod
-    def run(self, scene: Scene) -> Iterator[Finding]:
+    def run(self, testbed: Testbed) -> Iterator[Measurement]:
         """Exercise the deployment under load and yield the figures."""
--- a/packages/standins/src/trefoilpulley_standins/figures/run.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/run.py
@@ -10,12 +10,12 @@
 
 from trefoilpulley_standins.deployment import find_deployment
 from trefoilpulley_standins.figures.failover import Failover
-from trefoilpulley_standins.figures.part import Finding
-from trefoilpulley_standins.figures.planned import Planned
+from trefoilpulley_standins.figures.part import Measurement
+from trefoilpulley_standins.figures.planned import PlannedChanges
 from trefoilpulley_standins.figures.reads import Reads
 from trefoilpulley_standins.figures.sample import Sample
-from trefoilpulley_standins.figures.scene import open_scene
-from trefoilpulley_standins.figures.stalls import StallWatch
+from trefoilpulley_standins.figures.scene import open_testbed
+from trefoilpulley_standins.figures.stalls import StallMonitor
 from trefoilpulley_standins.starting import make_layout
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 PARTS = (
     Failover(is_service_out=False),
     Failover(is_service_out=True),
-    Planned(),
+    PlannedChanges(),
     Reads('targets'),
     Reads('thin'),
     Reads('plain'),
@@ -51,24 +51,27 @@
     """
     part = next(p for p in PARTS if p.name == key.part)
     deployment = find_deployment(key.deployment)
-    layout = part.adapt(make_layout(deployment, directory, key.seed))
+    layout = part.adapt_layout(make_layout(deployment, directory, key.seed))
     before = psutil.cpu_times()
-    with open_scene(layout, directory, key.seed) as scene:
-        scene.begin_load(part.make_load(deployment))
-        watch = StallWatch()
-        found = [*part.run(scene), *_describe(watch)]
+    with open_testbed(layout, directory, key.seed) as testbed:
+        testbed.begin_load(part.make_load(deployment))
+        monitor = StallMonitor()
+        measurements = [*part.run(testbed), *_measure_stall(monitor)]
     load = round(os.getloadavg()[0], 2)
-    stolen = _share_stolen(before, psutil.cpu_times())
+    stolen = _stolen_share(before, psutil.cpu_times())
     return tuple(
-        Sample(key, f.figure, f.value, f.count, load, stolen) for f in found
+        Sample(key, f.figure, f.value, f.count, load, stolen)
+        for f in measurements
     )
 
 
-def _describe(watch: StallWatch) -> tuple[Finding, ...]:
-    watch.stop()
-    return (Finding('stall of the measuring process s', watch.longest_s),)
+def _measure_stall(monitor: StallMonitor) -> tuple[Measurement, ...]:
+    monitor.stop()
+    return (
+        Measurement('stall of the measuring process s', monitor.longest_s),
+    )
 
 
-def _share_stolen(before: Any, after: Any) -> float:
+def _stolen_share(before: Any, after: Any) -> float:
     passed = sum(after) - sum(before)
     return round((after.steal - before.steal) / passed, 3)
--- a/packages/standins/src/trefoilpulley_standins/figures/scene.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/scene.py
@@ -47,7 +47,7 @@
 _POLL_INTERVAL_S = 0.05
 
 
-class Scene:
+class Testbed:
     """Running deployment with its load and the clients to control it.
 
     Parameters
@@ -84,20 +84,21 @@
         self._directory = directory
         self._seed = seed
         self._callers: list[gevent.Greenlet] = []
-        self._is_over = False
+        self._has_ended = False
 
     def begin_load(self, steps: Iterable[Step]) -> None:
         """Wait until all hosts are ready, then start the sessions."""
         with gevent.Timeout(READY_TIMEOUT_S):
-            while not self._is_ready():
+            while not self._is_configured():
                 gevent.sleep(_POLL_INTERVAL_S)
-        own: dict[int, list[Step]] = defaultdict(list)
+        steps_by_session: dict[int, list[Step]] = defaultdict(list)
         for step in steps:
-            own[step.session].append(step)
+            steps_by_session[step.session].append(step)
         self.journal = Journal()
         self._started_at = time.time()
         self._callers = [
-            gevent.spawn(self._make_caller(n, s).run) for n, s in own.items()
+            gevent.spawn(self._make_session_caller(n, s).run)
+            for n, s in steps_by_session.items()
         ]
 
     def end_load(self) -> Checker:
@@ -105,7 +106,7 @@
 
         Waits until the replicas have caught up with their primaries.
         """
-        self._is_over = True
+        self._has_ended = True
         gevent.joinall(self._callers, timeout=CALLERS_TIMEOUT_S)
         gevent.killall(self._callers)
         dump_journal(self._directory / 'journal.jsonl', self.journal.entries)
@@ -120,18 +121,18 @@
         return Checker(entries, members, declarations)
 
     @property
-    def home_rows(self) -> tuple[MemberRows, ...]:
+    def home_primaries(self) -> tuple[MemberRows, ...]:
         """Home primaries of all databases, without rows."""
         return tuple(
             MemberRows(d.name, d.members[0].name, ())
             for d in self.layout.databases
         )
 
-    def logs(self) -> HostLogs:
+    def host_logs(self) -> HostLogs:
         """Return the log files of the hosts."""
         return HostLogs(self._directory, self._started_at)
 
-    def keep_states(self, when: str) -> None:
+    def save_states(self, when: str) -> None:
         """Write the state dump of each host to the directory of the run."""
         for route in self.layout.routes:
             state = self.control.state_of(route.endpoint)
@@ -139,7 +140,7 @@
             text = json.dumps(state, indent=1, default=str)
             path.write_text(text, encoding='utf-8')
 
-    def wait(self, check: Callable[[], bool], timeout_s: float) -> bool:
+    def wait_until(self, check: Callable[[], bool], timeout_s: float) -> bool:
         """Wait until a check succeeds; return whether it did in time."""
         deadline = self.journal.now_s + timeout_s
         while not check():
@@ -148,7 +149,7 @@
             gevent.sleep(_POLL_INTERVAL_S)
         return True
 
-    def leader_of(self, database: DatabaseEntry) -> str:
+    def primary_of(self, database: DatabaseEntry) -> str:
         """Return the member that acknowledged the database's latest write.
 
         Returns an empty string before the first acknowledged write.
@@ -161,20 +162,20 @@
                 return entry.member
         return ''
 
-    def is_home(self, databases: Iterable[DatabaseEntry]) -> bool:
+    def has_home_primaries(self, databases: Iterable[DatabaseEntry]) -> bool:
         """Return whether all databases are written at their home primaries."""
-        return all(self.leader_of(d) == d.members[0].name for d in databases)
+        return all(self.primary_of(d) == d.members[0].name for d in databases)
 
-    def _is_ready(self) -> bool:
+    def _is_configured(self) -> bool:
         routes = self.layout.routes
         return all(self.control.revision_of(r.endpoint) for r in routes)
 
-    def _make_caller(self, number: int, steps: list[Step]) -> Caller:
+    def _make_session_caller(self, number: int, steps: list[Step]) -> Caller:
         return Caller(
             self.layout,
             self.journal,
             f's{number}',
-            takewhile(lambda _: not self._is_over, steps),
+            takewhile(lambda _: not self._has_ended, steps),
             self._seed * 1000 + number,
         )
 
@@ -191,12 +192,14 @@
 
 
 @contextmanager
-def open_scene(layout: Layout, directory: Path, seed: int) -> Iterator[Scene]:
+def open_testbed(
+    layout: Layout, directory: Path, seed: int
+) -> Iterator[Testbed]:
     """Start a deployment, and stop it when the context ends."""
     processes = start_deployment(layout, directory)
-    scene = Scene(layout, processes, directory, seed)
+    testbed = Testbed(layout, processes, directory, seed)
     try:
-        yield scene
+        yield testbed
     finally:
-        scene.observer.close()
+        testbed.observer.close()
         processes.stop()
--- a/packages/standins/src/trefoilpulley_standins/figures/stalls.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/stalls.py
@@ -6,11 +6,11 @@
 
 import gevent
 
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 """Interval between two checks of the clock, in seconds."""
 
 
-class StallWatch:
+class StallMonitor:
     """Records the longest time for which this process did not run."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
 
     def _run(self) -> None:
         while True:
-            began = time.monotonic()
-            gevent.sleep(TICK_S)
-            late_s = time.monotonic() - began - TICK_S
+            began_s = time.monotonic()
+            gevent.sleep(TICK_INTERVAL_S)
+            late_s = time.monotonic() - began_s - TICK_INTERVAL_S
             self.longest_s = max(self.longest_s, late_s)
--- a/packages/standins/src/trefoilpulley_standins/figures/table.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/table.py
@@ -33,11 +33,11 @@
     rows: dict[tuple[str, str], list[Sample]] = defaultdict(list)
     for sample in samples:
         rows[sample.run.deployment, sample.figure].append(sample)
-    yield _line(COLUMNS)
-    yield _line('---' for _ in COLUMNS)
+    yield _format_row(COLUMNS)
+    yield _format_row('---' for _ in COLUMNS)
     for (deployment, figure), found in sorted(rows.items()):
         target = find_target(deployment, figure)
-        yield _line((deployment, figure, *_cells(target, found)))
+        yield _format_row((deployment, figure, *_format_cells(target, found)))
 
 
 def describe_load(samples: tuple[Sample, ...]) -> str:
@@ -52,21 +52,23 @@
     )
 
 
-def _cells(target: Target | None, samples: list[Sample]) -> tuple[str, ...]:
+def _format_cells(
+    target: Target | None, samples: list[Sample]
+) -> tuple[str, ...]:
     values = [s.value for s in samples]
     known = [v for v in values if v is not None]
     missing = len(values) - len(known)
     count = f'{len(values)}, {missing} not seen' if missing else len(values)
     if not known:
         return (str(target or ''), '', 'not seen', str(count), '', '**no**')
-    worst = target.worst_of(known) if target else max(known)
+    worst = target.worst_value(known) if target else max(known)
     return (
         str(target or ''),
         f'{statistics.median(known):.3g}',
         'not seen' if missing else f'{worst:.3g}',
         str(count),
         _count_requests(samples),
-        _verdict(target, values),
+        _format_verdict(target, values),
     )
 
 
@@ -75,11 +77,11 @@
     return str(total) if total > len(samples) else ''
 
 
-def _verdict(target: Target | None, values: list[float | None]) -> str:
+def _format_verdict(target: Target | None, values: list[float | None]) -> str:
     if target is None:
         return ''
     return 'yes' if target.is_met(values) else '**no**'
 
 
-def _line(cells: Iterable[str]) -> str:
+def _format_row(cells: Iterable[str]) -> str:
     return f'| {" | ".join(cells)} |'
--- a/packages/standins/src/trefoilpulley_standins/figures/targets.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/targets.py
@@ -27,29 +27,29 @@
     median: float | None = None
     """Bound for the median; ``None`` if there is none."""
 
-    is_floor: bool = False
+    is_minimum: bool = False
     """Whether the bounds are minimums; otherwise they are maximums."""
 
-    def worst_of(self, values: list[float]) -> float:
+    def worst_value(self, values: list[float]) -> float:
         """Return the value that is worst for this target."""
-        return min(values) if self.is_floor else max(values)
+        return min(values) if self.is_minimum else max(values)
 
     def is_met(self, values: list[float | None]) -> bool:
         """Return whether the values meet the target; ``None`` never does."""
         if any(v is None for v in values):
             return False
-        return self._holds(self.worst_of(values), self.worst) and (
+        return self._comparison(self.worst_value(values), self.worst) and (
             self.median is None
-            or self._holds(statistics.median(values), self.median)
+            or self._comparison(statistics.median(values), self.median)
         )
 
     @property
-    def _holds(self) -> Callable[[float, float], bool]:
-        return operator.ge if self.is_floor else operator.le
+    def _comparison(self) -> Callable[[float, float], bool]:
+        return operator.ge if self.is_minimum else operator.le
 
     def __str__(self) -> str:
         """Return the text of the target for the table."""
-        sign = '≥' if self.is_floor else '≤'
+        sign = '≥' if self.is_minimum else '≤'
         worst = f'{sign} {self.worst:g}'
         if self.median is None:
             return worst
@@ -81,8 +81,8 @@
             'stale beyond age',
         )
     ),
-    Target('reads at replicas, aged', 0.95, is_floor=True),
-    Target('reads at replicas, own write', 0.85, is_floor=True),
+    Target('reads at replicas, aged', 0.95, is_minimum=True),
+    Target('reads at replicas, own write', 0.85, is_minimum=True),
     Target('configuration in force s', 2.0),
     Target('leaving', 2.0),
 )
@@ -100,4 +100,4 @@
     found = next(d for d in DEPLOYMENTS if d.name == deployment)
     name = figure.rpartition(', ')[2]
     work_class = load_declarations(found).find_class(name)
-    return Target(figure, work_class.promptness.share, is_floor=True)
+    return Target(figure, work_class.promptness.share, is_minimum=True)
