--- a/packages/standins/src/trefoilpulley_standins/demo/checker.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/checker.py
@@ -142,10 +142,11 @@
         return foreign + partial
 
     def count_wrong_answers(self) -> int:
-        """Count answers that the caller should not have received.
+        """Count misrouted answers and unauthorized requests not denied.
 
-        These are answers that belong to another request, and requests for
-        another tenant's database that were not refused as unauthorized.
+        A misrouted answer belongs to another request. Requests for another
+        tenant's database must be denied as unauthorized; any other outcome
+        counts, even another failure.
         """
         misrouted = sum(not e.is_own_answer for e in self._answered_reads())
         return misrouted + self._count_not_denied()
@@ -155,7 +156,7 @@
         return sum(e.own_rows < e.own_floor for e in self._answered_reads())
 
     def count_stale(self) -> int:
-        """Count reads that are staler than their class allows."""
+        """Count reads that miss a write that their class requires."""
         return sum(
             e.last_id
             < self._acknowledged_ids.highest_before(e.database, limit)
--- a/packages/standins/src/trefoilpulley_standins/demo/report.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/report.py
@@ -62,13 +62,13 @@
     """Rows under the wrong session, and partial transactions."""
 
     wrong_answer: int
-    """Misrouted answers, and unauthorized requests not refused as such."""
+    """Misrouted answers, and unauthorized requests that were not denied."""
 
     ryw_violations: int
     """Reads that miss an earlier write of their own session."""
 
     stale_beyond_target: int
-    """Reads that are staler than their class allows."""
+    """Reads that miss a write that their class requires."""
 
     false_not_run: int
     """Writes that were reported as not run but did run."""
--- a/packages/standins/src/trefoilpulley_standins/demo/script.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/script.py
@@ -52,7 +52,7 @@
 """Time limit for a planned stop to move its primary, in seconds."""
 
 SETTLE_TIME_S = 2.0
-"""Time after the move that belongs to the planned stop, in seconds."""
+"""Time after the move that counts as part of the stop, in seconds."""
 
 CONFIGURATION_TIMEOUT_S = 10.0
 """Time limit for all hosts to apply a configuration, in seconds."""
--- a/packages/standins/src/trefoilpulley_standins/figures/failover.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/failover.py
@@ -28,7 +28,7 @@
     from trefoilpulley_standins.figures.scene import Testbed
 
 OUTAGE_AT_S = 2.0
-"""Time at which the service goes down, if it does, in seconds."""
+"""Time at which the part with an outage takes the service down."""
 
 CUT_AT_S = 3.0
 """Time at which the third database's home zone is partitioned."""
@@ -49,7 +49,7 @@
 """Time limit for the failback of all databases, in seconds."""
 
 FAILBACK_MARGIN_S = 1.0
-"""Time before and after a failback that belongs to it, in seconds."""
+"""Time around a failback that counts as part of it, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/standins/src/trefoilpulley_standins/figures/planned.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/planned.py
@@ -42,7 +42,7 @@
 """Time limit for the failback after the stop, in seconds."""
 
 SETTLE_TIME_S = 1.0
-"""Time after a move that belongs to it, in seconds."""
+"""Time after a move that counts as part of the move, in seconds."""
 
 LEAVING_OBSERVATION_S = 4.0
 """Time for which work at leaving upstreams is observed, in seconds."""
