--- a/packages/standins/src/trefoilpulley_standins/demo/checker.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/checker.py
@@ -1,4 +1,4 @@
-"""Judges a run by the journal of the callers and the members' rows."""
+"""Checks a run against the callers' journal and the members' rows."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRow:
-    """Row as a member holds it at the end."""
+    """Row that a member stores at the end of the run."""
 
     row_id: int
-    """Number, ascending in the order of the log."""
+    """Row number, ascending in the order of the log."""
 
     request: str
-    """Request that wrote it."""
+    """Identifier of the request that wrote the row."""
 
     session: str
-    """Session that sent the request."""
+    """Name of the session that sent the request."""
 
     part: int
-    """Number of the row in its request."""
+    """Position of the row within the request, counted from 1."""
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRows:
-    """All rows of one member."""
+    """All rows that one member stores at the end of the run."""
 
     database: str
     """Database of the member."""
@@ -51,34 +51,35 @@
     """Name of the member."""
 
     rows: tuple[StoredRow, ...]
-    """Rows."""
+    """Rows in ascending order of their numbers."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopWindow:
-    """Time of a planned stop."""
+    """Time span of a planned stop, in seconds since the start."""
 
     database: str
-    """Database whose primary was moved."""
+    """Database whose primary was in the stopped zone."""
 
     began_s: float
-    """Time at which the stop was declared."""
+    """Time at which the planned stop was declared."""
 
     ended_s: float
-    """Time at which its primary had moved, and a while after."""
+    """Time until which requests count as sent during the stop."""
 
 
 class Checker:
-    """Counts what must not happen.
+    """Counts violations of the guarantees and summarizes the run.
 
     Parameters
     ----------
     entries : Iterable[Entry]
-        Journal of the callers.
+        Journal entries of the callers.
     members : tuple[MemberRows, ...]
-        Rows of every member at the end.
+        Rows of every member at the end of the run. The first member of
+        each database is its primary at the start.
     declarations : Declarations
-        Targets of the classes.
+        Declarations that hold the classes of work and their targets.
     """
 
     def __init__(
@@ -93,36 +94,37 @@
         self._writes = [
             e for e in self._entries if e.kind is not StepKind.READ
         ]
-        self._granted = [e for e in self._entries if not e.is_foreign]
+        self._authorized = [e for e in self._entries if not e.is_foreign]
         self._reads = [e for e in self._entries if e.kind is StepKind.READ]
-        self._parts = {
-            (m.database, m.member): _parts_of(m.rows) for m in members
+        self._parts_by_member = {
+            (m.database, m.member): _group_parts_by_request(m.rows)
+            for m in members
         }
-        self._acknowledged = _AcknowledgedIds(self._answered_writes())
+        self._acknowledged_ids = _AcknowledgedIds(self._answered_writes())
 
     def count(self, verdict: Verdict) -> int:
-        """Return the granted requests with a verdict."""
-        return sum(e.verdict is verdict for e in self._granted)
+        """Return the number of authorized requests with a verdict."""
+        return sum(e.verdict is verdict for e in self._authorized)
 
     def count_lost(self) -> int:
-        """Count acknowledged writes that some member lacks at the end."""
+        """Count acknowledged writes that are incomplete on any member."""
         return sum(
-            any(len(parts) < e.parts for parts in self._found(e))
+            any(len(parts) < e.parts for parts in self._parts_at_members(e))
             for e in self._answered_writes()
         )
 
     def count_doubled(self) -> int:
-        """Count requests that ran more than once."""
+        """Count write requests that ran more than once."""
         return sum(
-            any(_has_repeats(parts) for parts in self._found(e))
+            any(_has_repeats(parts) for parts in self._parts_at_members(e))
             for e in self._writes
         )
 
     def count_mixed(self) -> int:
-        """Count rows that stand with another's, or without their own.
+        """Count rows under the wrong session and partial transactions.
 
-        A transaction is there whole or not at all, and every row stands
-        under the session that sent its request.
+        Every row must carry the session that sent its request, and every
+        member must store all rows of a transaction or none.
         """
         owners = {e.request: e.session for e in self._writes}
         foreign = sum(
@@ -131,54 +133,65 @@
             for row in m.rows
         )
         partial = sum(
-            any(0 < len(set(p)) < _expected(e) for p in self._found(e))
+            any(
+                0 < len(set(p)) < _expected_parts(e)
+                for p in self._parts_at_members(e)
+            )
             for e in self._writes
         )
         return foreign + partial
 
     def count_wrong_answers(self) -> int:
-        """Count answers to another's request or on another's database."""
-        crossed = sum(not e.is_own_answer for e in self._answered_reads())
-        return crossed + self._count_let_through()
+        """Count misrouted answers and unauthorized requests not denied.
+
+        A misrouted answer belongs to another request. Requests for another
+        tenant's database must be denied as unauthorized; any other outcome
+        counts, even another failure.
+        """
+        misrouted = sum(not e.is_own_answer for e in self._answered_reads())
+        return misrouted + self._count_not_denied()
 
     def count_ryw_violations(self) -> int:
-        """Count reads that miss a write of their own session."""
+        """Count reads that miss an earlier write of their own session."""
         return sum(e.own_rows < e.own_floor for e in self._answered_reads())
 
     def count_stale(self) -> int:
-        """Count reads that miss a write older than their class allows."""
+        """Count reads that miss a write that their class requires."""
         return sum(
-            e.last_id < self._acknowledged.before(e.database, limit)
+            e.last_id
+            < self._acknowledged_ids.highest_before(e.database, limit)
             for e in self._answered_reads()
-            if (limit := self._age_limit_s(e)) is not None
+            if (limit := self._freshness_bound_s(e)) is not None
         )
 
     def count_false_not_run(self) -> int:
-        """Count requests that were called not run, and have run."""
+        """Count writes that were reported as not run but did run."""
         return sum(
-            any(self._found(e))
+            any(self._parts_at_members(e))
             for e in self._writes
             if e.verdict is Verdict.REFUSED
         )
 
-    def count_cut(self, windows: Iterable[StopWindow]) -> int:
-        """Count requests without an answer during planned stops."""
+    def count_cut_by_planned_stop(self, windows: Iterable[StopWindow]) -> int:
+        """Count requests sent during planned stops that got no answer."""
         return sum(
             e.verdict is not Verdict.ANSWERED
             and e.database == w.database
             and w.began_s <= e.began_s <= w.ended_s
             for w in windows
-            for e in self._granted
+            for e in self._authorized
         )
 
     def replica_read_share(self) -> float:
         """Return the share of reads that a replica served.
 
-        Reads of classes that want the primary's present are left out.
-        The primary at a time is the member that acknowledged the latest
-        write before.
+        Reads of classes that require the current state of the primary are
+        excluded. The primary at a given time is the member that acknowledged
+        the latest write before that time.
         """
-        allowed = [e for e in self._answered_reads() if self._may_lag(e)]
+        allowed = [
+            e for e in self._answered_reads() if self._allows_stale_reads(e)
+        ]
         replicas = sum(
             e.member != self._primary_at(e.database, e.began_s)
             for e in allowed
@@ -186,7 +199,12 @@
         return round(replicas / len(allowed), 4) if allowed else 0.0
 
     def write_gap_s(self, database: str, since_s: float) -> float | None:
-        """Return the gap at the first change of primary after a time."""
+        """Return the write gap at the first primary change after a time.
+
+        The gap is the time in seconds between the last write acknowledged
+        by one member and the first acknowledged by another; ``None`` if no
+        change was observed.
+        """
         last: Entry | None = None
         for e in self._answered_writes():
             if e.database != database or not e.member:
@@ -196,20 +214,21 @@
             last = e
         return None
 
-    def describe_classes(self) -> dict[str, ClassReport]:
-        """Return how each class did against its target."""
+    def class_reports(self) -> dict[str, ClassReport]:
+        """Return the report of each class of work by its name."""
         return {
-            c.name: self._describe_class(c) for c in self._declarations.classes
+            c.name: self._make_class_report(c)
+            for c in self._declarations.classes
         }
 
-    def _count_let_through(self) -> int:
+    def _count_not_denied(self) -> int:
         return sum(
             e.is_foreign and e.code != NotAuthorized.code
             for e in self._entries
         )
 
-    def _describe_class(self, work_class: WorkClass) -> ClassReport:
-        sent = [e for e in self._granted if e.work_class == work_class.name]
+    def _make_class_report(self, work_class: WorkClass) -> ClassReport:
+        sent = [e for e in self._authorized if e.work_class == work_class.name]
         times = sorted(
             (e.ended_s - e.began_s) * 1000
             for e in sent
@@ -231,20 +250,20 @@
     def _answered_reads(self) -> list[Entry]:
         return [e for e in self._reads if e.verdict is Verdict.ANSWERED]
 
-    def _found(self, entry: Entry) -> list[list[int]]:
+    def _parts_at_members(self, entry: Entry) -> list[list[int]]:
         return [
             parts.get(entry.request, [])
-            for (database, _), parts in self._parts.items()
+            for (database, _), parts in self._parts_by_member.items()
             if database == entry.database
         ]
 
-    def _age_limit_s(self, entry: Entry) -> float | None:
+    def _freshness_bound_s(self, entry: Entry) -> float | None:
         freshness = self._declarations.find_class(entry.work_class).freshness
         if freshness.kind is FreshnessKind.SESSION:
             return None
         return entry.began_s - (freshness.max_age_ms or 0) / 1000
 
-    def _may_lag(self, entry: Entry) -> bool:
+    def _allows_stale_reads(self, entry: Entry) -> bool:
         freshness = self._declarations.find_class(entry.work_class).freshness
         return freshness.kind is not FreshnessKind.PRESENT
 
@@ -263,19 +282,21 @@
 class _AcknowledgedIds:
     def __init__(self, writes: list[Entry]) -> None:
         self._times: dict[str, list[float]] = defaultdict(list)
-        self._greatest: dict[str, list[int]] = defaultdict(list)
+        self._highest: dict[str, list[int]] = defaultdict(list)
         for e in writes:
-            known = self._greatest[e.database]
+            known = self._highest[e.database]
             known.append(max(e.last_id, known[-1] if known else 0))
             self._times[e.database].append(e.ended_s)
 
-    def before(self, database: str, at_s: float) -> int:
-        """Return the greatest row number acknowledged before a time."""
+    def highest_before(self, database: str, at_s: float) -> int:
+        """Return the highest row number acknowledged before a time."""
         count = bisect_left(self._times[database], at_s)
-        return self._greatest[database][count - 1] if count else 0
+        return self._highest[database][count - 1] if count else 0
 
 
-def _parts_of(rows: tuple[StoredRow, ...]) -> dict[str, list[int]]:
+def _group_parts_by_request(
+    rows: tuple[StoredRow, ...],
+) -> dict[str, list[int]]:
     parts: dict[str, list[int]] = defaultdict(list)
     for row in rows:
         parts[row.request].append(row.part)
@@ -286,7 +307,7 @@
     return any(count > 1 for count in Counter(parts).values())
 
 
-def _expected(entry: Entry) -> int:
+def _expected_parts(entry: Entry) -> int:
     return 1 if entry.kind is StepKind.WRITE else 2
 
 
--- a/packages/standins/src/trefoilpulley_standins/demo/observer.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/observer.py
@@ -1,4 +1,4 @@
-"""Asks the members themselves, apart from the proxy."""
+"""Reads the state and rows of members without the proxy."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
     from trefoilpulley_standins.layout import Layout
     from trefoilpulley_wire.channel import Channel
 
-TIMEOUT_S = 2.0
-"""Longest wait for a member's answer, in seconds."""
+CALL_TIMEOUT_S = 2.0
+"""Timeout of a call to a member, in seconds."""
 
-PAGE_ROWS = 2000
-"""Rows read at once."""
+ROWS_PER_PAGE = 2000
+"""Number of rows read by one statement."""
 
 
 class Observer:
-    """Connections to every member's replication port.
+    """Reads members directly, over their replication and member ports.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     """
 
     def __init__(self, layout: Layout) -> None:
@@ -44,26 +44,28 @@
         self._channels: dict[str, Channel] = {}
 
     def statuses(self, database: DatabaseEntry) -> tuple[MemberStatus, ...]:
-        """Return the status of each member that answers."""
-        found = (self._ask(m.name) for m in database.members)
+        """Return the status of each member that responds."""
+        found = (self._fetch_status(m.name) for m in database.members)
         return tuple(s for s in found if s is not None)
 
     def find_primary(self, database: DatabaseEntry) -> MemberStatus | None:
-        """Return the primary of the highest term."""
+        """Return the status of the primary with the highest term."""
         leaders = [s for s in self.statuses(database) if s.is_primary]
         return max(leaders, key=lambda s: s.term, default=None)
 
     def is_settled(self, database: DatabaseEntry) -> bool:
-        """Return whether every member holds the primary's whole log."""
+        """Return whether every replica holds the primary's entire log."""
         primary = self.find_primary(database)
         if primary is None:
             return False
         held = [a.position for a in primary.acknowledgements]
-        is_whole = len(held) == len(database.members) - 1
-        return is_whole and all(p == primary.history.last for p in held)
+        has_all_replicas = len(held) == len(database.members) - 1
+        return has_all_replicas and all(
+            p == primary.history.last for p in held
+        )
 
     def read_rows(self, member: MemberEntry) -> tuple[StoredRow, ...]:
-        """Return every row of a member."""
+        """Return all rows of a member in order of their numbers."""
         channel = dial(member.endpoint, MEMBER_CODEC).unwrap()
         rows: list[StoredRow] = []
         try:
@@ -74,7 +76,7 @@
         return tuple(rows)
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to the replication ports."""
         for channel in self._channels.values():
             channel.close()
 
@@ -83,20 +85,22 @@
         statement = Statement(
             f'select id, request, session, part from {table} '
             'order by id limit ? offset ?',
-            (PAGE_ROWS, offset),
+            (ROWS_PER_PAGE, offset),
         )
-        reply = channel.call(Read(statement, BEGINNING), TIMEOUT_S).unwrap()
+        reply = channel.call(
+            Read(statement, BEGINNING), CALL_TIMEOUT_S
+        ).unwrap()
         if not isinstance(reply, MemberResult):
             raise RuntimeError(reply.code)
         return [StoredRow(*row) for row in reply.result.rows]
 
-    def _ask(self, member: str) -> MemberStatus | None:
+    def _fetch_status(self, member: str) -> MemberStatus | None:
         channel = self._channels.get(member)
         if channel is None or not channel.is_open:
             endpoint = self._layout.replication[member]
-            dialled = dial(endpoint, REPLICATION_CODEC)
-            if not is_successful(dialled):
+            dialed = dial(endpoint, REPLICATION_CODEC)
+            if not is_successful(dialed):
                 return None
-            channel = self._channels[member] = dialled.unwrap()
-        reply = channel.call(Observe(), TIMEOUT_S)
+            channel = self._channels[member] = dialed.unwrap()
+        reply = channel.call(Observe(), CALL_TIMEOUT_S)
         return reply.unwrap().status if is_successful(reply) else None
--- a/packages/standins/src/trefoilpulley_standins/experiment/callers.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/callers.py
@@ -1,4 +1,4 @@
-"""Callers of an experiment."""
+"""Callers of an experiment, which generate its load."""
 
 from __future__ import annotations
 
@@ -25,55 +25,71 @@
     from trefoilpulley_wire.channel import Channel
 
 READ_CLASS = 'order-status'
-"""Class of the reads."""
+"""Class of work of the reads."""
 
 WRITE_CLASS = 'filing'
-"""Class of the writes."""
+"""Class of work of the writes."""
 
 READ_SQL = 'select coalesce(max(id), 0) from filings'
-"""Statement of the reads."""
+"""SQL statement of the reads."""
 
 WRITE_SQL = "insert into filings (request, session, part) values ('r', 's', 1)"
-"""Statement of the writes."""
+"""SQL statement of the writes."""
 
-LONGEST_MS = 60_000
-"""Greatest time that the histograms hold, in milliseconds."""
+MAX_RECORDED_MS = 60_000
+"""Longest response time that the histogram records, in milliseconds."""
 
-ANSWER_LIMIT_S = 5.0
-"""Longest wait for an answer, in seconds."""
+ANSWER_TIMEOUT_S = 5.0
+"""Timeout of dialing, authentication and statements, in seconds."""
 
-DIALS_AT_ONCE = 16
-"""Connections that are opened at once."""
+MAX_CONCURRENT_DIALS = 16
+"""Maximum number of idle connections dialed concurrently."""
 
-_US = 1000
+_SI_PREFIX_FACTOR = 1000
 
 
-def open_caller(layout: Layout, number: int) -> Channel | None:
-    """Open a caller's connection to one of the hosts; no link between."""
+def open_caller_channel(layout: Layout, number: int) -> Channel | None:
+    """Open an authenticated connection to a host, bypassing the links.
+
+    Parameters
+    ----------
+    layout : Layout
+        Layout of the running deployment.
+    number : int
+        Number of the caller; consecutive callers use consecutive hosts.
+
+    Returns
+    -------
+    Channel | None
+        Connection; ``None`` if dialing or authentication failed.
+    """
     host = layout.hosts[number % len(layout.hosts)]
-    opened = dial(host.listen, CALLER_CODEC, timeout_s=ANSWER_LIMIT_S)
+    opened = dial(host.listen, CALLER_CODEC, timeout_s=ANSWER_TIMEOUT_S)
     if not isinstance(opened, Success):
         return None
     channel = opened.unwrap()
     tenant = host.tenants[0]
-    greeted = channel.call(Hello(tenant.tenant, tenant.secret), ANSWER_LIMIT_S)
-    return channel if isinstance(greeted, Success) else None
+    welcomed = channel.call(
+        Hello(tenant.tenant, tenant.secret), ANSWER_TIMEOUT_S
+    )
+    return channel if isinstance(welcomed, Success) else None
 
 
 class Callers:
-    """Connections that are idle, and sessions that send statements.
+    """Idle connections and sessions that send statements.
 
-    Statements are sent at their times whether or not the earlier ones
-    have been answered, and their time counts from when they were due.
+    The load is an open loop: each statement is sent at its scheduled time,
+    even if earlier statements are unanswered, and its response time is
+    measured from the scheduled time.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     load : Load
-        Load.
+        Load to generate.
     seed : int
-        Seed of the statements' times and kinds.
+        Seed of the times and kinds of the statements.
     """
 
     def __init__(self, layout: Layout, load: Load, seed: int) -> None:
@@ -85,17 +101,19 @@
         self._pool = Pool()
         self._greenlets: list[gevent.Greenlet] = []
         self._is_measuring = False
-        self.histogram = HdrHistogram(1, LONGEST_MS * _US, 3)
-        """Times to the answers of the window, in microseconds."""
+        self.histogram = HdrHistogram(
+            1, MAX_RECORDED_MS * _SI_PREFIX_FACTOR, 3
+        )
+        """Response times during the measurement window, in microseconds."""
 
         self.outcomes: Counter[str] = Counter()
-        """Answers of the window, and refusals by code."""
+        """Number of answers and of failures by code during the window."""
 
     def start(self) -> None:
-        """Open the connections and begin to send."""
-        dialling = Pool(DIALS_AT_ONCE)
+        """Open the idle connections and start to send statements."""
+        dial_pool = Pool(MAX_CONCURRENT_DIALS)
         numbers = range(self._load.idle_callers)
-        opened = dialling.map(self._open, numbers)
+        opened = dial_pool.map(self._open, numbers)
         self._idle = [c for c in opened if c is not None]
         if not self._load.statements_per_s:
             return
@@ -104,11 +122,11 @@
             self._greenlets.append(gevent.spawn(self._run, number, rng))
 
     def begin_window(self) -> None:
-        """Count from now on."""
+        """Start to record response times and outcomes."""
         self._is_measuring = True
 
     def stop(self) -> None:
-        """Stop to send and close the connections."""
+        """Stop sending statements and close the idle connections."""
         self._is_measuring = False
         gevent.killall(self._greenlets)
         self._pool.kill()
@@ -116,36 +134,43 @@
             channel.close()
 
     def _open(self, number: int) -> Channel | None:
-        return open_caller(self._layout, number)
+        return open_caller_channel(self._layout, number)
 
     def _run(self, number: int, rng: random.Random) -> None:
-        rate = self._load.statements_per_s / self._load.callers
+        rate_per_s = self._load.statements_per_s / self._load.callers
         session = _Session(self._layout, number)
-        due = time.monotonic()
+        due_s = time.monotonic()
         count = 0
         while True:
-            due += rng.expovariate(rate)
-            gevent.sleep(max(due - time.monotonic(), 0))
+            due_s += rng.expovariate(rate_per_s)
+            gevent.sleep(max(due_s - time.monotonic(), 0))
             count += 1
             name = f'{self._prefix}-{number}-{count}'
             request = self._make_request(name, rng)
-            self._pool.spawn(self._send, session, request, due)
+            self._pool.spawn(self._send, session, request, due_s)
 
     def _make_request(self, name: str, rng: random.Random) -> Execute:
         databases = self._layout.databases
-        used = self._load.databases_in_use or len(databases)
-        database = databases[rng.randrange(used)].name
+        used_count = self._load.databases_in_use or len(databases)
+        database = databases[rng.randrange(used_count)].name
         if rng.random() < self._load.write_share:
             return Execute(name, WRITE_CLASS, database, WRITE_SQL)
         return Execute(name, READ_CLASS, database, READ_SQL)
 
-    def _send(self, session: _Session, request: Execute, due: float) -> None:
+    def _send(self, session: _Session, request: Execute, due_s: float) -> None:
         reply = session.call(request)
         if not self._is_measuring:
             return
         if isinstance(reply, Answer):
-            taken_us = max(1, int((time.monotonic() - due) * _US * _US))
-            self.histogram.record_value(taken_us)
+            response_us = max(
+                1,
+                int(
+                    (time.monotonic() - due_s)
+                    * _SI_PREFIX_FACTOR
+                    * _SI_PREFIX_FACTOR
+                ),
+            )
+            self.histogram.record_value(response_us)
             self.outcomes['answered'] += 1
         else:
             self.outcomes[getattr(reply, 'code', 'unreachable')] += 1
@@ -160,7 +185,7 @@
 
     def call(self, request: Execute) -> Any:
         if self._channel is None or not self._channel.is_open:
-            self._channel = open_caller(self._layout, self._number)
+            self._channel = open_caller_channel(self._layout, self._number)
         if self._channel is None:
             self._number += 1
             return None
@@ -171,7 +196,7 @@
             request.sql,
             token=self._token,
         )
-        reply = self._channel.call(message, ANSWER_LIMIT_S).value_or(None)
+        reply = self._channel.call(message, ANSWER_TIMEOUT_S).value_or(None)
         if isinstance(reply, Answer):
             self._token = reply.token
         return reply
--- a/packages/standins/src/trefoilpulley_standins/experiment/causes.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/causes.py
@@ -1,4 +1,4 @@
-"""Causes the faults and changes of an experiment at their times."""
+"""Injects the faults and configuration changes of an experiment."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import gevent
 
-from trefoilpulley_standins.demo.orders import Orders
+from trefoilpulley_standins.demo.orders import ControlClient
 from trefoilpulley_standins.experiment.spec import Fault
 from trefoilpulley_standins.experiment.spec import FaultKind
 
@@ -20,63 +20,65 @@
 _MINUTE_S = 60.0
 
 
-class Causes:
-    """Faults and changes of one point.
+class FaultInjector:
+    """Injects the faults and configuration changes of one point.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     processes : Processes
-        Its processes.
-    say : Callable[[str], None]
-        Tells a person what happens.
+        Processes of the deployment.
+    report_progress : Callable[[str], None]
+        Callback that receives progress messages.
     """
 
     def __init__(
         self,
         layout: Layout,
         processes: Processes,
-        say: Callable[[str], None],
+        report_progress: Callable[[str], None],
     ) -> None:
         self._processes = processes
-        self._orders = Orders(layout)
-        self._say = say
+        self._control = ControlClient(layout)
+        self._report_progress = report_progress
         self._greenlets: list[gevent.Greenlet] = []
         self.changes = 0
-        """Changes of the declarations so far."""
+        """Number of configuration changes made so far."""
 
     def start(self, experiment: Experiment) -> None:
-        """Begin the window's faults and changes."""
+        """Schedule the faults and start the configuration changes."""
         self._greenlets = [
-            gevent.spawn_later(fault.at_s, self._cause, fault)
+            gevent.spawn_later(fault.at_s, self._inject, fault)
             for fault in experiment.faults
         ]
-        rate = experiment.load.changes_per_min
-        if rate:
-            self._greenlets.append(gevent.spawn(self._change, rate))
+        changes_per_min = experiment.load.changes_per_min
+        if changes_per_min:
+            self._greenlets.append(
+                gevent.spawn(self._change_repeatedly, changes_per_min)
+            )
 
     def stop(self) -> None:
-        """Cause nothing more."""
+        """Cancel all pending faults and configuration changes."""
         gevent.killall(self._greenlets)
 
-    def _cause(self, fault: Fault) -> None:
-        self._say(f'    {fault.kind} {fault.target}')
+    def _inject(self, fault: Fault) -> None:
+        self._report_progress(f'    {fault.kind} {fault.target}')
         match fault.kind:
             case FaultKind.KILL_HOST:
                 self._processes.kill(fault.target)
             case FaultKind.START_HOST:
                 self._processes.start_host(fault.target)
             case FaultKind.CUT_ZONE:
-                self._orders.cut_zone(fault.target)
+                self._control.cut_zone(fault.target)
             case FaultKind.HEAL:
-                self._orders.heal()
+                self._control.heal()
             case FaultKind.SERVICE_DOWN | FaultKind.SERVICE_UP:
                 is_down = fault.kind is FaultKind.SERVICE_DOWN
-                self._orders.set_down(is_down)
+                self._control.set_service_down(is_down)
 
-    def _change(self, rate: float) -> None:
+    def _change_repeatedly(self, changes_per_min: float) -> None:
         while True:
-            gevent.sleep(_MINUTE_S / rate)
-            self._orders.declare_stops(())
+            gevent.sleep(_MINUTE_S / changes_per_min)
+            self._control.declare_stops(())
             self.changes += 1
--- a/packages/standins/src/trefoilpulley_standins/experiment/groups.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/groups.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment whose members share a few of them."""
+"""Deployment processes with several members per process."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
     from trefoilpulley_standins.layout import Layout
 
-GROUP_MEMBERS = 24
-"""Members that share a process."""
+MEMBERS_PER_PROCESS = 24
+"""Maximum number of members in one process."""
 
 
 class GroupedProcesses(Processes):
-    """Starts several members in each process.
+    """Processes of a deployment that run the members in groups.
 
     Parameters
     ----------
     layout : Layout
-        Settings of the processes.
+        Layout of the deployment to start.
     directory : Path
         Directory of the settings files and logs.
     """
@@ -32,17 +32,21 @@
         super().__init__(layout, directory)
         members = layout.members.members
         self._groups = {
-            members[first].name: members[first : first + GROUP_MEMBERS]
-            for first in range(0, len(members), GROUP_MEMBERS)
+            members[first].name: members[first : first + MEMBERS_PER_PROCESS]
+            for first in range(0, len(members), MEMBERS_PER_PROCESS)
         }
-        self._group_dir = directory
+        self._settings_directory = directory
 
     def start_member(self, name: str) -> None:
-        """Start the group whose first member this is."""
+        """Start the process whose first member has this name.
+
+        Names of other members are ignored, because the process of the first
+        member of the group runs them.
+        """
         group = self._groups.get(name)
         if group is None:
             return
         key = f'group-{name.replace("/", "-")}'
-        path = self._group_dir / f'{key}.json'
+        path = self._settings_directory / f'{key}.json'
         path.write_text(dump_group(GroupSettings(group)), encoding='utf-8')
         self._start_module('group', path, key=key)
--- a/packages/standins/src/trefoilpulley_standins/experiment/probe.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/probe.py
@@ -1,4 +1,4 @@
-"""Samples of the processes of a running deployment."""
+"""Samples of the hosts and the service of a running deployment."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from returns.result import Success
 
 from trefoilpulley_core.caller import GetState
-from trefoilpulley_standins.demo.orders import Orders
+from trefoilpulley_standins.demo.orders import ControlClient
 from trefoilpulley_wire.caller_codec import CALLER_CODEC
 from trefoilpulley_wire.dial import dial
 
@@ -23,155 +23,159 @@
     from trefoilpulley_standins.processes import Processes
     from trefoilpulley_wire.channel import Channel
 
-READY_LIMIT_S = 20.0
-"""Longest wait for every host to hold the declarations, in seconds."""
+READY_TIMEOUT_S = 20.0
+"""Time limit for all hosts and members to be ready, in seconds."""
 
-ANSWER_LIMIT_S = 3.0
-"""Longest wait for a state dump, in seconds."""
+ANSWER_TIMEOUT_S = 3.0
+"""Timeout of fetching a state dump, in seconds."""
 
-_POLL_S = 0.2
+_POLL_INTERVAL_S = 0.2
 _KIB = 1024.0
 
 
 @dataclass(frozen=True, slots=True)
 class HostSample:
-    """One host at one time."""
+    """Sample of one host process."""
 
     host: str
-    """Name of the host."""
+    """Name of the entry host."""
 
     pid: int
-    """Number of its process."""
+    """Process identifier of the host."""
 
     at_s: float
-    """Monotonic time in seconds."""
+    """Monotonic time of the sample, in seconds."""
 
     cpu_s: float
-    """Processor time of the process, in seconds."""
+    """CPU time used by the process so far, in seconds."""
 
     rss_kb: float
-    """Resident memory in KiB."""
+    """Resident memory of the process, in KiB."""
 
     state: dict[str, Any]
-    """State dump; empty where the host gave none."""
+    """State dump of the host; empty if the host returned none."""
 
     @property
-    def pooled(self) -> frozenset[str]:
-        """Names of the members that the host pools."""
+    def pooled_members(self) -> frozenset[str]:
+        """Names of the members to which the host pools connections."""
         found = self.state.get('pooler', {}).get('members', ())
         return frozenset(m['member'] for m in found)
 
     @property
     def acting_shards(self) -> int:
-        """Shards that the host coordinates."""
+        """Number of shards that the host coordinates."""
         shards = self.state.get('coordination', {}).get('shards', ())
         return sum(s['is_acting'] for s in shards)
 
     @property
     def callers(self) -> int:
-        """Connections of callers."""
+        """Number of callers connected to the host."""
         return self.state.get('entry', {}).get('callers', 0)
 
     def messages(self, side: str) -> Counter[str]:
-        """Return the messages by type of one side."""
-        return self._counts(side, 'messages')
+        """Return the number of messages by type, with peers or members."""
+        return self._counts_by_type(side, 'messages')
 
-    def sizes(self, side: str) -> Counter[str]:
-        """Return the bytes by type of one side."""
-        return self._counts(side, 'size_bytes')
+    def size_bytes(self, side: str) -> Counter[str]:
+        """Return the number of bytes by type, with peers or members."""
+        return self._counts_by_type(side, 'size_bytes')
 
-    def _counts(self, side: str, field: str) -> Counter[str]:
+    def _counts_by_type(self, side: str, field: str) -> Counter[str]:
         found = self.state.get('traffic', {}).get(side, ())
         return Counter({t['message']: t[field] for t in found})
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The deployment at one time."""
+    """Sample of a deployment."""
 
     hosts: tuple[HostSample, ...]
-    """Each running host."""
+    """Samples of the running hosts."""
 
     calls: Counter[str]
-    """Calls to the platform's service by kind and zone."""
+    """Number of calls to the platform service by kind and by zone."""
 
     at_s: float
-    """Monotonic time in seconds."""
+    """Monotonic time of the sample, in seconds."""
 
 
 class Probe:
-    """Takes samples of the hosts and of the platform's service.
+    """Takes samples of the hosts and the platform service.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     processes : Processes
-        Its processes.
+        Processes of the deployment.
     """
 
     def __init__(self, layout: Layout, processes: Processes) -> None:
         self._layout = layout
         self._processes = processes
-        self._orders = Orders(layout)
+        self._control = ControlClient(layout)
         self._channels: dict[str, Channel] = {}
 
     def wait_ready(self) -> None:
-        """Wait until every host and every member serves."""
-        with gevent.Timeout(READY_LIMIT_S):
+        """Wait until all hosts have declarations and reach all members."""
+        with gevent.Timeout(READY_TIMEOUT_S):
             while not self._is_ready():
-                gevent.sleep(_POLL_S)
+                gevent.sleep(_POLL_INTERVAL_S)
 
-    def sample(self) -> Sample:
-        """Return the present state of everything that runs."""
+    def take_sample(self) -> Sample:
+        """Return a sample of the hosts and the platform service."""
         hosts = (self._sample_host(h) for h in self._layout.hosts)
         return Sample(
             tuple(h for h in hosts if h is not None),
-            Counter(self._orders.count_calls()),
+            Counter(self._control.calls_by_kind()),
             time.monotonic(),
         )
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to the hosts."""
         for channel in self._channels.values():
             channel.close()
 
     def _is_ready(self) -> bool:
-        states = [self._ask(h) for h in self._layout.hosts]
+        states = [self._fetch_state(h) for h in self._layout.hosts]
         if not all(_has_declarations(s) for s in states):
             return False
-        reached = {m for state in states for m in _reachable(state)}
-        return len(reached) == len(self._layout.members.members)
+        reached_members = {
+            m for state in states for m in _reachable_members(state)
+        }
+        return len(reached_members) == len(self._layout.members.members)
 
     def _sample_host(self, host: NodeSettings) -> HostSample | None:
         try:
             pid = self._processes.pid_of(host.host)
             process = psutil.Process(pid)
-            spent = process.cpu_times()
+            cpu_times = process.cpu_times()
             rss_kb = process.memory_info().rss / _KIB
         except (KeyError, psutil.NoSuchProcess):
             return None
         at_s = time.monotonic()
-        cpu_s = spent.user + spent.system
-        state = self._ask(host)
+        cpu_s = cpu_times.user + cpu_times.system
+        state = self._fetch_state(host)
         return HostSample(host.host, pid, at_s, cpu_s, rss_kb, state)
 
-    def _ask(self, host: NodeSettings) -> dict[str, Any]:
+    def _fetch_state(self, host: NodeSettings) -> dict[str, Any]:
         channel = self._channels.get(host.host)
         if channel is None or not channel.is_open:
-            opened = dial(host.listen, CALLER_CODEC, timeout_s=ANSWER_LIMIT_S)
-            if not isinstance(opened, Success):
+            dialed = dial(
+                host.listen, CALLER_CODEC, timeout_s=ANSWER_TIMEOUT_S
+            )
+            if not isinstance(dialed, Success):
                 return {}
-            channel = self._channels[host.host] = opened.unwrap()
-        reply = channel.call(GetState(host.operator_secret), ANSWER_LIMIT_S)
+            channel = self._channels[host.host] = dialed.unwrap()
+        reply = channel.call(GetState(host.operator_secret), ANSWER_TIMEOUT_S)
         return getattr(reply.value_or(None), 'state', {})
 
 
 def _has_declarations(state: dict[str, Any]) -> bool:
-    held = state.get('configuration', {})
-    return held.get('configuration_revision', 0) > 0
+    applied = state.get('configuration', {})
+    return applied.get('configuration_revision', 0) > 0
 
 
-def _reachable(state: dict[str, Any]) -> list[str]:
-    pooled = state.get('pooler', {}).get('members', ())
-    return [m['member'] for m in pooled if m['is_reachable']]
+def _reachable_members(state: dict[str, Any]) -> list[str]:
+    pooled_members = state.get('pooler', {}).get('members', ())
+    return [m['member'] for m in pooled_members if m['is_reachable']]
--- a/packages/standins/src/trefoilpulley_standins/experiment/run.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/run.py
@@ -1,4 +1,4 @@
-"""Runs an experiment point by point."""
+"""Runs the points of an experiment one after another."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import psutil
 
 from trefoilpulley_standins.experiment.callers import Callers
-from trefoilpulley_standins.experiment.causes import Causes
+from trefoilpulley_standins.experiment.causes import FaultInjector
 from trefoilpulley_standins.experiment.figures import make_figures
 from trefoilpulley_standins.experiment.figures import Window
 from trefoilpulley_standins.experiment.groups import GroupedProcesses
@@ -27,64 +27,73 @@
     from trefoilpulley_standins.experiment.spec import Experiment
     from trefoilpulley_standins.layout import Layout
 
-OUTPUT = Path('build/experiments')
-"""Directory of the results."""
+RESULTS_DIRECTORY = Path('build/experiments')
+"""Default parent directory of the results."""
 
-MEMORY_SHARE = 0.5
-"""Share of the machine's memory above which no point starts."""
+MAX_MEMORY_SHARE = 0.5
+"""Share of used memory above which no point is started."""
 
-START_ATTEMPTS = 3
-"""Attempts to start a deployment."""
+MAX_START_ATTEMPTS = 3
+"""Maximum number of attempts to start a deployment."""
 
 
-class MemoryShort(RuntimeError):
-    """Half of the machine's memory is in use."""
+class InsufficientMemory(RuntimeError):
+    """Too much of the machine's memory is in use to start a point."""
 
 
 def run_experiment(
     experiment: Experiment,
     directory: Path,
-    say: Callable[[str], None],
+    report_progress: Callable[[str], None],
 ) -> tuple[PointResult, ...]:
-    """Run every point and write the results after each.
+    """Run all points and write the results after each point.
 
     Parameters
     ----------
     experiment : Experiment
-        Checked experiment.
+        Validated experiment.
     directory : Path
-        Directory of the results.
-    say : Callable[[str], None]
-        Tells a person how far the run is.
+        Directory of the results, settings files and logs.
+    report_progress : Callable[[str], None]
+        Callback that receives progress messages.
+
+    Returns
+    -------
+    tuple[PointResult, ...]
+        Results in the order of the points.
     """
     directory.mkdir(parents=True, exist_ok=True)
     results: list[PointResult] = []
     values = experiment.sweep.values
     for number, value in enumerate(values, 1):
-        say(
+        report_progress(
             f'{experiment.name} {number}/{len(values)}: '
             f'{experiment.sweep.path} = {value:g}'
         )
         _check_memory()
-        results.append(_run_point(experiment.at(value), value, directory, say))
+        results.append(
+            _run_point(
+                experiment.with_value(value), value, directory, report_progress
+            )
+        )
         dump_results(directory / RESULTS_FILE, results)
     return tuple(results)
 
 
 def _check_memory() -> None:
-    if psutil.virtual_memory().percent > MEMORY_SHARE * 100:
-        raise MemoryShort()
+    if psutil.virtual_memory().percent > MAX_MEMORY_SHARE * 100:
+        raise InsufficientMemory()
 
 
 def _run_point(
     experiment: Experiment,
     value: float,
     directory: Path,
-    say: Callable[[str], None],
+    report_progress: Callable[[str], None],
 ) -> PointResult:
     point_dir = directory / f'run-{value:g}'
     layout, processes = _start(experiment, point_dir)
-    point = _Point(experiment, layout, processes, say)
+    point = _Point(experiment, layout, processes, report_progress)
     try:
         point.run()
     finally:
@@ -95,23 +104,25 @@
         experiment.sweep.path,
         value,
         experiment.seed,
-        make_figures(point.window, point.callers, point.causes.changes),
+        make_figures(
+            point.window, point.callers, point.fault_injector.changes
+        ),
     )
 
 
 def _start(
     experiment: Experiment, directory: Path
 ) -> tuple[Layout, GroupedProcesses]:
-    size = experiment.deployment.to_deployment()
-    for attempts_left in reversed(range(START_ATTEMPTS)):
-        layout = make_layout(size, directory, experiment.seed)
+    deployment = experiment.deployment.to_deployment()
+    for attempts_left in reversed(range(MAX_START_ATTEMPTS)):
+        layout = make_layout(deployment, directory, experiment.seed)
         processes = GroupedProcesses(layout, directory)
         try:
             processes.start()
             _wait_ready(layout, processes)
             return layout, processes
         except (ProcessFailed, gevent.Timeout):
-            # Another process may have taken a port that was free.
+            # Another process may have bound a port after it was chosen.
             processes.stop()
             if not attempts_left:
                 raise
@@ -131,25 +142,25 @@
         experiment: Experiment,
         layout: Layout,
         processes: GroupedProcesses,
-        say: Callable[[str], None],
+        report_progress: Callable[[str], None],
     ) -> None:
         self._experiment = experiment
         self._probe = Probe(layout, processes)
         self.callers = Callers(layout, experiment.load, experiment.seed)
-        self.causes = Causes(layout, processes, say)
+        self.fault_injector = FaultInjector(layout, processes, report_progress)
         self.window: Window
 
     def run(self) -> None:
         try:
             self.callers.start()
             gevent.sleep(self._experiment.settle_s)
-            before = self._probe.sample()
+            before = self._probe.take_sample()
             self.callers.begin_window()
-            self.causes.start(self._experiment)
+            self.fault_injector.start(self._experiment)
             gevent.sleep(self._experiment.window_s)
-            self.window = Window(before, self._probe.sample())
+            self.window = Window(before, self._probe.take_sample())
         finally:
-            self.causes.stop()
+            self.fault_injector.stop()
             self.callers.stop()
             self._probe.close()
 
--- a/packages/standins/src/trefoilpulley_standins/figures/marks.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/marks.py
@@ -1,4 +1,4 @@
-"""Times in the hosts' logs."""
+"""Times of promotions and documents, read from the hosts' logs."""
 
 from __future__ import annotations
 
@@ -11,56 +11,56 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-_NOTICE = 'tp1501'
-_IN_FORCE = 'tp1402'
+_NOTICE_TYPE = 'tp1501'
+_DOCUMENT_APPLIED_TYPE = 'tp1402'
 
 
 @dataclass(frozen=True, slots=True)
 class Promotion:
-    """Promotion of a member, in seconds since the start of the load."""
+    """Promotion of a member; times count from the start of the load."""
 
     database: str
-    """Database."""
+    """Name of the database."""
 
     primary: str
-    """Member that was promoted."""
+    """Name of the promoted member."""
 
     reason: str
-    """Why the promotion began."""
+    """Reason for the promotion."""
 
     began_s: float
-    """Time at which it began."""
+    """Start of the promotion, in seconds."""
 
     promoted_s: float
-    """Time at which the member led."""
+    """Time at which the member became primary, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
-    """Document that a host has put in force."""
+class AppliedDocument:
+    """Document that a host applied."""
 
     host: str
     """Name of the host."""
 
     kind: str
-    """Kind of the document."""
+    """Kind of the document, such as ``configuration``."""
 
     revision: int
-    """Revision."""
+    """Revision of the document."""
 
     at_s: float
-    """Time, in seconds since the start of the load."""
+    """Time of applying, in seconds since the start of the load."""
 
 
 class HostLogs:
-    """Logs of the hosts of a run.
+    """Log files of the hosts of a run.
 
     Parameters
     ----------
     directory : Path
-        Directory of the logs.
+        Directory of the log files.
     started_at : float
-        Time of day of the load's start, in seconds.
+        Unix time of the start of the load, in seconds.
     """
 
     def __init__(self, directory: Path, started_at: float) -> None:
@@ -68,46 +68,49 @@
         self._started_at = started_at
 
     def promotions(self) -> tuple[Promotion, ...]:
-        """Return the promotions in the order of their ends."""
+        """Return the completed promotions in the order of completion."""
         found = [p for path in self._paths for p in self._promotions_in(path)]
         return tuple(sorted(found, key=lambda p: p.promoted_s))
 
-    def documents(self) -> tuple[InForce, ...]:
-        """Return when each host put which document in force."""
+    def documents(self) -> tuple[AppliedDocument, ...]:
+        """Return the documents that each host applied."""
         return tuple(
-            InForce(
-                path.stem, line['kind'], line['revision'], self._time_of(line)
+            AppliedDocument(
+                path.stem,
+                event['kind'],
+                event['revision'],
+                self._time_of(event),
             )
             for path in self._paths
-            for line in _lines(path, _IN_FORCE)
+            for event in _read_events(path, _DOCUMENT_APPLIED_TYPE)
         )
 
     def _promotions_in(self, path: Path) -> Iterator[Promotion]:
         began: dict[tuple[str, str], dict[str, Any]] = {}
-        for line in _lines(path, _NOTICE):
-            details = line['details']
+        for event in _read_events(path, _NOTICE_TYPE):
+            details = event['details']
             key = (details['database'], details.get('term', ''))
-            if line['notice'] == 'PromotionBegan':
-                began[key] = line
-            if line['notice'] == 'PrimaryPromoted' and key in began:
+            if event['notice'] == 'PromotionBegan':
+                began[key] = event
+            if event['notice'] == 'PrimaryPromoted' and key in began:
                 first = began[key]
                 yield Promotion(
                     details['database'],
                     details['primary'],
                     first['details']['reason'],
                     self._time_of(first),
-                    self._time_of(line),
+                    self._time_of(event),
                 )
 
-    def _time_of(self, line: dict[str, Any]) -> float:
-        return line['timestamp'] - self._started_at
+    def _time_of(self, event: dict[str, Any]) -> float:
+        return event['timestamp'] - self._started_at
 
 
-def _lines(path: Path, message_type: str) -> Iterator[dict[str, Any]]:
+def _read_events(path: Path, message_type: str) -> Iterator[dict[str, Any]]:
     with path.open(encoding='utf-8') as lines:
         for text in lines:
             if message_type not in text:
                 continue
-            line = json.loads(text)
-            if line.get('message_type') == message_type:
-                yield line
+            event = json.loads(text)
+            if event.get('message_type') == message_type:
+                yield event
--- a/packages/standins/src/trefoilpulley_standins/figures/scene.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/scene.py
@@ -1,4 +1,4 @@
-"""A deployment under load, with what a run does to it."""
+"""Running deployment under load, as the parts use it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from trefoilpulley_standins.demo.journal import dump_journal
 from trefoilpulley_standins.demo.journal import Verdict
 from trefoilpulley_standins.demo.observer import Observer
-from trefoilpulley_standins.demo.orders import Orders
+from trefoilpulley_standins.demo.orders import ControlClient
 from trefoilpulley_standins.demo.workload import Step
 from trefoilpulley_standins.demo.workload import StepKind
 from trefoilpulley_standins.figures.marks import HostLogs
@@ -35,29 +35,29 @@
     from trefoilpulley_standins.layout import Layout
     from trefoilpulley_standins.processes import Processes
 
-READY_LIMIT_S = 15.0
-"""Longest wait for every host to hold the declarations, in seconds."""
+READY_TIMEOUT_S = 15.0
+"""Time limit for all hosts to apply the declarations, in seconds."""
 
-CALLERS_LIMIT_S = 12.0
-"""Longest wait for the callers after the load, in seconds."""
+CALLERS_TIMEOUT_S = 12.0
+"""Time limit for callers to finish after the load, in seconds."""
 
-SETTLE_LIMIT_S = 10.0
-"""Longest wait for the replicas at the end, in seconds."""
+CATCH_UP_TIMEOUT_S = 10.0
+"""Time limit for replicas to catch up at the end, in seconds."""
 
-_POLL_S = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
-class Scene:
-    """Deployment that runs, its callers and the ways to its parts.
+class Testbed:
+    """Running deployment with its load and the clients to control it.
 
     Parameters
     ----------
     layout : Layout
-        Deployment.
+        Layout of the running deployment.
     processes : Processes
-        Its processes.
+        Processes of the deployment.
     directory : Path
-        Directory of the settings files and logs.
+        Directory of the settings files, logs and journal.
     seed : int
         Seed of the callers.
     """
@@ -70,40 +70,44 @@
         seed: int,
     ) -> None:
         self.layout = layout
-        """Deployment."""
+        """Layout of the running deployment."""
 
         self.processes = processes
-        """Its processes."""
+        """Processes of the deployment."""
 
-        self.orders = Orders(layout)
-        """Way to the service and the links."""
+        self.control = ControlClient(layout)
+        """Control client of the service and the links."""
 
         self.observer = Observer(layout)
-        """Way to the members."""
+        """Direct access to the members."""
 
         self._directory = directory
         self._seed = seed
         self._callers: list[gevent.Greenlet] = []
-        self._is_over = False
+        self._has_ended = False
 
     def begin_load(self, steps: Iterable[Step]) -> None:
-        """Wait for the hosts, then let the sessions take their steps."""
-        with gevent.Timeout(READY_LIMIT_S):
-            while not self._is_ready():
-                gevent.sleep(_POLL_S)
-        own: dict[int, list[Step]] = defaultdict(list)
+        """Wait until all hosts are ready, then start the sessions."""
+        with gevent.Timeout(READY_TIMEOUT_S):
+            while not self._is_configured():
+                gevent.sleep(_POLL_INTERVAL_S)
+        steps_by_session: dict[int, list[Step]] = defaultdict(list)
         for step in steps:
-            own[step.session].append(step)
+            steps_by_session[step.session].append(step)
         self.journal = Journal()
         self._started_at = time.time()
         self._callers = [
-            gevent.spawn(self._make_caller(n, s).run) for n, s in own.items()
+            gevent.spawn(self._make_session_caller(n, s).run)
+            for n, s in steps_by_session.items()
         ]
 
     def end_load(self) -> Checker:
-        """End the load and return the judge of the run."""
-        self._is_over = True
-        gevent.joinall(self._callers, timeout=CALLERS_LIMIT_S)
+        """Stop the load, write the journal and return a checker of the run.
+
+        Waits until the replicas have caught up with their primaries.
+        """
+        self._has_ended = True
+        gevent.joinall(self._callers, timeout=CALLERS_TIMEOUT_S)
         gevent.killall(self._callers)
         dump_journal(self._directory / 'journal.jsonl', self.journal.entries)
         members = self._read_members()
@@ -112,41 +116,44 @@
     def make_checker(
         self, entries: Iterable, members: tuple[MemberRows, ...] = ()
     ) -> Checker:
-        """Return a judge of some entries."""
+        """Return a checker of the given journal entries."""
         declarations = load_declarations(self.layout.deployment)
         return Checker(entries, members, declarations)
 
     @property
-    def home_rows(self) -> tuple[MemberRows, ...]:
-        """The home primaries, without rows."""
+    def home_primaries(self) -> tuple[MemberRows, ...]:
+        """Home primaries of all databases, without rows."""
         return tuple(
             MemberRows(d.name, d.members[0].name, ())
             for d in self.layout.databases
         )
 
-    def logs(self) -> HostLogs:
-        """Return the hosts' logs."""
+    def host_logs(self) -> HostLogs:
+        """Return the log files of the hosts."""
         return HostLogs(self._directory, self._started_at)
 
-    def keep_states(self, when: str) -> None:
-        """Write the state of each host into the run's directory."""
+    def save_states(self, when: str) -> None:
+        """Write the state dump of each host to the directory of the run."""
         for route in self.layout.routes:
-            state = self.orders.state_of(route.endpoint)
+            state = self.control.state_of(route.endpoint)
             path = self._directory / f'state-{when}-{route.host}.json'
             text = json.dumps(state, indent=1, default=str)
             path.write_text(text, encoding='utf-8')
 
-    def wait(self, check: Callable[[], bool], limit_s: float) -> bool:
-        """Wait for a check to hold; return whether it did in time."""
-        deadline = self.journal.now_s + limit_s
+    def wait_until(self, check: Callable[[], bool], timeout_s: float) -> bool:
+        """Wait until a check succeeds; return whether it did in time."""
+        deadline = self.journal.now_s + timeout_s
         while not check():
             if self.journal.now_s > deadline:
                 return False
-            gevent.sleep(_POLL_S)
+            gevent.sleep(_POLL_INTERVAL_S)
         return True
 
-    def leader_of(self, database: DatabaseEntry) -> str:
-        """Return the member that acknowledged the latest write."""
+    def primary_of(self, database: DatabaseEntry) -> str:
+        """Return the member that acknowledged the database's latest write.
+
+        Returns an empty string before the first acknowledged write.
+        """
         for entry in reversed(self.journal.entries):
             if entry.kind is StepKind.READ or not entry.member:
                 continue
@@ -155,28 +162,28 @@
                 return entry.member
         return ''
 
-    def is_home(self, databases: Iterable[DatabaseEntry]) -> bool:
-        """Return whether each database's writes are at its home primary."""
-        return all(self.leader_of(d) == d.members[0].name for d in databases)
+    def has_home_primaries(self, databases: Iterable[DatabaseEntry]) -> bool:
+        """Return whether all databases are written at their home primaries."""
+        return all(self.primary_of(d) == d.members[0].name for d in databases)
 
-    def _is_ready(self) -> bool:
+    def _is_configured(self) -> bool:
         routes = self.layout.routes
-        return all(self.orders.revision_of(r.endpoint) for r in routes)
+        return all(self.control.revision_of(r.endpoint) for r in routes)
 
-    def _make_caller(self, number: int, steps: list[Step]) -> Caller:
+    def _make_session_caller(self, number: int, steps: list[Step]) -> Caller:
         return Caller(
             self.layout,
             self.journal,
             f's{number}',
-            takewhile(lambda _: not self._is_over, steps),
+            takewhile(lambda _: not self._has_ended, steps),
             self._seed * 1000 + number,
         )
 
     def _read_members(self) -> tuple[MemberRows, ...]:
         databases = self.layout.databases
-        with gevent.Timeout(SETTLE_LIMIT_S):
+        with gevent.Timeout(CATCH_UP_TIMEOUT_S):
             while not all(self.observer.is_settled(d) for d in databases):
-                gevent.sleep(_POLL_S)
+                gevent.sleep(_POLL_INTERVAL_S)
         return tuple(
             MemberRows(d.name, m.name, self.observer.read_rows(m))
             for d in databases
@@ -185,12 +192,14 @@
 
 
 @contextmanager
-def open_scene(layout: Layout, directory: Path, seed: int) -> Iterator[Scene]:
-    """Start a deployment; end it in any case."""
+def open_testbed(
+    layout: Layout, directory: Path, seed: int
+) -> Iterator[Testbed]:
+    """Start a deployment, and stop it when the context ends."""
     processes = start_deployment(layout, directory)
-    scene = Scene(layout, processes, directory, seed)
+    testbed = Testbed(layout, processes, directory, seed)
     try:
-        yield scene
+        yield testbed
     finally:
-        scene.observer.close()
+        testbed.observer.close()
         processes.stop()
--- a/packages/standins/src/trefoilpulley_standins/figures/stalls.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/stalls.py
@@ -1,4 +1,4 @@
-"""Stalls of the measuring process, which blur every time it takes."""
+"""Detection of stalls in the measuring process, which distort times."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 import gevent
 
-TICK_S = 0.02
-"""Time between two looks at the clock, in seconds."""
+TICK_INTERVAL_S = 0.02
+"""Interval between two checks of the clock, in seconds."""
 
 
-class StallWatch:
-    """Keeps the longest time for which this process did not run."""
+class StallMonitor:
+    """Records the longest time for which this process did not run."""
 
     def __init__(self) -> None:
         self.longest_s = 0.0
-        """Longest stall in seconds."""
+        """Duration of the longest stall, in seconds."""
 
         self._greenlet = gevent.spawn(self._run)
 
     def stop(self) -> None:
-        """End the watch."""
+        """Stop checking the clock."""
         self._greenlet.kill()
 
     def _run(self) -> None:
         while True:
-            began = time.monotonic()
-            gevent.sleep(TICK_S)
-            late_s = time.monotonic() - began - TICK_S
+            began_s = time.monotonic()
+            gevent.sleep(TICK_INTERVAL_S)
+            late_s = time.monotonic() - began_s - TICK_INTERVAL_S
             self.longest_s = max(self.longest_s, late_s)
--- a/packages/standins/src/trefoilpulley_standins/figures/targets.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/targets.py
@@ -1,4 +1,4 @@
-"""Targets of the figures."""
+"""Targets that the figures must meet."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Bound of a figure."""
+    """Bounds of the values of a figure."""
 
     figure: str
-    """First part of the figure's name."""
+    """Prefix of the figure's name."""
 
     worst: float
-    """Bound of the worst value."""
+    """Bound for the worst value."""
 
     median: float | None = None
-    """Bound of the median, where there is one."""
+    """Bound for the median; ``None`` if there is none."""
 
-    is_floor: bool = False
-    """Whether values must not be below it; otherwise not above it."""
+    is_minimum: bool = False
+    """Whether the bounds are minimums; otherwise they are maximums."""
 
-    def worst_of(self, values: list[float]) -> float:
-        """Return the worst value."""
-        return min(values) if self.is_floor else max(values)
+    def worst_value(self, values: list[float]) -> float:
+        """Return the value that is worst for this target."""
+        return min(values) if self.is_minimum else max(values)
 
     def is_met(self, values: list[float | None]) -> bool:
-        """Return whether values meet the target."""
+        """Return whether the values meet the target; ``None`` never does."""
         if any(v is None for v in values):
             return False
-        return self._holds(self.worst_of(values), self.worst) and (
+        return self._comparison(self.worst_value(values), self.worst) and (
             self.median is None
-            or self._holds(statistics.median(values), self.median)
+            or self._comparison(statistics.median(values), self.median)
         )
 
     @property
-    def _holds(self) -> Callable[[float, float], bool]:
-        return operator.ge if self.is_floor else operator.le
+    def _comparison(self) -> Callable[[float, float], bool]:
+        return operator.ge if self.is_minimum else operator.le
 
     def __str__(self) -> str:
-        """Return the target as the table shows it."""
-        sign = '≥' if self.is_floor else '≤'
+        """Return the text of the target for the table."""
+        sign = '≥' if self.is_minimum else '≤'
         worst = f'{sign} {self.worst:g}'
         if self.median is None:
             return worst
@@ -81,16 +81,16 @@
             'stale beyond age',
         )
     ),
-    Target('reads at replicas, aged', 0.95, is_floor=True),
-    Target('reads at replicas, own write', 0.85, is_floor=True),
+    Target('reads at replicas, aged', 0.95, is_minimum=True),
+    Target('reads at replicas, own write', 0.85, is_minimum=True),
     Target('configuration in force s', 2.0),
     Target('leaving', 2.0),
 )
-"""Targets; the first whose name begins a figure's name holds."""
+"""Targets; the first one with a matching prefix applies to a figure."""
 
 
 def find_target(deployment: str, figure: str) -> Target | None:
-    """Return the target of a figure; None where it has none."""
+    """Return the target of a figure; ``None`` if it has no target."""
     if figure.startswith('in time, '):
         return _target_of_class(deployment, figure)
     return next((t for t in TARGETS if figure.startswith(t.figure)), None)
@@ -100,4 +100,4 @@
     found = next(d for d in DEPLOYMENTS if d.name == deployment)
     name = figure.rpartition(', ')[2]
     work_class = load_declarations(found).find_class(name)
-    return Target(figure, work_class.promptness.share, is_floor=True)
+    return Target(figure, work_class.promptness.share, is_minimum=True)
