--- a/packages/standins/src/trefoilpulley_standins/measure/sizing.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/sizing.py
@@ -6,7 +6,7 @@
 from trefoilpulley_core.coordination.shard import SHARDS_PER_ZONE
 from trefoilpulley_node.entry.views import REFRESHES_PER_S
 from trefoilpulley_node.pooler.age_prober import MAX_PROBE_INTERVAL_S
-from trefoilpulley_standins.member.server import REPORT_INTERVAL_S
+from trefoilpulley_standins.member.server import MAX_REPORT_INTERVAL_S
 
 HOSTS = 1600
 """Entry hosts."""
@@ -72,7 +72,7 @@
 """Share of the members that are replicas."""
 
 MEMBER_FRAMES_PER_S = MEMBERS_A_HOST * (
-    1 / REPORT_INTERVAL_S
+    1 / MAX_REPORT_INTERVAL_S
     + 2 / POLL_INTERVAL_S
     + 2 * REPLICA_SHARE / MAX_PROBE_INTERVAL_S
 )
--- a/packages/standins/src/trefoilpulley_standins/member/__init__.py
+++ b/packages/standins/src/trefoilpulley_standins/member/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for one member of a database group."""
+"""Simulated member of a database group."""
--- a/packages/standins/src/trefoilpulley_standins/member/__main__.py
+++ b/packages/standins/src/trefoilpulley_standins/member/__main__.py
@@ -1,4 +1,4 @@
-"""Command that runs one member of a settings file."""
+"""Command that runs one simulated database member."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
     members = load_group(path).members
     chosen = tuple(m for m in members if name in (None, m.name))
     if len(chosen) != 1:
-        raise click.UsageError('--name must name one member of the file')
+        raise click.UsageError(
+            '--name must match exactly one member of the file'
+        )
     run_members(chosen)
 
 
--- a/packages/standins/src/trefoilpulley_standins/member/_replicated.py
+++ b/packages/standins/src/trefoilpulley_standins/member/_replicated.py
@@ -1,4 +1,4 @@
-"""Rules of the replication, on either side."""
+"""Replication logic of a member as primary and as replica."""
 
 from __future__ import annotations
 
@@ -16,86 +16,98 @@
 from trefoilpulley_standins.member.replication import Subscribed
 from trefoilpulley_standins.member.store import SqlStore
 
-APPEND_RECORDS = 256
-"""Records sent to a replica at once."""
+MAX_APPEND_RECORDS = 256
+"""Records in one message to a replica."""
 
 
 class ReplicatedMember(MemberState):
-    """Member that feeds replicas or follows a primary."""
+    """Member that streams its log to replicas or follows a primary."""
 
     def on_subscribe(
         self, message: Subscribe
     ) -> Subscribed | Snapshot | Refused:
-        """Compare a replica's log with the primary's."""
+        """Answer with a copy of the state unless the replica can resume."""
         if not self.is_primary or message.term != self.term:
             return Refused(NotPrimary.code)
-        if self._is_continued_by_log(message):
+        if self._can_resume(message):
             return Subscribed()
-        return Snapshot(self.log.history, self._committed.snapshot())
+        return Snapshot(self.log.history, self._committed_store.snapshot())
 
     def on_snapshot(self, term: int, message: Snapshot) -> bool:
-        """Replace the state by a copy; false where the term has passed."""
-        if not self._is_followed(term):
+        """Replace the state by the primary's copy.
+
+        Returns false if the member no longer follows the primary of the
+        term.
+        """
+        if not self._is_replica_in_term(term):
             return False
-        self._committed.close()
-        self._committed = SqlStore.from_snapshot(message.data)
+        self._committed_store.close()
+        self._committed_store = SqlStore.from_snapshot(message.data)
         self.log = RecordLog(message.history)
         self.is_rebuilding = False
-        self.is_compared = True
-        self._changed()
+        self.is_log_verified = True
+        self._notify_observers()
         return True
 
     def on_subscribed(self, term: int) -> bool:
-        """Take note that the log is a beginning of the primary's."""
-        if not self._is_followed(term):
+        """Mark the log as a verified prefix of the primary's log.
+
+        Returns false if the member no longer follows the primary of the
+        term.
+        """
+        if not self._is_replica_in_term(term):
             return False
-        self.is_compared = True
+        self.is_log_verified = True
         return True
 
     def on_append(self, message: Append) -> bool:
-        """Apply records of the primary; false where they do not fit."""
-        if not self._is_followed(message.term) or self.is_rebuilding:
+        """Apply records of the primary.
+
+        Returns false if the records do not directly follow the log or one
+        of the records cannot be applied.
+        """
+        if not self._is_replica_in_term(message.term) or self.is_rebuilding:
             return False
         if message.previous != self.log.last:
             return False
         for record in message.records:
-            if not is_successful(self._committed.apply(record)):
+            if not is_successful(self._committed_store.apply(record)):
                 self.is_rebuilding = True
                 return False
             self.log.append(record)
         if message.records:
-            self._changed()
+            self._notify_observers()
         return True
 
     def on_contact(self, term: int, now: float) -> None:
-        """Take note that the primary of a term was heard."""
-        if self._is_followed(term):
-            self._contact_at = now
+        """Record the time of a message from the primary of a term."""
+        if self._is_replica_in_term(term):
+            self._primary_contact_at = now
 
     def on_confirm(self, message: Confirm) -> None:
-        """Take note of a replica's progress."""
+        """Record the position that a replica has acknowledged."""
         if not self.is_primary or message.term != self.term:
             return
-        self._acknowledged[message.member] = message.position
-        self._changed()
+        self._acknowledged_positions[message.member] = message.position
+        self._notify_observers()
 
     def subscription(self) -> Subscribe:
-        """Return the request for the records that the member lacks."""
+        """Return the request that subscribes to the primary's records."""
         return Subscribe(
             self.name, self.term, self.log.history, self.is_rebuilding
         )
 
     def confirmation(self) -> Confirm:
-        """Return what the member confirms to its primary."""
+        """Return the acknowledgement of the log up to its end."""
         return Confirm(self.name, self.term, self.log.last)
 
     def next_append(self, after: int) -> Append:
-        """Return the records that follow an index, or a heartbeat."""
+        """Return the records after an index; a heartbeat if there are none."""
         previous = Position(self.log.history.term_at(after), after)
-        records = self.log.read_after(after, APPEND_RECORDS)
+        records = self.log.read_after(after, MAX_APPEND_RECORDS)
         return Append(self.term, previous, tuple(records))
 
-    def _is_continued_by_log(self, message: Subscribe) -> bool:
+    def _can_resume(self, message: Subscribe) -> bool:
         if message.is_rebuilding:
             return False
         if not message.history.is_prefix_of(self.log.history):
--- a/packages/standins/src/trefoilpulley_standins/member/_replicator.py
+++ b/packages/standins/src/trefoilpulley_standins/member/_replicator.py
@@ -1,4 +1,4 @@
-"""Replica's side of the replication."""
+"""Replica side of the replication: subscribes to the primary's log."""
 
 from __future__ import annotations
 
@@ -28,14 +28,17 @@
     from trefoilpulley_standins.member.engine import MemberEngine
     from trefoilpulley_wire.channel import Channel
 
-RETRY_S = 0.1
-"""Time between two attempts to subscribe, in seconds."""
+RETRY_INTERVAL_S = 0.1
+"""Time between two attempts to subscribe, in seconds.
+
+Also the longest time between two checks of an open subscription.
+"""
 
 SUBSCRIBE_TIMEOUT_S = 5.0
-"""Longest wait for a primary's answer, in seconds."""
+"""Timeout of a subscription request, in seconds."""
 
-SILENCE_S = 2.0
-"""Time without a heartbeat after which the connection is given up."""
+HEARTBEAT_TIMEOUT_S = 2.0
+"""Time without a message after which a replica reconnects, in seconds."""
 
 
 class Replicator:
@@ -45,8 +48,8 @@
     ----------
     engine : MemberEngine
         State of the member.
-    changed : Signal
-        Fired at each change of the state.
+    state_changed : Signal
+        Fired at each change of the member's state.
     peers : Mapping[str, Endpoint]
         Replication addresses of the other members.
     lag_s : float
@@ -56,24 +59,24 @@
     def __init__(
         self,
         engine: MemberEngine,
-        changed: Signal,
+        state_changed: Signal,
         peers: Mapping[str, Endpoint],
         lag_s: float,
     ) -> None:
         self._engine = engine
-        self._changed = changed
+        self._state_changed = state_changed
         self._peers = peers
         self.lag_s = lag_s
         """Time for which records are held back, in seconds."""
 
     def run(self) -> None:
-        """Subscribe again and again."""
+        """Subscribe to the current primary and resubscribe after a failure."""
         while True:
             if not self._engine.primary:
-                self._changed.wait()
+                self._state_changed.wait()
                 continue
             self._subscribe()
-            gevent.sleep(RETRY_S)
+            gevent.sleep(RETRY_INTERVAL_S)
 
     def _subscribe(self) -> None:
         term, primary = self._engine.term, self._engine.primary
@@ -85,12 +88,12 @@
         channel = dialled.unwrap()
         try:
             if subscription.begin(channel):
-                self._wait(channel, subscription, term, primary)
+                self._wait_until_obsolete(channel, subscription, term, primary)
         finally:
             subscription.stop()
             channel.close()
 
-    def _wait(
+    def _wait_until_obsolete(
         self,
         channel: Channel,
         subscription: _Subscription,
@@ -100,11 +103,11 @@
         while channel.is_open and not subscription.is_silent:
             if (self._engine.term, self._engine.primary) != (term, primary):
                 return
-            self._changed.wait(RETRY_S)
+            self._state_changed.wait(RETRY_INTERVAL_S)
 
 
 class _Subscription(Handler):
-    """Applies the records of one connection to a primary."""
+    """Applies the records that arrive on one connection to a primary."""
 
     def __init__(
         self, replicator: Replicator, engine: MemberEngine, term: int
@@ -112,65 +115,65 @@
         self._replicator = replicator
         self._engine = engine
         self._term = term
-        self._heard_at = time.monotonic()
-        self._held: deque[tuple[float, Append]] = deque()
-        self._arrived = Event()
+        self._last_message_at = time.monotonic()
+        self._delayed: deque[tuple[float, Append]] = deque()
+        self._has_delayed = Event()
         self._applier = None
 
     @property
     def is_silent(self) -> bool:
-        """Whether the primary has sent nothing for too long."""
-        return time.monotonic() - self._heard_at > SILENCE_S
+        """Whether the heartbeat timeout of the primary has expired."""
+        return time.monotonic() - self._last_message_at > HEARTBEAT_TIMEOUT_S
 
     def begin(self, channel: Channel) -> bool:
-        """Compare logs with the primary; true where records will come."""
+        """Subscribe; return whether the primary will send records."""
         answer = channel.call(self._engine.subscription(), SUBSCRIBE_TIMEOUT_S)
-        if not is_successful(answer) or not self._install(answer.unwrap()):
+        if not is_successful(answer) or not self._apply_reply(answer.unwrap()):
             return False
-        self._heard_at = time.monotonic()
-        self._applier = gevent.spawn(self._apply_held, channel)
+        self._last_message_at = time.monotonic()
+        self._applier = gevent.spawn(self._apply_delayed, channel)
         channel.notify(self._engine.confirmation())
         return True
 
     def stop(self) -> None:
-        """Drop the records held back."""
+        """Drop the delayed records."""
         if self._applier is not None:
             self._applier.kill(block=False)
 
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Refuse requests; a primary sends none."""
+        """Reject a request, since primaries send none."""
         return Refused('malformed-message')
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
-        """Refuse what could not be decoded."""
+        """Reject a message that could not be decoded."""
         return Refused(failure.code)
 
     def on_notice(self, channel: Channel, message: Any) -> None:
-        """Hold records back for the set lag."""
+        """Queue received records, to be applied after the configured lag."""
         if not isinstance(message, Append):
             return
-        self._heard_at = time.monotonic()
-        self._engine.on_contact(message.term, self._heard_at)
+        self._last_message_at = time.monotonic()
+        self._engine.on_contact(message.term, self._last_message_at)
         if message.records:
-            due = self._heard_at + self._replicator.lag_s
-            self._held.append((due, message))
-            self._arrived.set()
+            due_at = self._last_message_at + self._replicator.lag_s
+            self._delayed.append((due_at, message))
+            self._has_delayed.set()
 
-    def _install(self, answer: Any) -> bool:
+    def _apply_reply(self, answer: Any) -> bool:
         if isinstance(answer, Snapshot):
             return self._engine.on_snapshot(self._term, answer)
         if isinstance(answer, Subscribed):
             return self._engine.on_subscribed(self._term)
         return False
 
-    def _apply_held(self, channel: Channel) -> None:
+    def _apply_delayed(self, channel: Channel) -> None:
         while True:
-            if not self._held:
-                self._arrived.clear()
-                self._arrived.wait()
-            due, message = self._held[0]
-            gevent.sleep(max(due - time.monotonic(), 0))
-            self._held.popleft()
+            if not self._delayed:
+                self._has_delayed.clear()
+                self._has_delayed.wait()
+            due_at, message = self._delayed[0]
+            gevent.sleep(max(due_at - time.monotonic(), 0))
+            self._delayed.popleft()
             if not self._engine.on_append(message):
                 channel.close()
                 return
--- a/packages/standins/src/trefoilpulley_standins/member/_session.py
+++ b/packages/standins/src/trefoilpulley_standins/member/_session.py
@@ -1,4 +1,4 @@
-"""Slots of a member and what each connection holds of them."""
+"""Concurrency limits of a member and the transactions of connections."""
 
 from __future__ import annotations
 
@@ -15,34 +15,37 @@
     from trefoilpulley_standins.member.engine import MemberEngine
     from trefoilpulley_standins.member.engine import Transaction
 
-SLOT_WAIT_S = 1.0
-"""Longest wait for a slot, in seconds."""
+SLOT_TIMEOUT_S = 1.0
+"""Longest wait of a statement for a slot, in seconds."""
 
-TRANSACTION_LIMIT_S = 10.0
-"""Longest time that a transaction may stay open, in seconds."""
+TRANSACTION_TIMEOUT_S = 10.0
+"""Time after which an open transaction is rolled back, in seconds."""
 
 
 class Slots:
-    """Limits what runs at once: slots in all, and one writer.
+    """Limits concurrent statements by a slot count, and writers to one.
 
     Parameters
     ----------
     count : int
         Statements and transactions that may run at once.
-    statement_s : float
-        Time for which each statement holds its slot, in seconds.
+    statement_duration_s : float
+        Simulated execution time of a statement, in seconds.
     """
 
-    def __init__(self, count: int, statement_s: float) -> None:
+    def __init__(self, count: int, statement_duration_s: float) -> None:
         self._slots = BoundedSemaphore(count)
         self._writer = BoundedSemaphore(1)
-        self._statement_s = statement_s
+        self._statement_duration_s = statement_duration_s
         self.in_use = 0
-        """Slots in use."""
+        """Number of slots in use."""
 
     @contextmanager
     def hold(self, is_writer: bool) -> Iterator[bool]:
-        """Hold a slot for a block; gives false where none got free."""
+        """Hold a slot within a ``with`` block.
+
+        Yields whether a slot was acquired before the timeout.
+        """
         is_held = self.acquire(is_writer)
         try:
             yield is_held
@@ -51,10 +54,14 @@
                 self.release(is_writer)
 
     def acquire(self, is_writer: bool) -> bool:
-        """Take a slot; a writer waits without one for the other writer."""
-        if is_writer and not self._writer.acquire(timeout=SLOT_WAIT_S):
+        """Acquire a slot; return false after a timeout.
+
+        A writer waits for the other writer before it acquires a slot, so
+        that waiting writers occupy no slots.
+        """
+        if is_writer and not self._writer.acquire(timeout=SLOT_TIMEOUT_S):
             return False
-        if not self._slots.acquire(timeout=SLOT_WAIT_S):
+        if not self._slots.acquire(timeout=SLOT_TIMEOUT_S):
             if is_writer:
                 self._writer.release()
             return False
@@ -62,20 +69,20 @@
         return True
 
     def release(self, is_writer: bool) -> None:
-        """Give a slot back."""
+        """Release a slot."""
         self.in_use -= 1
         self._slots.release()
         if is_writer:
             self._writer.release()
 
-    def work(self) -> None:
-        """Spend the time that a statement takes."""
-        if self._statement_s:
-            gevent.sleep(self._statement_s)
+    def simulate_statement(self) -> None:
+        """Sleep for the execution time of a statement."""
+        if self._statement_duration_s:
+            gevent.sleep(self._statement_duration_s)
 
 
 class Session:
-    """Open transaction of one connection.
+    """Transaction state of one connection.
 
     Parameters
     ----------
@@ -89,24 +96,28 @@
         self._engine = engine
         self._slots = slots
         self._timer = None
-        self.order = BoundedSemaphore(1)
-        """Held while a statement of the connection runs."""
+        self.statement_lock = BoundedSemaphore(1)
+        """Serializes the statements of the connection."""
 
         self.transaction: Transaction | None = None
-        """Open transaction."""
+        """Open transaction; ``None`` if there is none."""
+
+    def open(self, transaction: Transaction, on_timeout: Callable) -> None:
+        """Keep a transaction open until its timeout.
 
-    def open(self, transaction: Transaction, on_late: Callable) -> None:
-        """Keep a transaction whose slot is held already."""
+        The caller must have acquired the slot of the transaction.
+        """
         self.transaction = transaction
-        self._timer = gevent.spawn_later(TRANSACTION_LIMIT_S, on_late)
+        self._timer = gevent.spawn_later(TRANSACTION_TIMEOUT_S, on_timeout)
 
     def end(self) -> None:
-        """Roll back what is still open and give the slot back."""
+        """Roll back the open transaction, if any, and release its slot."""
         if self.transaction is None:
             return
         self._engine.rollback(self.transaction)
         self.transaction = None
         self._slots.release(is_writer=True)
-        # The timer may be the caller, through the connection's close.
+        # The timer's own greenlet runs this method when the timeout closes
+        # the connection; that greenlet must not kill itself.
         if self._timer is not gevent.getcurrent():
             self._timer.kill(block=False)
--- a/packages/standins/src/trefoilpulley_standins/member/_signal.py
+++ b/packages/standins/src/trefoilpulley_standins/member/_signal.py
@@ -1,4 +1,4 @@
-"""Wakes every greenlet that waits for a change."""
+"""Signal that wakes every waiting greenlet."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
         fired.set()
 
     def wait(self, timeout_s: float | None = None) -> bool:
-        """Wait for the next call of `fire`; false after the timeout."""
+        """Wait for the next call of `fire`; return false after the timeout."""
         return self._event.wait(timeout_s)
--- a/packages/standins/src/trefoilpulley_standins/member/_state.py
+++ b/packages/standins/src/trefoilpulley_standins/member/_state.py
@@ -1,4 +1,4 @@
-"""State of a member that terms, replication and statements share."""
+"""Member state that terms, replication and statements share."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_MS = 1000
+_MS_PER_S = 1000
 
 
 class Transaction:
-    """Open transaction of one connection."""
+    """Statements of an open transaction."""
 
     def __init__(self) -> None:
         self.statements: list[Statement] = []
-        """Statements that have run, in order."""
+        """Successful statements in the order of execution."""
 
 
 class MemberState:
-    """Log, term and databases of one member.
+    """Log, term and database stores of one member.
 
     Parameters
     ----------
     name : str
         Name of the member.
     schema : tuple[str, ...]
-        Statements run before the first record.
+        SQL statements that create the tables before the first record.
     term : int
-        First term that the member accepts; 0 where it has lost its log.
+        First term that the member accepts; 0 if the member lost its log.
     primary : str
-        Primary of that term; empty where the member knows none.
+        Primary of that term; empty if the member knows none.
     """
 
     def __init__(
@@ -51,36 +51,37 @@
         """Replicated log."""
 
         self.term = term
-        """Term last led or followed."""
+        """Latest term that the member led or followed."""
 
         self.fenced_term = term
-        """Lowest term accepted."""
+        """Lowest term that the member accepts."""
 
         self.is_primary = False
-        """Whether the member leads ``term``."""
+        """Whether the member is the primary of ``term``."""
 
         self.is_rebuilding = not term
         """Whether the member waits for a copy of the primary's state."""
 
-        self.is_compared = bool(term)
-        """Whether the log is known to be a beginning of the primary's."""
+        self.is_log_verified = bool(term)
+        """Whether the log is known to be a prefix of the primary's log."""
 
         self.primary = primary
-        """Member that this one follows; empty where none."""
+        """Primary that the member follows; empty if there is none."""
 
         self.observers: list[Callable[[], None]] = []
-        """Called after each change of the status."""
+        """Callbacks that run after each change of the state."""
 
-        self._committed = SqlStore(schema)
-        self._workspace: SqlStore | None = None
-        self._open: Transaction | None = None
-        self._acknowledged: dict[str, Position] = {}
-        self._contact_at: float | None = None
+        self._committed_store = SqlStore(schema)
+        self._working_store: SqlStore | None = None
+        self._open_transaction: Transaction | None = None
+        self._acknowledged_positions: dict[str, Position] = {}
+        self._primary_contact_at: float | None = None
 
     def status(self, now: float) -> MemberStatus:
-        """Return what the member says of itself."""
+        """Return the status that the member reports at a time."""
         acknowledgements = tuple(
-            Acknowledgement(m, p) for m, p in self._acknowledged.items()
+            Acknowledgement(m, p)
+            for m, p in self._acknowledged_positions.items()
         )
         return MemberStatus(
             self.name,
@@ -93,39 +94,41 @@
         )
 
     def _append(self, record: Record) -> None:
-        self._committed.apply(record)
+        self._committed_store.apply(record)
         self.log.append(record)
-        self._changed()
+        self._notify_observers()
 
-    def _lead(self, term: int) -> None:
+    def _become_primary(self, term: int) -> None:
         self.term = term
         self.is_primary = True
-        self.is_compared = True
+        self.is_log_verified = True
         self.primary = ''
-        self._acknowledged = {}
-        self._workspace = SqlStore.from_snapshot(self._committed.snapshot())
+        self._acknowledged_positions = {}
+        self._working_store = SqlStore.from_snapshot(
+            self._committed_store.snapshot()
+        )
         self._append(Record(Position(term, self.log.last.index + 1)))
 
     def _step_down(self, now: float) -> None:
         if self.is_primary:
-            self._contact_at = now
-        self._open = None
+            self._primary_contact_at = now
+        self._open_transaction = None
         self.is_primary = False
-        self._acknowledged = {}
-        if self._workspace is not None:
-            self._workspace.close()
-            self._workspace = None
+        self._acknowledged_positions = {}
+        if self._working_store is not None:
+            self._working_store.close()
+            self._working_store = None
 
     def _contact_age_ms(self, now: float) -> int | None:
         if self.is_primary:
             return 0
-        if self._contact_at is None:
+        if self._primary_contact_at is None:
             return None
-        return int((now - self._contact_at) * _MS)
+        return int((now - self._primary_contact_at) * _MS_PER_S)
 
-    def _is_followed(self, term: int) -> bool:
+    def _is_replica_in_term(self, term: int) -> bool:
         return bool(self.primary) and not self.is_primary and term == self.term
 
-    def _changed(self) -> None:
+    def _notify_observers(self) -> None:
         for observer in self.observers:
             observer()
--- a/packages/standins/src/trefoilpulley_standins/member/engine.py
+++ b/packages/standins/src/trefoilpulley_standins/member/engine.py
@@ -1,4 +1,4 @@
-"""Terms, log and transactions of a member, without sockets or a clock."""
+"""Terms, log and transactions of a member, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from trefoilpulley_core.upstream import StatementResult
 from trefoilpulley_standins.member._replicated import ReplicatedMember
 from trefoilpulley_standins.member._state import Transaction
-from trefoilpulley_standins.member.record import KeptOutcome
 from trefoilpulley_standins.member.record import Outcome
 from trefoilpulley_standins.member.record import Record
+from trefoilpulley_standins.member.record import StoredOutcome
 
 
 FIRST_TERM = 1
-"""Term of the home primary at the start."""
+"""Term of the initial primary."""
 
 
 class MemberEngine(ReplicatedMember):
@@ -40,12 +40,13 @@
     name : str
         Name of the member.
     schema : tuple[str, ...]
-        Statements run before the first record.
+        SQL statements that create the tables before the first record.
     primary : str
         Name of the first term's primary.
     is_rejoining : bool
-        Whether the member has lost its log: it then gives no vote and
-        serves nothing before it holds a copy of a primary's state.
+        Whether the member lost its log. Such a member rejects fences,
+        and so takes no part in a vote, and rejects reads until it has a
+        copy of a primary's state.
     """
 
     def __init__(
@@ -60,120 +61,135 @@
             return
         super().__init__(name, schema, FIRST_TERM, primary)
         if primary == name:
-            self._lead(FIRST_TERM)
+            self._become_primary(FIRST_TERM)
 
     def read(
         self, statement: Statement, floor: Position
     ) -> Result[StatementResult, Failure]:
-        """Run a read on committed data that holds the floor."""
-        if self.is_rebuilding or not self.is_compared:
-            return Failed(ReplicaBehind('log is not a copy of the primary'))
+        """Run a read on committed data.
+
+        Fails with ``ReplicaBehind`` unless the log contains the floor.
+        """
+        if self.is_rebuilding or not self.is_log_verified:
+            return Failed(
+                ReplicaBehind('log is not yet verified against the primary')
+            )
         if not self.log.history.contains(floor):
             return Failed(ReplicaBehind(f'log ends at {self.log.last}'))
-        return self._committed.read(statement).map(self._stamp)
+        return self._committed_store.read(statement).map(self._with_position)
 
     def write(
         self, statement: Statement, term: int, key: OutcomeKey | None
     ) -> Result[StatementResult, Failure]:
-        """Run one write with its outcome in a transaction of its own."""
+        """Run a write and record its outcome in a single transaction.
+
+        Returns the recorded outcome if the key has one.
+        """
         begun = self.begin(term)
         if not is_successful(begun):
             return begun
         transaction = begun.unwrap()
-        recalled = self._recall(key)
-        if recalled is not None:
+        stored_result = self._stored_result(key)
+        if stored_result is not None:
             self.rollback(transaction)
-            return recalled
+            return stored_result
         ran = self.run(transaction, statement)
         if not is_successful(ran):
             self.rollback(transaction)
             return ran
-        return self._finish(transaction, key, ran.unwrap())
+        return self._commit_with_outcome(transaction, key, ran.unwrap())
 
     def begin(self, term: int) -> Result[Transaction, Failure]:
-        """Begin the one transaction that may be open."""
-        refusal = self._check_primary(term)
+        """Begin a transaction; only one may be open at a time."""
+        refusal = self._refusal_unless_primary(term)
         if refusal is not None:
             return Failed(refusal)
-        if self._open is not None:
+        if self._open_transaction is not None:
             return Failed(Overloaded('another transaction is open'))
-        self._workspace.begin()
-        self._open = Transaction()
-        return Success(self._open)
+        self._working_store.begin()
+        self._open_transaction = Transaction()
+        return Success(self._open_transaction)
 
     def run(
         self, transaction: Transaction, statement: Statement
     ) -> Result[StatementResult, Failure]:
         """Run a statement in an open transaction."""
-        if transaction is not self._open:
+        if transaction is not self._open_transaction:
             return Failed(TransactionLost())
-        ran = self._workspace.run(statement)
+        ran = self._working_store.run(statement)
         if not is_successful(ran):
-            self._forget_ended()
+            self._clear_ended_transaction()
             return ran.lash(_as_statement_failure)
         transaction.statements.append(statement)
-        return ran.map(self._stamp)
+        return ran.map(self._with_position)
 
     def commit(
         self, transaction: Transaction, key: OutcomeKey | None
     ) -> Result[StatementResult, Failure]:
-        """Commit a transaction with its outcome."""
-        if transaction is not self._open:
+        """Commit a transaction and record its outcome under the key.
+
+        Returns the recorded outcome, and rolls back, if the key has one.
+        """
+        if transaction is not self._open_transaction:
             return Failed(TransactionLost())
-        recalled = self._recall(key)
-        if recalled is not None:
+        stored_result = self._stored_result(key)
+        if stored_result is not None:
             self.rollback(transaction)
-            return recalled
-        return self._finish(transaction, key, StatementResult())
+            return stored_result
+        return self._commit_with_outcome(transaction, key, StatementResult())
 
     def rollback(self, transaction: Transaction) -> None:
-        """Roll a transaction back, where it is still open."""
-        if transaction is not self._open:
+        """Roll a transaction back if it is still open."""
+        if transaction is not self._open_transaction:
             return
-        self._open = None
-        self._workspace.rollback()
+        self._open_transaction = None
+        self._working_store.rollback()
 
     def resolve(
         self, key: OutcomeKey, term: int
     ) -> Result[StatementResult, Failure]:
-        """Return the outcome of a key, or abandon the key."""
-        refusal = self._check_primary(term)
+        """Return the outcome recorded under a key.
+
+        A key without an outcome is marked as abandoned, so that no later
+        write can succeed under the key.
+        """
+        refusal = self._refusal_unless_primary(term)
         if refusal is not None:
             return Failed(refusal)
-        kept = self._committed.find_outcome(key)
-        if kept is not None:
-            return self._recalled(kept, key)
-        if self._open is not None:
+        stored = self._committed_store.find_outcome(key)
+        if stored is not None:
+            return self._result_of_outcome(stored, key)
+        if self._open_transaction is not None:
             return Failed(Overloaded('another transaction is open'))
-        self._workspace.begin()
-        self._open = Transaction()
+        self._working_store.begin()
+        self._open_transaction = Transaction()
         marker = Outcome(key, is_abandoned=True)
         written = self._commit_record((), marker)
         return written.bind(lambda _: Failed(NotRun('abandoned')))
 
     def fence(self, term: int, now: float) -> Result[None, Failure]:
-        """Refuse every lower term from now on."""
+        """Reject every lower term from now on."""
         if self.is_rebuilding and not self.log.last.index:
-            return Failed(StaleTerm('member has lost its log'))
+            return Failed(StaleTerm('member lost its log'))
         if term <= self.fenced_term:
             return Failed(StaleTerm(f'fenced at {self.fenced_term}'))
         self.fenced_term = term
         self._step_down(now)
         self.primary = ''
-        self._changed()
+        self._notify_observers()
         return Success(None)
 
     def promote(self, term: int, now: float) -> Result[None, Failure]:
-        """Lead a term that the member is fenced at."""
+        """Become the primary of the term that the member is fenced at."""
         if self.is_primary and self.term == term:
             return Success(None)
         if term != self.fenced_term or term == self.term:
             return Failed(StaleTerm(f'fenced at {self.fenced_term}'))
         if self.is_rebuilding:
             return Failed(ReplicaBehind('member is being rebuilt'))
-        self._contact_at = now
-        self._lead(term)
-        self._changed()
+        self._primary_contact_at = now
+        self._become_primary(term)
+        self._notify_observers()
         return Success(None)
 
     def follow(
@@ -181,43 +197,47 @@
     ) -> Result[None, Failure]:
         """Become a replica of the primary of a term.
 
-        Reads are refused until the log was compared with the primary's.
+        Reads are rejected until the log is verified to be a prefix of the
+        primary's log.
         """
         if term < self.fenced_term or primary == self.name:
             return Failed(StaleTerm(f'fenced at {self.fenced_term}'))
         if term == self.term and self.is_primary:
-            return Failed(StaleTerm(f'leads {self.term}'))
+            return Failed(StaleTerm(f'is primary of term {self.term}'))
         if term == self.term and primary == self.primary:
             return Success(None)
         self._step_down(now)
-        self.is_compared = False
+        self.is_log_verified = False
         self.fenced_term = term
         self.term = term
         self.primary = primary
-        self._changed()
+        self._notify_observers()
         return Success(None)
 
-    def _forget_ended(self) -> None:
-        # A conflict clause of the statement can end the transaction.
-        if not self._workspace.is_in_transaction:
-            self._open = None
+    def _clear_ended_transaction(self) -> None:
+        # A conflict clause (OR ROLLBACK) of a failed statement can end the
+        # transaction.
+        if not self._working_store.is_in_transaction:
+            self._open_transaction = None
 
-    def _check_primary(self, term: int) -> Failure | None:
+    def _refusal_unless_primary(self, term: int) -> Failure | None:
         if self.is_primary and term == self.term:
             return None
         return NotPrimary(f'member is at term {self.term}')
 
-    def _recall(
+    def _stored_result(
         self, key: OutcomeKey | None
     ) -> Result[StatementResult, Failure] | None:
-        kept = self._committed.find_outcome(key) if key else None
-        return self._recalled(kept, key) if kept else None
+        stored = self._committed_store.find_outcome(key) if key else None
+        return self._result_of_outcome(stored, key) if stored else None
 
-    def _recalled(
-        self, kept: KeptOutcome, key: OutcomeKey
+    def _result_of_outcome(
+        self, stored: StoredOutcome, key: OutcomeKey
     ) -> Result[StatementResult, Failure]:
-        outcome = kept.outcome
-        if not _fits(outcome.key.content_digest, key.content_digest):
+        outcome = stored.outcome
+        if not _is_same_content(
+            outcome.key.content_digest, key.content_digest
+        ):
             return Failed(RequestIdReused())
         if outcome.is_abandoned:
             return Failed(NotRun('abandoned'))
@@ -226,13 +246,13 @@
                 outcome.columns,
                 outcome.rows,
                 outcome.row_count,
-                kept.position,
+                stored.position,
                 self.term,
                 is_recalled=True,
             )
         )
 
-    def _finish(
+    def _commit_with_outcome(
         self,
         transaction: Transaction,
         key: OutcomeKey | None,
@@ -247,7 +267,7 @@
                 row_count=answer.row_count,
             )
         written = self._commit_record(tuple(transaction.statements), outcome)
-        return written.map(lambda _: self._stamp(answer))
+        return written.map(lambda _: self._with_position(answer))
 
     def _commit_record(
         self, statements: tuple[Statement, ...], outcome: Outcome | None
@@ -255,16 +275,16 @@
         position = Position(self.term, self.log.last.index + 1)
         record = Record(position, statements, outcome)
         if outcome is not None:
-            self._workspace.keep_outcome(outcome, position)
-        self._open = None
-        committed = self._workspace.commit()
+            self._working_store.insert_outcome(outcome, position)
+        self._open_transaction = None
+        committed = self._working_store.commit()
         if not is_successful(committed):
-            self._workspace.rollback()
+            self._working_store.rollback()
             return committed
         self._append(record)
         return Success(None)
 
-    def _stamp(self, result: StatementResult) -> StatementResult:
+    def _with_position(self, result: StatementResult) -> StatementResult:
         return StatementResult(
             result.columns,
             result.rows,
@@ -274,8 +294,8 @@
         )
 
 
-def _fits(kept_digest: str, digest: str) -> bool:
-    return kept_digest == digest or ANY_CONTENT in (kept_digest, digest)
+def _is_same_content(stored_digest: str, digest: str) -> bool:
+    return stored_digest == digest or ANY_CONTENT in (stored_digest, digest)
 
 
 def _as_statement_failure(
--- a/packages/standins/src/trefoilpulley_standins/member/log.py
+++ b/packages/standins/src/trefoilpulley_standins/member/log.py
@@ -1,4 +1,4 @@
-"""Replicated log of a member."""
+"""Replicated log of a member, in memory."""
 
 from __future__ import annotations
 
@@ -12,29 +12,32 @@
 if TYPE_CHECKING:
     from trefoilpulley_standins.member.record import Record
 
-RETAINED_RECORDS = 20_000
-"""Records kept for replicas that lag; others are rebuilt by a copy."""
+MAX_RETAINED_RECORDS = 20_000
+"""Records kept for replicas that lag.
+
+A replica that lags further receives a copy of the state.
+"""
 
 
 class RecordLog:
-    """Records in order, with the history of their terms.
+    """Latest records in order, with the history of the terms.
 
     Parameters
     ----------
     history : LogHistory
-        Terms and end of the records that came with a copy.
-    retained : int
-        Records to keep.
+        Terms and end of the log that a copy of the state contains.
+    max_retained_records : int
+        Greatest number of records to keep.
     """
 
     def __init__(
         self,
         history: LogHistory | None = None,
-        retained: int = RETAINED_RECORDS,
+        max_retained_records: int = MAX_RETAINED_RECORDS,
     ) -> None:
-        self._records: deque[Record] = deque(maxlen=retained)
+        self._records: deque[Record] = deque(maxlen=max_retained_records)
         self.history = history or LogHistory()
-        """Terms and end of the log."""
+        """Start of each term and end of the log."""
 
     @property
     def last(self) -> Position:
@@ -50,17 +53,17 @@
         self.history = LogHistory(starts, position)
         self._records.append(record)
 
-    def read_after(self, index: int, limit: int) -> list[Record]:
-        """Return up to ``limit`` records that follow an index.
+    def read_after(self, index: int, max_records: int) -> list[Record]:
+        """Return up to ``max_records`` records after an index.
 
-        The caller has to check `is_retained` first.
+        The caller must check `is_retained` first.
         """
-        skipped = index + 1 - self._first_index
-        stop = min(skipped + limit, len(self._records))
-        return [self._records[i] for i in range(skipped, stop)]
+        first_offset = index + 1 - self._first_index
+        stop = min(first_offset + max_records, len(self._records))
+        return [self._records[i] for i in range(first_offset, stop)]
 
     def is_retained(self, index: int) -> bool:
-        """Return whether the records that follow an index are kept."""
+        """Return whether every record after an index is still kept."""
         return index + 1 >= self._first_index
 
     @property
--- a/packages/standins/src/trefoilpulley_standins/member/record.py
+++ b/packages/standins/src/trefoilpulley_standins/member/record.py
@@ -1,4 +1,4 @@
-"""Records of a member's replicated log."""
+"""Records of the replicated log and stored outcomes of writes."""
 
 from __future__ import annotations
 
@@ -12,44 +12,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """Outcome of a write, kept in the write's own transaction."""
+    """Outcome of a write, stored in the transaction of the write."""
 
     key: OutcomeKey
-    """Key of the outcome."""
+    """Key of the write."""
 
     is_abandoned: bool = False
-    """Whether the key was abandoned before anything ran under it."""
+    """Whether the key was abandoned before a write used it."""
 
     columns: tuple[str, ...] = ()
-    """Names of the answer's columns."""
+    """Column names of the result."""
 
     rows: tuple[Row, ...] = ()
-    """Rows of the answer."""
+    """Rows of the result."""
 
     row_count: int = -1
-    """Rows changed or returned; -1 where unknown."""
+    """Number of rows changed or returned; -1 if unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One committed transaction; the first of a term is empty."""
+    """Committed transaction; the first record of a term is empty."""
 
     position: Position
-    """Place in the log."""
+    """Position in the log."""
 
     statements: tuple[Statement, ...] = ()
-    """Statements in order."""
+    """Statements in the order of execution."""
 
     outcome: Outcome | None = None
-    """Outcome that was kept with them."""
+    """Outcome of the transaction; ``None`` if it had no key."""
 
 
 @dataclass(frozen=True, slots=True)
-class KeptOutcome:
-    """Outcome as found in the database."""
+class StoredOutcome:
+    """Outcome read from the database."""
 
     outcome: Outcome
-    """Outcome."""
+    """Outcome of the write."""
 
     position: Position
-    """Record that wrote it."""
+    """Position of the record that stored the outcome."""
--- a/packages/standins/src/trefoilpulley_standins/member/replication.py
+++ b/packages/standins/src/trefoilpulley_standins/member/replication.py
@@ -1,4 +1,4 @@
-"""Messages of the replication between members."""
+"""Replication messages between members."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Asks a primary for its records."""
+    """Request for the records of a primary."""
 
     member: str
     """Name of the replica."""
@@ -22,39 +22,39 @@
     """Term that the replica follows."""
 
     history: LogHistory
-    """Log of the replica."""
+    """Terms and end of the replica's log."""
 
     is_rebuilding: bool = False
-    """Whether the replica needs a copy in any case."""
+    """Whether the replica needs a copy of the state in any case."""
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribed:
-    """The replica's log is a beginning of the primary's."""
+    """Reply: the replica's log is a prefix of the primary's log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Copy of the primary's state, which replaces the replica's."""
+    """Reply with a copy of the primary's state for the replica."""
 
     history: LogHistory
-    """Log of the primary."""
+    """Terms and end of the primary's log."""
 
     data: bytes
-    """Content of the database."""
+    """Serialized database."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The asked member does not lead the term."""
+    """Reply to a request that the member rejects."""
 
     code: str
-    """Code of the failure."""
+    """Error code."""
 
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """The replica holds the log up to a position."""
+    """Acknowledgement of the log up to a position."""
 
     member: str
     """Name of the replica."""
@@ -63,39 +63,42 @@
     """Term that the replica follows."""
 
     position: Position
-    """End of the replica's log."""
+    """Last position of the replica's log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Records that follow a position; without any it is a heartbeat."""
+    """Records that follow a position; a heartbeat if there are none."""
 
     term: int
     """Term of the primary."""
 
     previous: Position
-    """Position before the first of the records."""
+    """Position directly before the first record."""
 
     records: tuple[Record, ...] = ()
-    """Records in order."""
+    """Records in the order of the log."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetLag:
-    """Changes the time for which a replica holds records back."""
+    """Changes the delay before a replica applies records."""
 
     lag_ms: float
-    """Lag in milliseconds."""
+    """Delay in milliseconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Observe:
-    """Asks for the status without one of the limited connections."""
+    """Request for the status over a replication connection.
+
+    Replication connections do not count towards the connection limit.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Observed:
-    """Answer to `Observe`."""
+    """Reply to `Observe`."""
 
     status: MemberStatus
     """Status of the member."""
@@ -114,4 +117,4 @@
         Subscribed,
     )
 )
-"""Codec of the connections between members."""
+"""Codec of the replication connections."""
--- a/packages/standins/src/trefoilpulley_standins/member/run.py
+++ b/packages/standins/src/trefoilpulley_standins/member/run.py
@@ -1,4 +1,4 @@
-"""Runs members until the process is told to end."""
+"""Runs members until the process receives SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 def run_members(settings: Iterable[MemberSettings]) -> None:
     """Run members in this process until SIGTERM or SIGINT.
 
-    One JSON line for each member tells its ports once it serves.
+    Prints a JSON line with the ports of each member once the member
+    accepts connections.
     """
     servers = [MemberServer(cfg) for cfg in settings]
     for server in servers:
--- a/packages/standins/src/trefoilpulley_standins/member/server.py
+++ b/packages/standins/src/trefoilpulley_standins/member/server.py
@@ -1,4 +1,4 @@
-"""Member process: statements, control and replication over sockets."""
+"""Network server of a member: statements, control and replication."""
 
 from __future__ import annotations
 
@@ -32,15 +32,15 @@
     from trefoilpulley_standins.member.settings import MemberSettings
     from trefoilpulley_wire.channel import Channel
 
-REPORT_JOIN_S = 0.005
-"""Least time between two reports, in seconds."""
+MIN_REPORT_INTERVAL_S = 0.005
+"""Least time between two reports to the watchers, in seconds."""
 
-REPORT_INTERVAL_S = 0.2
-"""Longest time between two reports, in seconds."""
+MAX_REPORT_INTERVAL_S = 0.2
+"""Longest time between two reports to the watchers, in seconds."""
 
 
 class MemberServer(Handler):
-    """One member with its listeners.
+    """Member with its listeners.
 
     Parameters
     ----------
@@ -49,8 +49,8 @@
     """
 
     def __init__(self, cfg: MemberSettings) -> None:
-        self._changed = Signal()
-        self._changes = 0
+        self._state_changed = Signal()
+        self._change_count = 0
         self._watchers: set[Channel] = set()
         self._slots = Slots(cfg.slots, cfg.statement_ms / 1000)
         self.engine = MemberEngine(
@@ -58,18 +58,18 @@
         )
         """State of the member."""
 
-        self.engine.observers.append(self._on_changed)
+        self.engine.observers.append(self._on_state_changed)
         peers = {peer.name: peer.endpoint for peer in cfg.peers}
         self._replicator = Replicator(
-            self.engine, self._changed, peers, cfg.lag_ms / 1000
+            self.engine, self._state_changed, peers, cfg.lag_ms / 1000
         )
         self._listener = MemberListener(
             cfg.listen, self, cfg.connections, cfg.connect_ms / 1000
         )
-        self._feeds = Listener(
+        self._replication_listener = Listener(
             cfg.replication_listen,
             REPLICATION_CODEC,
-            FeedHandler(self.engine, self._changed, self._replicator),
+            FeedHandler(self.engine, self._state_changed, self._replicator),
         )
         self._greenlets: list[gevent.Greenlet] = []
         self._handlers = {
@@ -94,26 +94,26 @@
 
     @property
     def replication_port(self) -> int:
-        """Port for the other members."""
-        return self._feeds.port
+        """Port for the replication with the other members."""
+        return self._replication_listener.port
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Open the listeners and start the background greenlets."""
         self._listener.start()
-        self._feeds.start()
+        self._replication_listener.start()
         self._greenlets = [
             gevent.spawn(self._replicator.run),
-            gevent.spawn(self._report),
+            gevent.spawn(self._report_continuously),
         ]
 
     def stop(self) -> None:
-        """Close every connection."""
+        """Stop the greenlets and close every listener and connection."""
         gevent.killall(self._greenlets)
         self._listener.stop()
-        self._feeds.stop()
+        self._replication_listener.stop()
 
     def status(self) -> MemberStatus:
-        """Return what the member says of itself."""
+        """Return the status with the current load."""
         return replace(
             self.engine.status(time.monotonic()),
             slots_in_use=self._slots.in_use,
@@ -121,15 +121,15 @@
         )
 
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Serve a request with its handler."""
+        """Pass a request to the handler of its type."""
         return self._handlers[type(message)](channel, message)
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
-        """Refuse what could not be decoded."""
+        """Reject a message that could not be decoded."""
         return _to_failure(failure)
 
     def on_close(self, channel: Channel) -> None:
-        """Roll back the connection's transaction."""
+        """Roll back the transaction of a closed connection."""
         self._watchers.discard(channel)
         if channel.context is not None:
             channel.context.end()
@@ -144,17 +144,19 @@
     def _on_read(self, channel: Channel, message: wire.Read) -> Any:
         with self._slots.hold(is_writer=False) as is_held:
             if not is_held:
-                return _to_failure(Overloaded('no slot got free'))
-            self._slots.work()
+                return _to_failure(Overloaded('no slot became free in time'))
+            self._slots.simulate_statement()
             ran = self.engine.read(message.statement, message.floor)
             return _to_reply(ran)
 
     def _on_write(self, channel: Channel, message: wire.Write) -> Any:
-        with self._session(channel).order:
+        with self._session_of(channel).statement_lock:
             with self._slots.hold(is_writer=True) as is_held:
                 if not is_held:
-                    return _to_failure(Overloaded('no slot got free'))
-                self._slots.work()
+                    return _to_failure(
+                        Overloaded('no slot became free in time')
+                    )
+                self._slots.simulate_statement()
                 ran = self.engine.write(
                     message.statement, message.term, message.key
                 )
@@ -163,18 +165,18 @@
     def _on_resolve(self, channel: Channel, message: wire.Resolve) -> Any:
         with self._slots.hold(is_writer=True) as is_held:
             if not is_held:
-                return _to_failure(Overloaded('no slot got free'))
+                return _to_failure(Overloaded('no slot became free in time'))
             return _to_reply(self.engine.resolve(message.key, message.term))
 
     def _on_begin(
         self, channel: Channel, message: wire.BeginTransaction
     ) -> Any:
-        session = self._session(channel)
-        with session.order:
+        session = self._session_of(channel)
+        with session.statement_lock:
             if session.transaction is not None:
-                return _to_failure(Overloaded('a transaction is open'))
+                return _to_failure(Overloaded('a transaction is already open'))
             if not self._slots.acquire(is_writer=True):
-                return _to_failure(Overloaded('no slot got free'))
+                return _to_failure(Overloaded('no slot became free in time'))
             begun = self.engine.begin(message.term)
             if not is_successful(begun):
                 self._slots.release(is_writer=True)
@@ -185,11 +187,11 @@
             return wire.MemberDone()
 
     def _on_run(self, channel: Channel, message: wire.RunStatement) -> Any:
-        session = self._session(channel)
-        with session.order:
+        session = self._session_of(channel)
+        with session.statement_lock:
             if session.transaction is None:
                 return _to_failure(TransactionLost())
-            self._slots.work()
+            self._slots.simulate_statement()
             return _to_reply(
                 self.engine.run(session.transaction, message.statement)
             )
@@ -197,8 +199,8 @@
     def _on_commit(
         self, channel: Channel, message: wire.CommitTransaction
     ) -> Any:
-        session = self._session(channel)
-        with session.order:
+        session = self._session_of(channel)
+        with session.statement_lock:
             if session.transaction is None:
                 return _to_failure(TransactionLost())
             ran = self.engine.commit(session.transaction, message.key)
@@ -208,93 +210,95 @@
     def _on_rollback(
         self, channel: Channel, message: wire.RollbackTransaction
     ) -> Any:
-        session = self._session(channel)
-        with session.order:
+        session = self._session_of(channel)
+        with session.statement_lock:
             session.end()
             return wire.MemberDone()
 
     def _on_fence(self, channel: Channel, message: wire.Fence) -> Any:
-        return self._to_report(
+        return self._to_reply_with_status(
             self.engine.fence(message.term, time.monotonic())
         )
 
     def _on_promote(self, channel: Channel, message: wire.Promote) -> Any:
-        return self._to_report(
+        return self._to_reply_with_status(
             self.engine.promote(message.term, time.monotonic())
         )
 
     def _on_follow(self, channel: Channel, message: wire.Follow) -> Any:
-        return self._to_report(
+        return self._to_reply_with_status(
             self.engine.follow(message.term, message.primary, time.monotonic())
         )
 
-    def _to_report(self, done: Result[None, Failure]) -> Any:
+    def _to_reply_with_status(self, done: Result[None, Failure]) -> Any:
         if is_successful(done):
             return wire.MemberReport(self.status())
         return _to_failure(done.failure())
 
-    def _session(self, channel: Channel) -> Session:
+    def _session_of(self, channel: Channel) -> Session:
         if channel.context is None:
             channel.context = Session(self.engine, self._slots)
         return channel.context
 
-    def _report(self) -> None:
-        told = None
+    def _report_continuously(self) -> None:
+        last_reported = None
         while True:
-            seen = self._changes
+            seen_changes = self._change_count
             status = self.status()
-            lasting = replace(status, primary_contact_age_ms=None)
+            stable_status = replace(status, primary_contact_age_ms=None)
             report = wire.MemberReport(status)
-            if lasting == told:
+            if stable_status == last_reported:
                 report = wire.StillAlive()
-            told = lasting
+            last_reported = stable_status
             for channel in list(self._watchers):
                 channel.notify(report)
-            gevent.sleep(REPORT_JOIN_S)
-            if seen == self._changes:
-                self._changed.wait(REPORT_INTERVAL_S - REPORT_JOIN_S)
+            gevent.sleep(MIN_REPORT_INTERVAL_S)
+            if seen_changes == self._change_count:
+                self._state_changed.wait(
+                    MAX_REPORT_INTERVAL_S - MIN_REPORT_INTERVAL_S
+                )
 
-    def _on_changed(self) -> None:
-        self._changes += 1
-        self._changed.fire()
+    def _on_state_changed(self) -> None:
+        self._change_count += 1
+        self._state_changed.fire()
 
 
 class MemberListener(Listener):
-    """Listener with a limit and a cost of connections.
+    """Listener with a connection limit and a delay per connection.
 
     Parameters
     ----------
     endpoint : Endpoint
         Address to listen on.
     handler : Handler
-        Serves the requests.
-    limit : int
-        Connections that may be open at once.
-    connect_s : float
-        Time that a new connection costs, in seconds.
+        Handler of the requests.
+    max_connections : int
+        Greatest number of open connections.
+    connect_delay_s : float
+        Delay before a new connection is served, in seconds.
     """
 
     def __init__(
         self,
         endpoint: Endpoint,
         handler: Handler,
-        limit: int,
-        connect_s: float,
+        max_connections: int,
+        connect_delay_s: float,
     ) -> None:
         super().__init__(endpoint, wire.MEMBER_CODEC, handler)
-        self._limit = limit
-        self._connect_s = connect_s
-        self._connecting = 0
+        self._max_connections = max_connections
+        self._connect_delay_s = connect_delay_s
+        self._pending_count = 0
 
     def admit(self) -> bool:
-        """Refuse connections over the limit, and delay the others."""
-        if len(self.channels) + self._connecting >= self._limit:
+        """Reject a connection above the limit; delay any other connection."""
+        if len(self.channels) + self._pending_count >= self._max_connections:
             return False
-        self._connecting += 1
+        self._pending_count += 1
         try:
-            gevent.sleep(self._connect_s)
+            gevent.sleep(self._connect_delay_s)
         finally:
-            self._connecting -= 1
+            self._pending_count -= 1
         return True
 
 
--- a/packages/standins/src/trefoilpulley_standins/member/settings.py
+++ b/packages/standins/src/trefoilpulley_standins/member/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the stand-in members."""
+"""Settings of the simulated members."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberPeer:
-    """Replication address of another member, as this one reaches it."""
+    """Replication address at which a member reaches another member."""
 
     name: str
     """Name of the member."""
@@ -35,42 +35,42 @@
     """Address for statements and control."""
 
     replication_listen: Endpoint
-    """Address for the other members."""
+    """Address for the replication with the other members."""
 
     primary: str
     """Name of the first term's primary."""
 
     peers: tuple[MemberPeer, ...] = ()
-    """The other members of the group."""
+    """Other members of the group."""
 
     schema: tuple[str, ...] = ()
-    """Statements run before the first record."""
+    """SQL statements that create the tables before the first record."""
 
     slots: int = 2
-    """Statements or transactions that may run at once."""
+    """Greatest number of concurrent statements and transactions."""
 
     connections: int = 16
-    """Connections that may be open at once."""
+    """Greatest number of open connections."""
 
     connect_ms: float = 0.0
-    """Time that a new connection costs, in milliseconds."""
+    """Delay before a new connection is served, in milliseconds."""
 
     statement_ms: float = 0.0
-    """Time for which each statement holds its slot, in milliseconds."""
+    """Simulated execution time of a statement, in milliseconds."""
 
     lag_ms: float = 0.0
-    """Time for which a replica holds records back, in milliseconds."""
+    """Delay before a replica applies records, in milliseconds."""
 
     is_rejoining: bool = False
-    """Whether the member has lost its log."""
+    """Whether the member lost its log and joins again without it."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupSettings:
-    """Settings of members that share a file, and may share a process."""
+    """Settings of the members in one file, which may share a process."""
 
     members: tuple[MemberSettings, ...]
-    """Members."""
+    """Settings of each member."""
 
 
 def load_group(path: Path) -> GroupSettings:
@@ -79,5 +79,5 @@
 
 
 def dump_group(cfg: GroupSettings) -> str:
-    """Return the JSON text of settings."""
+    """Return the settings as JSON text."""
     return format_settings(cfg)
--- a/packages/standins/src/trefoilpulley_standins/member/store.py
+++ b/packages/standins/src/trefoilpulley_standins/member/store.py
@@ -1,4 +1,4 @@
-"""SQL database of a member, in memory."""
+"""In-memory SQLite database of a member."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from trefoilpulley_core.upstream import OutcomeKey
 from trefoilpulley_core.upstream import Statement
 from trefoilpulley_core.upstream import StatementResult
-from trefoilpulley_standins.member.record import KeptOutcome
 from trefoilpulley_standins.member.record import Outcome
+from trefoilpulley_standins.member.record import StoredOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -28,13 +28,13 @@
 
     from trefoilpulley_standins.member.record import Record
 
-RESULT_LIMIT_BYTES = 1 << 20
-"""Greatest size of a result."""
+MAX_RESULT_BYTES = 1 << 20
+"""Greatest size of a result, in bytes."""
 
-_VALUE_BYTES = 9
-_OUTCOMES = 'trefoilpulley_outcomes'
-_CREATE_OUTCOMES = f"""
-create table if not exists {_OUTCOMES} (
+_VALUE_OVERHEAD_BYTES = 9
+_OUTCOMES_TABLE = 'trefoilpulley_outcomes'
+_CREATE_OUTCOMES_TABLE = f"""
+create table if not exists {_OUTCOMES_TABLE} (
     tenant text not null,
     request_id text not null,
     digest text not null,
@@ -47,9 +47,9 @@
 """
 _FIND_OUTCOME = f"""
 select digest, is_abandoned, answer, term, position
-from {_OUTCOMES} where tenant = ? and request_id = ?
+from {_OUTCOMES_TABLE} where tenant = ? and request_id = ?
 """
-_KEEP_OUTCOME = f'insert into {_OUTCOMES} values (?, ?, ?, ?, ?, ?, ?)'
+_INSERT_OUTCOME = f'insert into {_OUTCOMES_TABLE} values (?, ?, ?, ?, ?, ?, ?)'
 
 _READ_ACTIONS = frozenset(
     (
@@ -70,35 +70,35 @@
 )
 
 
-class _Access(Enum):
+class _AccessMode(Enum):
     ALL = 'all'
     WRITE = 'write'
     READ = 'read'
 
 
 class SqlStore:
-    """One sqlite database with a table of outcomes.
+    """SQLite database with a table of the outcomes of writes.
 
     Parameters
     ----------
     schema : Iterable[str]
-        Statements that lay out the tables.
+        SQL statements that create the tables.
     """
 
     def __init__(self, schema: Iterable[str] = ()) -> None:
-        self._access = _Access.ALL
-        self._conn = _open_memory()
-        self._conn.execute(_CREATE_OUTCOMES)
+        self._access_mode = _AccessMode.ALL
+        self._conn = _open_in_memory()
+        self._conn.execute(_CREATE_OUTCOMES_TABLE)
         for sql in schema:
             self._conn.execute(sql)
         self._conn.set_authorizer(self._authorize)
 
     @classmethod
     def from_snapshot(cls, data: bytes) -> SqlStore:
-        """Return a store that holds a copy of another's content."""
+        """Return a store with the content of a snapshot."""
         store = cls.__new__(cls)
-        store._access = _Access.ALL
-        store._conn = _open_memory()
+        store._access_mode = _AccessMode.ALL
+        store._conn = _open_in_memory()
         store._conn.deserialize(data)
         store._conn.set_authorizer(store._authorize)
         return store
@@ -109,16 +109,16 @@
         return self._conn.in_transaction
 
     def snapshot(self) -> bytes:
-        """Return the whole content."""
+        """Return the serialized database."""
         return self._conn.serialize()
 
     def close(self) -> None:
-        """Free the memory."""
+        """Close the database and free its memory."""
         self._conn.close()
 
     def read(self, statement: Statement) -> Result[StatementResult, Failure]:
-        """Run a statement that may change nothing."""
-        return self._execute(statement, _Access.READ)
+        """Run a statement that may only read."""
+        return self._execute(statement, _AccessMode.READ)
 
     def begin(self) -> None:
         """Begin a transaction."""
@@ -126,10 +126,10 @@
 
     def run(self, statement: Statement) -> Result[StatementResult, Failure]:
         """Run a statement in the open transaction."""
-        return self._execute(statement, _Access.WRITE)
+        return self._execute(statement, _AccessMode.WRITE)
 
     def commit(self) -> Result[None, Failure]:
-        """Commit the open transaction, or say why it cannot be."""
+        """Commit the open transaction."""
         try:
             self._conn.execute('commit')
         except sqlite3.Error as exc:
@@ -142,23 +142,23 @@
             self._conn.execute('rollback')
 
     def apply(self, record: Record) -> Result[None, Failure]:
-        """Run the statements of a record that was committed elsewhere."""
+        """Run and commit a record of the replicated log."""
         try:
             self.begin()
-            self._run_all(record)
+            self._run_record(record)
         except sqlite3.Error as exc:
             self.rollback()
             return Failed(StatementFailed(str(exc)))
         return self.commit()
 
-    def _run_all(self, record: Record) -> None:
+    def _run_record(self, record: Record) -> None:
         for statement in record.statements:
             self._conn.execute(statement.sql, statement.parameters).fetchall()
         if record.outcome:
-            self.keep_outcome(record.outcome, record.position)
+            self.insert_outcome(record.outcome, record.position)
 
-    def find_outcome(self, key: OutcomeKey) -> KeptOutcome | None:
-        """Return the outcome kept under a tenant and request id."""
+    def find_outcome(self, key: OutcomeKey) -> StoredOutcome | None:
+        """Return the outcome stored for a tenant and request id."""
         found = self._conn.execute(
             _FIND_OUTCOME, (key.tenant, key.request_id)
         ).fetchone()
@@ -173,10 +173,10 @@
             tuple(tuple(row) for row in rows),
             row_count,
         )
-        return KeptOutcome(outcome, Position(term, index))
+        return StoredOutcome(outcome, Position(term, index))
 
-    def keep_outcome(self, outcome: Outcome, position: Position) -> None:
-        """Write an outcome in the open transaction."""
+    def insert_outcome(self, outcome: Outcome, position: Position) -> None:
+        """Store an outcome within the open transaction."""
         key = outcome.key
         answer = cbor2.dumps(
             [outcome.columns, outcome.rows, outcome.row_count]
@@ -190,35 +190,38 @@
             position.term,
             position.index,
         )
-        self._conn.execute(_KEEP_OUTCOME, fields)
+        self._conn.execute(_INSERT_OUTCOME, fields)
 
     def _execute(
-        self, statement: Statement, access: _Access
+        self, statement: Statement, access_mode: _AccessMode
     ) -> Result[StatementResult, Failure]:
-        self._access = access
+        self._access_mode = access_mode
         try:
             cursor = self._conn.execute(statement.sql, statement.parameters)
             return _fetch(cursor)
         except (sqlite3.Error, sqlite3.Warning, OverflowError) as exc:
             return Failed(StatementFailed(str(exc)))
         finally:
-            self._access = _Access.ALL
+            self._access_mode = _AccessMode.ALL
 
     def _authorize(
         self, action: int, first: str | None, *others: str | None
     ) -> int:
-        if self._access is _Access.ALL:
+        if self._access_mode is _AccessMode.ALL:
             return sqlite3.SQLITE_OK
-        if first == _OUTCOMES or action in _FORBIDDEN_ACTIONS:
+        if first == _OUTCOMES_TABLE or action in _FORBIDDEN_ACTIONS:
             return sqlite3.SQLITE_DENY
-        if self._access is _Access.READ and action not in _READ_ACTIONS:
+        if (
+            self._access_mode is _AccessMode.READ
+            and action not in _READ_ACTIONS
+        ):
             return sqlite3.SQLITE_DENY
         return sqlite3.SQLITE_OK
 
 
-def _open_memory() -> sqlite3.Connection:
-    # Statements are prepared anew each time, since the right to run one
-    # is checked only then.
+def _open_in_memory() -> sqlite3.Connection:
+    # The statement cache is off, because SQLite calls the authorizer only
+    # when it prepares a statement.
     return sqlite3.connect(
         ':memory:', isolation_level=None, cached_statements=0
     )
@@ -230,16 +233,16 @@
     for row in cursor:
         rows.append(row)
         size += sum(_size_of(value) for value in row)
-        if size > RESULT_LIMIT_BYTES:
+        if size > MAX_RESULT_BYTES:
             cursor.close()
-            return Failed(ResultTooLarge(f'limit is {RESULT_LIMIT_BYTES}'))
+            return Failed(ResultTooLarge(f'limit is {MAX_RESULT_BYTES}'))
     columns = tuple(d[0] for d in cursor.description or ())
     count = len(rows) if columns else cursor.rowcount
     return Success(StatementResult(columns, tuple(rows), count))
 
 
 def _size_of(value: Any) -> int:
-    return _VALUE_BYTES + _length_of(value)
+    return _VALUE_OVERHEAD_BYTES + _length_of(value)
 
 
 def _length_of(value: Sequence[Any] | Any) -> int:
