--- a/features/steps/standins_links_steps.py
+++ b/features/steps/standins_links_steps.py
@@ -11,9 +11,9 @@
 import gevent
 
 from trefoilpulley_standins.links.network import Network
-from trefoilpulley_standins.links.quality import DelayLine
+from trefoilpulley_standins.links.quality import DeliverySchedule
 from trefoilpulley_standins.links.quality import Quality
-from trefoilpulley_standins.links.quality import RETRANSMISSION_MS
+from trefoilpulley_standins.links.quality import RETRANSMISSION_DELAY_MS
 from trefoilpulley_standins.links.quality import ZonePair
 from trefoilpulley_standins.links.settings import LinkOrder
 
@@ -57,7 +57,7 @@
     @then('some standins packet takes at least {delay:g} ms')
     def check_loss(context: Any, delay: float) -> None:
         """Expect a retransmission."""
-        assert delay == RETRANSMISSION_MS
+        assert delay == RETRANSMISSION_DELAY_MS
         assert any(
             a - s >= delay / 1000
             for a, s in zip(context.arrivals, context.sent, strict=True)
@@ -79,20 +79,22 @@
     @when('the standins direction {source} to {target} is cut')
     def cut(context: Any, source: str, target: str) -> None:
         """Cut one direction."""
-        context.network.obey(LinkOrder(cuts=(ZonePair(source, target),)))
+        context.network.apply_order(
+            LinkOrder(cuts=(ZonePair(source, target),))
+        )
 
     @staticmethod
     @when('the standins cut is healed')
     def heal(context: Any) -> None:
         """End every cut."""
-        context.network.obey(LinkOrder(cuts=()))
+        context.network.apply_order(LinkOrder(cuts=()))
 
     @staticmethod
     @then('standins data from {source} to {target} waits')
     def check_waits(context: Any, source: str, target: str) -> None:
         """Expect that a sender is still held."""
         pair = ZonePair(source, target)
-        sender = gevent.spawn(context.network.wait_healed, pair)
+        sender = gevent.spawn(context.network.wait_until_healed, pair)
         context.cleanups.append(sender.kill)
         gevent.idle()
         assert not sender.ready()
@@ -102,11 +104,11 @@
     def check_passes(context: Any, source: str, target: str) -> None:
         """Expect that a sender goes on at once."""
         pair = ZonePair(source, target)
-        sender = gevent.spawn(context.network.wait_healed, pair)
+        sender = gevent.spawn(context.network.wait_until_healed, pair)
         gevent.idle()
         assert sender.ready()
 
 
 def _arrive(context: Any) -> list[float]:
-    line = DelayLine(random.Random(_SEED))
-    return [line.due(context.quality, at) for at in context.sent]
+    line = DeliverySchedule(random.Random(_SEED))
+    return [line.arrival_at(context.quality, at) for at in context.sent]
--- a/features/steps/standins_platform_steps.py
+++ b/features/steps/standins_platform_steps.py
@@ -153,14 +153,14 @@
     def order_loss(context: Any, count: int, prefix: str) -> None:
         """Lose the answers to some writes."""
         order = Order(lose_answers=count, lose_prefix=prefix)
-        context.service.faults.obey(order)
+        context.service.faults.apply_order(order)
 
     @staticmethod
     @then('the standins answers to writes of "{keys}" are "{fates}"')
     def check_losses(context: Any, keys: str, fates: str) -> None:
         """Compare which answers are lost."""
         faults = context.service.faults
-        lost = [faults.takes_answer((k.encode(),)) for k in keys.split()]
+        lost = [faults.try_lose_answer((k.encode(),)) for k in keys.split()]
         assert ['lost' if x else 'kept' for x in lost] == fates.split()
 
     @staticmethod
--- a/packages/standins/src/trefoilpulley_standins/links/forwarder.py
+++ b/packages/standins/src/trefoilpulley_standins/links/forwarder.py
@@ -13,7 +13,7 @@
 from gevent.server import StreamServer
 from gevent import socket
 
-from trefoilpulley_standins.links.quality import DelayLine
+from trefoilpulley_standins.links.quality import DeliverySchedule
 
 if TYPE_CHECKING:
     from trefoilpulley_standins.links.network import Network
@@ -93,10 +93,12 @@
     def _connect(self) -> socket.socket:
         # Opening a connection takes a round trip of its own.
         for pair in (self._pair, self._pair.reversed):
-            line = DelayLine(self._rng)
+            line = DeliverySchedule(self._rng)
             now = time.monotonic()
-            gevent.sleep(line.due(self._network.quality(pair), now) - now)
-            self._network.wait_healed(pair)
+            gevent.sleep(
+                line.arrival_at(self._network.quality(pair), now) - now
+            )
+            self._network.wait_until_healed(pair)
         return socket.create_connection(self._target)
 
 
@@ -115,7 +117,7 @@
         self._target = target
         self._pair = pair
         self._network = network
-        self._line = DelayLine(rng)
+        self._line = DeliverySchedule(rng)
         self._under_way: Queue[tuple[float, bytes]] = Queue(BUFFERED_CHUNKS)
 
     def run(self) -> None:
@@ -124,8 +126,8 @@
         while True:
             data = self._receive()
             quality = self._network.quality(self._pair)
-            due = self._line.due(quality, time.monotonic())
-            self._under_way.put((due, data))
+            arrival_at = self._line.arrival_at(quality, time.monotonic())
+            self._under_way.put((arrival_at, data))
             if not data:
                 break
         sender.join()
@@ -138,9 +140,9 @@
 
     def _send(self) -> None:
         while True:
-            due, data = self._under_way.get()
-            gevent.sleep(max(due - time.monotonic(), 0))
-            self._network.wait_healed(self._pair)
+            arrival_at, data = self._under_way.get()
+            gevent.sleep(max(arrival_at - time.monotonic(), 0))
+            self._network.wait_until_healed(self._pair)
             if not self._deliver(data):
                 return
 
--- a/packages/standins/src/trefoilpulley_standins/links/network.py
+++ b/packages/standins/src/trefoilpulley_standins/links/network.py
@@ -35,13 +35,13 @@
         """Return the behaviour of a direction."""
         return self._qualities.get(pair) or Quality(pair)
 
-    def obey(self, order: LinkOrder) -> None:
+    def apply_order(self, order: LinkOrder) -> None:
         """Put an order in force."""
         self._qualities.update({q.pair: q for q in order.qualities})
         if order.cuts is not None:
             self._cut(frozenset(order.cuts))
 
-    def wait_healed(self, pair: ZonePair) -> None:
+    def wait_until_healed(self, pair: ZonePair) -> None:
         """Wait while a direction is cut."""
         while pair in self._healed:
             self._healed[pair].wait()
--- a/packages/standins/src/trefoilpulley_standins/links/quality.py
+++ b/packages/standins/src/trefoilpulley_standins/links/quality.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     import random
 
-RETRANSMISSION_MS = 200.0
+RETRANSMISSION_DELAY_MS = 200.0
 """Time that the retransmission of a lost packet adds, in milliseconds."""
 
 _MS = 1000
@@ -47,7 +47,7 @@
     """Share of the packets that are sent again."""
 
 
-class DelayLine:
+class DeliverySchedule:
     """Times of arrival in one direction of one connection, in order.
 
     Parameters
@@ -60,11 +60,11 @@
         self._rng = rng
         self._last_due = 0.0
 
-    def due(self, quality: Quality, now: float) -> float:
+    def arrival_at(self, quality: Quality, now: float) -> float:
         """Return when data sent now arrives."""
         delay_ms = quality.one_way_ms
         delay_ms += self._rng.random() * quality.jitter_ms
         if self._rng.random() < quality.loss:
-            delay_ms += RETRANSMISSION_MS
+            delay_ms += RETRANSMISSION_DELAY_MS
         self._last_due = max(self._last_due, now + delay_ms / _MS)
         return self._last_due
--- a/packages/standins/src/trefoilpulley_standins/links/server.py
+++ b/packages/standins/src/trefoilpulley_standins/links/server.py
@@ -61,7 +61,9 @@
 
     def _answer(self, environ: dict[str, Any], start: Callable) -> list[bytes]:
         document = json.loads(environ['wsgi.input'].read() or b'{}')
-        self._network.obey(self._converter.structure(document, LinkOrder))
+        self._network.apply_order(
+            self._converter.structure(document, LinkOrder)
+        )
         start('200 OK', [('Content-Type', 'application/json')])
         return [json.dumps(self._carried()).encode()]
 
--- a/packages/standins/src/trefoilpulley_standins/platform/faults.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/faults.py
@@ -48,7 +48,7 @@
     cut_zones: frozenset[str] = field(default_factory=frozenset)
     """Zones whose calls get no answer."""
 
-    def obey(self, order: Order) -> None:
+    def apply_order(self, order: Order) -> None:
         """Put an order in force."""
         if order.is_down is not None:
             self.is_down = order.is_down
@@ -60,7 +60,7 @@
         if order.cut_zones is not None:
             self.cut_zones = frozenset(order.cut_zones)
 
-    def takes_answer(self, keys: tuple[bytes, ...]) -> bool:
+    def try_lose_answer(self, keys: tuple[bytes, ...]) -> bool:
         """Return whether the answer to a write of keys is lost."""
         if not self.lose_answers:
             return False
--- a/packages/standins/src/trefoilpulley_standins/platform/server.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/server.py
@@ -130,7 +130,7 @@
     def order(self, document: Any) -> None:
         """Put an order in force."""
         order = self._converter.structure(document, Order)
-        self.faults.obey(order)
+        self.faults.apply_order(order)
         if order.lapse_key is not None:
             self._lapse(order.lapse_key.encode())
         if order.cut_zones is not None:
@@ -234,7 +234,7 @@
         if not is_successful(done):
             return _refuse(done.failure(), start)
         faults = self._service.faults
-        if path in _WRITES and faults.takes_answer(written_keys(body)):
+        if path in _WRITES and faults.try_lose_answer(written_keys(body)):
             raise AnswerLost()
         start('200 OK', _JSON)
         return [json.dumps(done.unwrap()).encode()]
