--- a/packages/standins/src/trefoilpulley_standins/links/__init__.py
+++ b/packages/standins/src/trefoilpulley_standins/links/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for the links between availability zones."""
+"""Simulated network links between availability zones."""
--- a/packages/standins/src/trefoilpulley_standins/links/__main__.py
+++ b/packages/standins/src/trefoilpulley_standins/links/__main__.py
@@ -1,4 +1,4 @@
-"""Command that carries the links of a settings file."""
+"""Command that runs the simulated links of a settings file."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 @click.command()
 @click.argument('path', type=click.Path(exists=True, path_type=Path))
 def main(path: Path) -> None:
-    """Carry the links of the settings file PATH."""
+    """Run the simulated links of the settings file PATH."""
     server = LinksServer(read_settings(path, LinksSettings).unwrap())
     server.start()
     announce('links', port=server.port)
--- a/packages/standins/src/trefoilpulley_standins/links/forwarder.py
+++ b/packages/standins/src/trefoilpulley_standins/links/forwarder.py
@@ -1,4 +1,4 @@
-"""Carries the TCP connections of one link."""
+"""TCP forwarder of one simulated link."""
 
 from __future__ import annotations
 
@@ -20,24 +20,27 @@
     from trefoilpulley_standins.links.quality import ZonePair
     from trefoilpulley_standins.links.settings import LinkSettings
 
-CHUNK_BYTES = 65536
-"""Bytes read at once."""
+READ_CHUNK_BYTES = 65536
+"""Greatest number of bytes in one read."""
 
-BUFFERED_CHUNKS = 64
-"""Chunks under way in one direction of a connection."""
+MAX_QUEUED_CHUNKS = 64
+"""Chunks queued in one direction of a connection.
+
+A full queue stops the reads, which gives the sender backpressure.
+"""
 
 
 class Forwarder:
-    """Listens for one link's callers and connects them to its target.
+    """Accepts the connections of one link and forwards them to its target.
 
     Parameters
     ----------
     cfg : LinkSettings
         Link.
     network : Network
-        Behaviour of the directions.
+        Delays and cuts of each direction.
     seed : int
-        Seed of jitter and loss.
+        Seed of the random jitter and loss.
     """
 
     def __init__(self, cfg: LinkSettings, network: Network, seed: int) -> None:
@@ -45,9 +48,9 @@
         self._target = (cfg.target.address, cfg.target.port)
         self._network = network
         self._rng = random.Random(seed)
-        self._open: set[socket.socket] = set()
+        self._open_sockets: set[socket.socket] = set()
         self._server = StreamServer(
-            (cfg.listen.address, cfg.listen.port), self._accept
+            (cfg.listen.address, cfg.listen.port), self._handle_connection
         )
 
     @property
@@ -56,54 +59,60 @@
         return self._server.server_port
 
     def start(self) -> None:
-        """Begin to accept."""
+        """Start accepting connections."""
         self._server.start()
 
     def stop(self) -> None:
-        """Accept nothing more."""
+        """Stop accepting connections."""
         self._server.stop(timeout=0)
 
     def reset(self) -> None:
-        """Break every connection; new ones work."""
-        for sock in tuple(self._open):
-            # Closing with this option sends a reset.
+        """Reset every open connection; new connections are accepted."""
+        for sock in tuple(self._open_sockets):
+            # With this linger option, closing the socket sends a TCP reset.
             linger = struct.pack('ii', 1, 0)
             with suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
                 sock.shutdown(socket.SHUT_RDWR)
 
-    def _accept(self, sock: socket.socket, address: tuple) -> None:
+    def _handle_connection(self, sock: socket.socket, address: tuple) -> None:
         try:
-            far = self._connect()
+            target_sock = self._connect()
         except OSError:
             sock.close()
             return
         pipes = (
-            _Pipe(sock, far, self._pair, self._network, self._rng),
-            _Pipe(far, sock, self._pair.reversed, self._network, self._rng),
+            _Pipe(sock, target_sock, self._pair, self._network, self._rng),
+            _Pipe(
+                target_sock,
+                sock,
+                self._pair.reversed,
+                self._network,
+                self._rng,
+            ),
         )
-        for conn in (sock, far):
+        for conn in (sock, target_sock):
             conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._open |= {sock, far}
+        self._open_sockets |= {sock, target_sock}
         gevent.joinall([gevent.spawn(pipe.run) for pipe in pipes])
-        self._open -= {sock, far}
+        self._open_sockets -= {sock, target_sock}
         sock.close()
-        far.close()
+        target_sock.close()
 
     def _connect(self) -> socket.socket:
-        # Opening a connection takes a round trip of its own.
+        # The TCP handshake takes one round trip.
         for pair in (self._pair, self._pair.reversed):
-            line = DeliverySchedule(self._rng)
+            schedule = DeliverySchedule(self._rng)
             now = time.monotonic()
             gevent.sleep(
-                line.arrival_at(self._network.quality(pair), now) - now
+                schedule.arrival_at(self._network.quality(pair), now) - now
             )
             self._network.wait_until_healed(pair)
         return socket.create_connection(self._target)
 
 
 class _Pipe:
-    """One direction of one connection."""
+    """Forwards the data of one direction of a connection."""
 
     def __init__(
         self,
@@ -117,30 +126,30 @@
         self._target = target
         self._pair = pair
         self._network = network
-        self._line = DeliverySchedule(rng)
-        self._under_way: Queue[tuple[float, bytes]] = Queue(BUFFERED_CHUNKS)
+        self._schedule = DeliverySchedule(rng)
+        self._in_transit: Queue[tuple[float, bytes]] = Queue(MAX_QUEUED_CHUNKS)
 
     def run(self) -> None:
-        """Carry data until the sender ends."""
+        """Forward data until the source closes its side."""
         sender = gevent.spawn(self._send)
         while True:
             data = self._receive()
             quality = self._network.quality(self._pair)
-            arrival_at = self._line.arrival_at(quality, time.monotonic())
-            self._under_way.put((arrival_at, data))
+            arrival_at = self._schedule.arrival_at(quality, time.monotonic())
+            self._in_transit.put((arrival_at, data))
             if not data:
                 break
         sender.join()
 
     def _receive(self) -> bytes:
         try:
-            return self._source.recv(CHUNK_BYTES)
+            return self._source.recv(READ_CHUNK_BYTES)
         except OSError:
             return b''
 
     def _send(self) -> None:
         while True:
-            arrival_at, data = self._under_way.get()
+            arrival_at, data = self._in_transit.get()
             gevent.sleep(max(arrival_at - time.monotonic(), 0))
             self._network.wait_until_healed(self._pair)
             if not self._deliver(data):
@@ -153,12 +162,12 @@
             else:
                 self._target.shutdown(socket.SHUT_RDWR)
         except OSError:
-            self._abandon()
+            self._close_source()
             return False
-        self._network.bytes_carried[self._pair] += len(data)
+        self._network.bytes_forwarded[self._pair] += len(data)
         return bool(data)
 
-    def _abandon(self) -> None:
+    def _close_source(self) -> None:
         try:
             self._source.shutdown(socket.SHUT_RDWR)
         except OSError:
--- a/packages/standins/src/trefoilpulley_standins/links/network.py
+++ b/packages/standins/src/trefoilpulley_standins/links/network.py
@@ -1,4 +1,4 @@
-"""State of the links between all zones."""
+"""State of the links between the zones."""
 
 from __future__ import annotations
 
@@ -17,37 +17,37 @@
 
 
 class Network:
-    """Quality and cuts of each direction.
+    """Quality and cuts of each direction between two zones.
 
     Parameters
     ----------
     qualities : Iterable[Quality]
-        Behaviour at the start.
+        Initial quality of the directions; perfect for any other direction.
     """
 
     def __init__(self, qualities: Iterable[Quality]) -> None:
         self._qualities = {q.pair: q for q in qualities}
-        self._healed: dict[ZonePair, Event] = {}
-        self.bytes_carried: Counter[ZonePair] = Counter()
-        """Bytes that have crossed, by direction."""
+        self._heal_events: dict[ZonePair, Event] = {}
+        self.bytes_forwarded: Counter[ZonePair] = Counter()
+        """Number of bytes forwarded in each direction."""
 
     def quality(self, pair: ZonePair) -> Quality:
-        """Return the behaviour of a direction."""
+        """Return the quality of a direction."""
         return self._qualities.get(pair) or Quality(pair)
 
     def apply_order(self, order: LinkOrder) -> None:
-        """Put an order in force."""
+        """Apply new qualities and cuts."""
         self._qualities.update({q.pair: q for q in order.qualities})
         if order.cuts is not None:
-            self._cut(frozenset(order.cuts))
+            self._update_cuts(frozenset(order.cuts))
 
     def wait_until_healed(self, pair: ZonePair) -> None:
-        """Wait while a direction is cut."""
-        while pair in self._healed:
-            self._healed[pair].wait()
+        """Wait until a direction is not cut."""
+        while pair in self._heal_events:
+            self._heal_events[pair].wait()
 
-    def _cut(self, cuts: frozenset[ZonePair]) -> None:
-        for pair in [p for p in self._healed if p not in cuts]:
-            self._healed.pop(pair).set()
+    def _update_cuts(self, cuts: frozenset[ZonePair]) -> None:
+        for pair in [p for p in self._heal_events if p not in cuts]:
+            self._heal_events.pop(pair).set()
         for pair in cuts:
-            self._healed.setdefault(pair, Event())
+            self._heal_events.setdefault(pair, Event())
--- a/packages/standins/src/trefoilpulley_standins/links/quality.py
+++ b/packages/standins/src/trefoilpulley_standins/links/quality.py
@@ -1,4 +1,4 @@
-"""Delay of what crosses a link, without I/O or a clock."""
+"""Delays on a simulated link, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -9,62 +9,67 @@
     import random
 
 RETRANSMISSION_DELAY_MS = 200.0
-"""Time that the retransmission of a lost packet adds, in milliseconds."""
+"""Delay that the retransmission of a lost packet adds, in milliseconds."""
 
-_MS = 1000
+_MS_PER_S = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class ZonePair:
-    """Ordered pair of zones."""
+    """Direction from one zone to another."""
 
     source: str
-    """Zone that sends."""
+    """Sending zone."""
 
     target: str
-    """Zone that receives."""
+    """Receiving zone."""
 
     @property
     def reversed(self) -> ZonePair:
-        """The pair of the other direction."""
+        """Opposite direction."""
         return ZonePair(self.target, self.source)
 
 
 @dataclass(frozen=True, slots=True)
 class Quality:
-    """How one direction between two zones behaves."""
+    """Delay, jitter and loss of one direction between two zones."""
 
     pair: ZonePair
-    """Direction."""
+    """Direction that the values apply to."""
 
     one_way_ms: float = 0.0
-    """Least delay in milliseconds."""
+    """Least one-way delay, in milliseconds."""
 
     jitter_ms: float = 0.0
-    """Greatest delay added at random, in milliseconds."""
+    """Upper bound of the random delay that is added, in milliseconds."""
 
     loss: float = 0.0
-    """Share of the packets that are sent again."""
+    """Probability from 0 to 1 that a packet is retransmitted."""
 
 
 class DeliverySchedule:
-    """Times of arrival in one direction of one connection, in order.
+    """Arrival times in one direction of a connection, in sending order.
 
     Parameters
     ----------
     rng : random.Random
-        Source of jitter and loss.
+        Random number generator of the jitter and loss.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._last_due = 0.0
+        self._last_arrival_at = 0.0
 
     def arrival_at(self, quality: Quality, now: float) -> float:
-        """Return when data sent now arrives."""
+        """Return the time at which data sent at ``now`` arrives.
+
+        Data never arrives before data that was sent earlier, as in TCP.
+        """
         delay_ms = quality.one_way_ms
         delay_ms += self._rng.random() * quality.jitter_ms
         if self._rng.random() < quality.loss:
             delay_ms += RETRANSMISSION_DELAY_MS
-        self._last_due = max(self._last_due, now + delay_ms / _MS)
-        return self._last_due
+        self._last_arrival_at = max(
+            self._last_arrival_at, now + delay_ms / _MS_PER_S
+        )
+        return self._last_arrival_at
--- a/packages/standins/src/trefoilpulley_standins/links/server.py
+++ b/packages/standins/src/trefoilpulley_standins/links/server.py
@@ -1,4 +1,4 @@
-"""All links of a deployment and the port for orders to them."""
+"""Links of a deployment with their control port."""
 
 from __future__ import annotations
 
@@ -20,55 +20,57 @@
 
 
 class LinksServer:
-    """Forwarders of all links.
+    """Runs a forwarder for each link, and the control port.
 
     Parameters
     ----------
     cfg : LinksSettings
-        Settings of the process.
+        Settings of the links.
     """
 
     def __init__(self, cfg: LinksSettings) -> None:
         self._network = Network(cfg.qualities)
         self._forwarders = [
-            Forwarder(link, self._network, cfg.seed + number)
-            for number, link in enumerate(cfg.links)
+            Forwarder(link, self._network, cfg.seed + index)
+            for index, link in enumerate(cfg.links)
         ]
         self._converter = make_converter(forbid_extra_keys=True)
-        self._control = WSGIServer(
+        self._control_server = WSGIServer(
             (cfg.control.address, cfg.control.port),
-            self._answer,
+            self._handle_order,
             log=None,
             error_log=None,
         )
 
     @property
     def port(self) -> int:
-        """Port for orders."""
-        return self._control.server_port
+        """Control port."""
+        return self._control_server.server_port
 
     def start(self) -> None:
-        """Open every port."""
+        """Open the control port and the port of each link."""
         for forwarder in self._forwarders:
             forwarder.start()
-        self._control.start()
+        self._control_server.start()
 
     def stop(self) -> None:
-        """Close every port."""
-        self._control.stop(timeout=0)
+        """Close the control port and the port of each link."""
+        self._control_server.stop(timeout=0)
         for forwarder in self._forwarders:
             forwarder.stop()
 
-    def _answer(self, environ: dict[str, Any], start: Callable) -> list[bytes]:
+    def _handle_order(
+        self, environ: dict[str, Any], start: Callable
+    ) -> list[bytes]:
         document = json.loads(environ['wsgi.input'].read() or b'{}')
         self._network.apply_order(
             self._converter.structure(document, LinkOrder)
         )
         start('200 OK', [('Content-Type', 'application/json')])
-        return [json.dumps(self._carried()).encode()]
+        return [json.dumps(self._forwarded_bytes()).encode()]
 
-    def _carried(self) -> dict[str, int]:
+    def _forwarded_bytes(self) -> dict[str, int]:
         return {
             f'{pair.source}>{pair.target}': count
-            for pair, count in self._network.bytes_carried.items()
+            for pair, count in self._network.bytes_forwarded.items()
         }
--- a/packages/standins/src/trefoilpulley_standins/links/settings.py
+++ b/packages/standins/src/trefoilpulley_standins/links/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the links."""
+"""Settings of the simulated links."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkSettings:
-    """Way from one zone to one port in another."""
+    """Link from one zone to a port in another zone."""
 
     pair: ZonePair
-    """Zone of the callers and zone of the target."""
+    """Direction from the callers' zone to the target's zone."""
 
     listen: Endpoint
-    """Address for the callers."""
+    """Address on which the link accepts connections."""
 
     target: Endpoint
-    """Address that the link leads to."""
+    """Address to which the link forwards connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinksSettings:
-    """Settings of the process that carries the links."""
+    """Settings of the process that runs the links."""
 
     control: Endpoint
-    """Address for orders."""
+    """Address of the control port."""
 
     links: tuple[LinkSettings, ...] = ()
-    """Links."""
+    """Settings of each link."""
 
     qualities: tuple[Quality, ...] = ()
-    """Behaviour of each direction; perfect where none is given."""
+    """Initial quality of the directions; perfect for any other direction."""
 
     seed: int = 0
-    """Seed of jitter and loss."""
+    """Seed of the random jitter and loss."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkOrder:
-    """Order to the links; fields that are left out change nothing."""
+    """Change of the links; omitted fields change nothing."""
 
     cuts: tuple[ZonePair, ...] | None = None
-    """Every direction that is cut from now on."""
+    """All directions that are cut from now on."""
 
     qualities: tuple[Quality, ...] = ()
-    """Directions that behave differently from now on."""
+    """New qualities of the given directions."""
--- a/packages/standins/src/trefoilpulley_standins/platform/__init__.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in for the platform's key-value service."""
+"""Simulated key-value service of the platform."""
--- a/packages/standins/src/trefoilpulley_standins/platform/__main__.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Command that runs the stand-in for the platform's service."""
+"""Command that runs the simulated key-value service."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 @click.command()
-@click.option('--port', default=0, help='Port for orders and calls.')
+@click.option('--port', default=0, help='Port for fault orders and API calls.')
 @click.option(
     '--seed-file',
     type=click.Path(exists=True, path_type=Path),
-    help='Values and zones.',
+    help='File of initial values and zones.',
 )
 def main(port: int, seed_file: Path | None) -> None:
     """Run the service until SIGTERM or SIGINT."""
--- a/packages/standins/src/trefoilpulley_standins/platform/faults.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/faults.py
@@ -1,4 +1,4 @@
-"""Faults of the service that a test orders."""
+"""Injected faults of the simulated service."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One order to the service; fields that are left out change nothing."""
+    """Change of the injected faults; omitted fields change nothing."""
 
     is_down: bool | None = None
     """Whether connections are refused in every zone."""
@@ -17,21 +17,21 @@
     """Time added to each call, in milliseconds."""
 
     lose_answers: int | None = None
-    """Writes whose answers are lost after they took effect."""
+    """Number of writes that take effect but get no response."""
 
     lose_prefix: str = ''
-    """Keys whose writes lose their answers; empty for every key."""
+    """Prefix of the keys whose writes get no response; empty for all."""
 
     cut_zones: tuple[str, ...] | None = None
-    """Zones whose calls get no answer and have no effect."""
+    """Zones whose calls get no response and have no effect."""
 
     lapse_key: str | None = None
-    """Key whose lease ends at once."""
+    """Key whose lease is revoked at once."""
 
 
 @dataclass(slots=True)
 class Faults:
-    """Faults in force."""
+    """Injected faults that are in effect."""
 
     is_down: bool = False
     """Whether connections are refused in every zone."""
@@ -40,16 +40,16 @@
     """Time added to each call, in milliseconds."""
 
     lose_answers: int = 0
-    """Writes that still lose their answers."""
+    """Number of further writes that get no response."""
 
     lose_prefix: bytes = b''
-    """Keys whose writes lose their answers."""
+    """Prefix of the keys whose writes get no response."""
 
     cut_zones: frozenset[str] = field(default_factory=frozenset)
-    """Zones whose calls get no answer."""
+    """Zones whose calls get no response."""
 
     def apply_order(self, order: Order) -> None:
-        """Put an order in force."""
+        """Apply the fields of an order that are set."""
         if order.is_down is not None:
             self.is_down = order.is_down
         if order.slow_ms is not None:
@@ -61,7 +61,10 @@
             self.cut_zones = frozenset(order.cut_zones)
 
     def try_lose_answer(self, keys: tuple[bytes, ...]) -> bool:
-        """Return whether the answer to a write of keys is lost."""
+        """Return whether the response to a write is lost.
+
+        Each lost response decrements the number of writes that lose theirs.
+        """
         if not self.lose_answers:
             return False
         if not any(key.startswith(self.lose_prefix) for key in keys):
--- a/packages/standins/src/trefoilpulley_standins/platform/gateway.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/gateway.py
@@ -1,4 +1,4 @@
-"""JSON documents of etcd's published v3 gateway."""
+"""JSON documents of etcd's public v3 gRPC gateway."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
     from trefoilpulley_standins.platform.store import StoredValue
 
 Document = dict[str, Any]
-"""JSON object as the gateway sends and takes it."""
+"""JSON object of a request or a response."""
 
-_OPERANDS = {
+_OPERAND_FIELDS = {
     Target.VERSION: 'version',
     Target.CREATE: 'create_revision',
     Target.MOD: 'mod_revision',
@@ -45,22 +45,22 @@
 
 
 class ValueView(abc.ABC):
-    """Changes values on their way to the callers of one port."""
+    """Converts stored values for the callers of one port."""
 
     @abc.abstractmethod
     def show(self, key: bytes, value: bytes) -> bytes:
-        """Return the value as the port's callers see it."""
+        """Return a value as the callers of the port see it."""
 
 
 class Gateway:
-    """Answers the calls of one port.
+    """Executes the API calls of one port.
 
     Parameters
     ----------
     store : KeyValueStore
         State of the service.
     view : ValueView
-        How the port's callers see values.
+        Conversion of the values that the callers read.
     """
 
     def __init__(self, store: KeyValueStore, view: ValueView) -> None:
@@ -80,26 +80,26 @@
     def call(
         self, path: str, body: Document, now: float
     ) -> Result[Document, Failure]:
-        """Run one call and return the document of its answer."""
+        """Execute a call and return the response document."""
         handler = self._calls.get(path)
         if handler is None:
-            return Failed(MalformedMessage(f'no call {path}'))
+            return Failed(MalformedMessage(f'unknown call {path}'))
         try:
             return handler(body, now)
         except (KeyError, ValueError, TypeError) as exc:
             return Failed(MalformedMessage(repr(exc)))
 
     def events(self, changes: tuple[Change, ...]) -> Document:
-        """Return the line of a watch for some changes."""
+        """Return the document that a watch sends for changes."""
         return {
             'result': {
                 'header': self.header(),
-                'events': [self._event(c.value) for c in changes],
+                'events': [self._event_document(c.value) for c in changes],
             }
         }
 
     def header(self) -> Document:
-        """Return the header of each answer."""
+        """Return the header of a response."""
         return {
             'cluster_id': '1',
             'member_id': '1',
@@ -109,7 +109,7 @@
 
     def _range(self, body: Document, now: float) -> Result[Document, Failure]:
         found = self._store.get(decode_range(body))
-        answer = self._range_answer(found, bool(body.get('keys_only')))
+        answer = self._range_document(found, bool(body.get('keys_only')))
         return Success({'header': self.header(), **answer})
 
     def _put(self, body: Document, now: float) -> Result[Document, Failure]:
@@ -123,7 +123,9 @@
         return done.map(
             lambda txn: {
                 'header': self.header(),
-                **self._effect(txn.effects[0])['response_delete_range'],
+                **self._effect_document(txn.effects[0])[
+                    'response_delete_range'
+                ],
             }
         )
 
@@ -139,7 +141,7 @@
         answer: Document = {'header': self.header()}
         if txn.is_success:
             answer['succeeded'] = True
-        answer['responses'] = [self._effect(e) for e in txn.effects]
+        answer['responses'] = [self._effect_document(e) for e in txn.effects]
         return Success(answer)
 
     def _grant(self, body: Document, now: float) -> Result[Document, Failure]:
@@ -176,47 +178,49 @@
             answer['TTL'] = str(int(lease.expires_at - now))
             answer['grantedTTL'] = str(lease.ttl_s)
             answer['keys'] = [
-                _encode(k) for k in self._store.keys_of(lease_id)
+                _encode_base64(k) for k in self._store.keys_of(lease_id)
             ]
         return Success(answer)
 
-    def _effect(self, effect: Effect) -> Document:
+    def _effect_document(self, effect: Effect) -> Document:
         header = {'header': self.header()}
         if isinstance(effect.operation, Put):
             return {'response_put': header}
         if isinstance(effect.operation, Get):
-            found = self._range_answer(effect.values, is_keys_only=False)
+            found = self._range_document(effect.values, is_keys_only=False)
             return {'response_range': {**header, **found}}
         if effect.values:
             header['deleted'] = str(len(effect.values))
         return {'response_delete_range': header}
 
-    def _range_answer(
+    def _range_document(
         self, found: tuple[StoredValue, ...], is_keys_only: bool
     ) -> Document:
         if not found:
             return {}
-        kvs = [self._key_value(value, is_keys_only) for value in found]
+        kvs = [
+            self._key_value_document(value, is_keys_only) for value in found
+        ]
         return {'kvs': kvs, 'count': str(len(kvs))}
 
-    def _key_value(
+    def _key_value_document(
         self, stored: StoredValue, is_keys_only: bool = False
     ) -> Document:
-        fields = {'key': _encode(stored.key)}
-        numbers = {
+        fields = {'key': _encode_base64(stored.key)}
+        numeric_fields = {
             'create_revision': stored.create_revision,
             'mod_revision': stored.mod_revision,
             'version': stored.version,
             'lease': stored.lease,
         }
-        fields.update({k: str(v) for k, v in numbers.items() if v})
+        fields.update({k: str(v) for k, v in numeric_fields.items() if v})
         if stored.value and not is_keys_only:
             shown = self._view.show(stored.key, stored.value)
-            fields['value'] = _encode(shown)
+            fields['value'] = _encode_base64(shown)
         return fields
 
-    def _event(self, stored: StoredValue) -> Document:
-        event: Document = {'kv': self._key_value(stored)}
+    def _event_document(self, stored: StoredValue) -> Document:
+        event: Document = {'kv': self._key_value_document(stored)}
         if not stored.version:
             event['type'] = 'DELETE'
         return event
@@ -232,7 +236,7 @@
 
 
 def decode_range(body: Document) -> KeyRange:
-    """Return the range of a call."""
+    """Return the key range of a request."""
     end = b64decode(body.get('range_end', ''))
     return KeyRange(b64decode(body['key']), end)
 
@@ -259,9 +263,9 @@
     if target is Target.VALUE:
         operand = b64decode(document.get('value', ''))
     else:
-        operand = int(document.get(_OPERANDS[target], 0))
+        operand = int(document.get(_OPERAND_FIELDS[target], 0))
     return Condition(b64decode(document['key']), target, relation, operand)
 
 
-def _encode(data: bytes) -> str:
+def _encode_base64(data: bytes) -> str:
     return b64encode(data).decode()
--- a/packages/standins/src/trefoilpulley_standins/platform/settings.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the stand-in for the platform's service."""
+"""Settings of the simulated key-value service."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SeedValue:
-    """Key written at the start."""
+    """Initial key and value."""
 
     key: str
     """Key."""
@@ -20,35 +20,35 @@
 
 @dataclass(frozen=True, slots=True)
 class PortRoute:
-    """How a zone reaches a port of another zone."""
+    """Link through which a zone reaches a port of another zone."""
 
     port: int
-    """Port in the stored catalogue."""
+    """Port in the stored catalog."""
 
     via: int
-    """Port of the link, as the zone's callers see it."""
+    """Port of the link that the callers of the zone use instead."""
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneView:
-    """Port of the service for one availability zone."""
+    """Port of the service for the callers of one availability zone."""
 
     zone: str
     """Availability zone."""
 
     listen: Endpoint
-    """Address of the service for the zone."""
+    """Address on which the service listens for the zone."""
 
     routes: tuple[PortRoute, ...] = ()
-    """Ports that the zone reaches over links."""
+    """Ports that the zone reaches through links."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """Settings of the stand-in."""
+    """Settings of the service."""
 
     values: tuple[SeedValue, ...] = ()
-    """Keys written at the start."""
+    """Initial keys and values."""
 
     zones: tuple[ZoneView, ...] = ()
-    """Ports for the availability zones."""
+    """Port for each availability zone."""
--- a/packages/standins/src/trefoilpulley_standins/platform/store.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/store.py
@@ -1,4 +1,4 @@
-"""Keys, revisions, leases and watches, without I/O or a clock."""
+"""In-memory keys, revisions, leases and watches, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-RETAINED_EVENTS = 10_000
-"""Changes kept for watches that begin in the past."""
+MAX_RETAINED_CHANGES = 10_000
+"""Changes kept for watches that start at an earlier revision."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredValue:
-    """One key with its revisions."""
+    """Value of a key with its revisions."""
 
     key: bytes
     """Key."""
@@ -34,13 +34,13 @@
     """Value."""
 
     create_revision: int = 0
-    """Revision that created the key; 0 where it does not exist."""
+    """Revision that created the key; 0 if the key does not exist."""
 
     mod_revision: int = 0
     """Revision of the last change."""
 
     version: int = 0
-    """Number of changes since the key was created."""
+    """Number of writes since the creation, which counts as the first."""
 
     lease: int = 0
     """Lease that the key is bound to, or 0."""
@@ -48,13 +48,13 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """Keys from ``start`` up to but without ``end``."""
+    """Keys from ``start``, inclusive, to ``end``, exclusive."""
 
     start: bytes
     """First key."""
 
     end: bytes = b''
-    """End; empty for the one key, a zero byte for no end."""
+    """End; empty for the single key ``start``, a zero byte for no end."""
 
     def contains(self, key: bytes) -> bool:
         """Return whether a key is in the range."""
@@ -64,7 +64,7 @@
 
 
 class Target(StrEnum):
-    """What a condition looks at."""
+    """Property of a key that a condition compares."""
 
     VERSION = 'VERSION'
     CREATE = 'CREATE'
@@ -74,7 +74,7 @@
 
 
 class Relation(StrEnum):
-    """How a condition compares."""
+    """Comparison operator of a condition."""
 
     EQUAL = 'EQUAL'
     GREATER = 'GREATER'
@@ -90,18 +90,18 @@
     """Key."""
 
     target: Target
-    """What is compared."""
+    """Property that is compared with the operand."""
 
     relation: Relation
-    """How it is compared."""
+    """Comparison operator."""
 
     operand: int | bytes
-    """What it is compared with."""
+    """Value that the property is compared with."""
 
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Writes a key."""
+    """Operation that writes a key."""
 
     key: bytes
     """Key."""
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """Deletes the keys of a range."""
+    """Operation that deletes the keys of a range."""
 
     keys: KeyRange
     """Keys."""
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Get:
-    """Reads the keys of a range."""
+    """Operation that reads the keys of a range."""
 
     keys: KeyRange
     """Keys."""
@@ -135,40 +135,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Effect:
-    """What one operation found or changed."""
+    """Result of one operation of a transaction."""
 
     operation: Operation
     """Operation."""
 
     values: tuple[StoredValue, ...] = ()
-    """Values found, or as they were before a deletion."""
+    """Values that a read found or that a deletion removed."""
 
 
 @dataclass(frozen=True, slots=True)
 class TxnResult:
-    """Outcome of a transaction."""
+    """Result of a transaction."""
 
     is_success: bool
-    """Whether every condition held."""
+    """Whether every condition was met."""
 
     revision: int
     """Revision of the store after the transaction."""
 
     effects: tuple[Effect, ...]
-    """One effect an operation."""
+    """Result of each operation, in order."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Change of one key; a deleted one has version 0."""
+    """Write or deletion of a key."""
 
     value: StoredValue
-    """Key after the change."""
+    """Value after the change; a deleted key has version 0."""
 
 
 @dataclass(slots=True)
 class GrantedLease:
-    """Lease with its end."""
+    """Lease with its expiry time."""
 
     lease_id: int
     """Identifier."""
@@ -177,11 +177,11 @@
     """Time to live after each renewal, in seconds."""
 
     expires_at: float
-    """Monotonic time of its end, in seconds."""
+    """Monotonic time at which the lease expires, in seconds."""
 
 
 class KeyValueStore:
-    """The whole state of the service."""
+    """Keys, leases and watches of the service."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -189,13 +189,15 @@
 
         self._values: dict[bytes, StoredValue] = {}
         self._leases: dict[int, GrantedLease] = {}
-        self._next_lease = 1000
-        self._events: deque[Change] = deque(maxlen=RETAINED_EVENTS)
-        self._dropped_revision = 0
+        self._last_lease_id = 1000
+        self._retained_changes: deque[Change] = deque(
+            maxlen=MAX_RETAINED_CHANGES
+        )
+        self._last_dropped_revision = 0
         self._watchers: list[Callable[[tuple[Change, ...]], None]] = []
 
     def get(self, keys: KeyRange) -> tuple[StoredValue, ...]:
-        """Return the values of a range in the order of their keys."""
+        """Return the values of a key range, sorted by key."""
         if not keys.end:
             found = self._values.get(keys.start)
             return () if found is None else (found,)
@@ -209,25 +211,30 @@
         success: tuple[Operation, ...],
         failure: tuple[Operation, ...] = (),
     ) -> Result[TxnResult, Failure]:
-        """Run one list of operations or the other in one revision."""
-        holds = all(self._holds(c) for c in conditions)
-        operations = success if holds else failure
+        """Execute a transaction, whose changes share a single revision.
+
+        The operations of ``success`` run if every condition is met, those
+        of ``failure`` otherwise. Fails with ``LeaseExpired`` if a write
+        names an unknown lease.
+        """
+        is_success = all(self._is_met(c) for c in conditions)
+        operations = success if is_success else failure
         for operation in operations:
             lease = operation.lease if isinstance(operation, Put) else 0
             if lease and lease not in self._leases:
                 return Failed(LeaseExpired('requested lease not found'))
-        effects = self._run(operations)
-        return Success(TxnResult(holds, self.revision, effects))
+        effects = self._run_operations(operations)
+        return Success(TxnResult(is_success, self.revision, effects))
 
     def grant(self, ttl_s: int, now: float) -> GrantedLease:
         """Grant a lease."""
-        self._next_lease += 1
-        lease = GrantedLease(self._next_lease, ttl_s, now + ttl_s)
+        self._last_lease_id += 1
+        lease = GrantedLease(self._last_lease_id, ttl_s, now + ttl_s)
         self._leases[lease.lease_id] = lease
         return lease
 
     def renew(self, lease_id: int, now: float) -> GrantedLease | None:
-        """Renew a lease, or return ``None`` where it has lapsed."""
+        """Renew a lease; return ``None`` if the lease has expired."""
         self.expire(now)
         lease = self._leases.get(lease_id)
         if lease is not None:
@@ -235,51 +242,53 @@
         return lease
 
     def find_lease(self, lease_id: int) -> GrantedLease | None:
-        """Return a lease, or ``None`` where it has lapsed."""
+        """Return a lease, or ``None`` if the lease has expired."""
         return self._leases.get(lease_id)
 
     def keys_of(self, lease_id: int) -> tuple[bytes, ...]:
-        """Return the keys that are bound to a lease."""
+        """Return the keys that are bound to a lease, sorted."""
         bound = (v.key for v in self._values.values() if v.lease == lease_id)
         return tuple(sorted(bound))
 
     def revoke(self, lease_id: int) -> bool:
-        """End a lease and delete its keys; false where it is unknown."""
+        """End a lease and delete its keys; return false if it is unknown."""
         if self._leases.pop(lease_id, None) is None:
             return False
         keys = self.keys_of(lease_id)
-        self._run(tuple(Delete(KeyRange(key)) for key in keys))
+        self._run_operations(tuple(Delete(KeyRange(key)) for key in keys))
         return True
 
     def expire(self, now: float) -> None:
-        """End the leases whose time has passed."""
-        lapsed = [
+        """Revoke every lease that has expired at a time."""
+        expired = [
             lease.lease_id
             for lease in self._leases.values()
             if lease.expires_at <= now
         ]
-        for lease_id in lapsed:
+        for lease_id in expired:
             self.revoke(lease_id)
 
     def is_retained(self, revision: int) -> bool:
-        """Return whether every change from a revision on is kept."""
-        return revision > self._dropped_revision
+        """Return whether the store still has every change since a revision."""
+        return revision > self._last_dropped_revision
 
     def changes_since(self, revision: int) -> tuple[Change, ...]:
-        """Return the kept changes from a revision on."""
+        """Return the retained changes since a revision, inclusive."""
         return tuple(
-            e for e in self._events if e.value.mod_revision >= revision
+            e
+            for e in self._retained_changes
+            if e.value.mod_revision >= revision
         )
 
     def watch(self, callback: Callable[[tuple[Change, ...]], None]) -> None:
-        """Call back with the changes of each revision."""
+        """Register a callback that receives the changes of each revision."""
         self._watchers.append(callback)
 
     def unwatch(self, callback: Callable[[tuple[Change, ...]], None]) -> None:
-        """Stop to call back."""
+        """Remove a callback that was registered with `watch`."""
         self._watchers.remove(callback)
 
-    def _holds(self, condition: Condition) -> bool:
+    def _is_met(self, condition: Condition) -> bool:
         stored = self._values.get(condition.key, StoredValue(condition.key))
         found = {
             Target.VERSION: stored.version,
@@ -295,11 +304,13 @@
             Relation.LESS: found < condition.operand,
         }[condition.relation]
 
-    def _run(self, operations: tuple[Operation, ...]) -> tuple[Effect, ...]:
+    def _run_operations(
+        self, operations: tuple[Operation, ...]
+    ) -> tuple[Effect, ...]:
         revision = self.revision + 1
         changes: list[Change] = []
         effects = tuple(
-            self._apply(operation, revision, changes)
+            self._run_operation(operation, revision, changes)
             for operation in operations
         )
         if changes:
@@ -307,7 +318,7 @@
             self._publish(tuple(changes))
         return effects
 
-    def _apply(
+    def _run_operation(
         self, operation: Operation, revision: int, changes: list[Change]
     ) -> Effect:
         if isinstance(operation, Get):
@@ -318,19 +329,19 @@
         deleted = self.get(operation.keys)
         for stored in deleted:
             del self._values[stored.key]
-            gone = StoredValue(stored.key, mod_revision=revision)
-            changes.append(Change(gone))
+            tombstone = StoredValue(stored.key, mod_revision=revision)
+            changes.append(Change(tombstone))
         return Effect(operation, deleted)
 
     def _put(self, operation: Put, revision: int) -> StoredValue:
-        before = self._values.get(operation.key)
-        if before is None:
-            before = StoredValue(operation.key, create_revision=revision)
+        previous = self._values.get(operation.key)
+        if previous is None:
+            previous = StoredValue(operation.key, create_revision=revision)
         stored = replace(
-            before,
+            previous,
             value=operation.value,
             mod_revision=revision,
-            version=before.version + 1,
+            version=previous.version + 1,
             lease=operation.lease,
         )
         self._values[operation.key] = stored
@@ -338,9 +349,9 @@
 
     def _publish(self, changes: tuple[Change, ...]) -> None:
         for change in changes:
-            if len(self._events) == RETAINED_EVENTS:
-                dropped = self._events[0].value.mod_revision
-                self._dropped_revision = dropped
-            self._events.append(change)
+            if len(self._retained_changes) == MAX_RETAINED_CHANGES:
+                dropped = self._retained_changes[0].value.mod_revision
+                self._last_dropped_revision = dropped
+            self._retained_changes.append(change)
         for callback in list(self._watchers):
             callback(changes)
