--- a/features/steps/capacity_page_steps.py
+++ b/features/steps/capacity_page_steps.py
@@ -12,9 +12,9 @@
 from behave import then
 from behave import when
 
+from trefoilpulley_standins.measure.page import extract_tables
 from trefoilpulley_standins.measure.page import PAGE
 from trefoilpulley_standins.measure.page import render_tables
-from trefoilpulley_standins.measure.page import take_tables
 from trefoilpulley_standins.measure.slopes import fit_slope
 from trefoilpulley_standins.measure.slopes import load_recorded
 from trefoilpulley_standins.measure.slopes import Point
@@ -51,7 +51,7 @@
     def change_figure(context: Any) -> None:
         """Change one digit inside the tables."""
         text = PAGE.read_text(encoding='utf-8')
-        tables = take_tables(text)
+        tables = extract_tables(text)
         digit = re.search(r'\d', tables)
         other = str((int(digit.group()) + 1) % 10)
         changed = tables[: digit.start()] + other + tables[digit.end() :]
@@ -80,7 +80,7 @@
     def compare_page(context: Any) -> None:
         """Make the tables and take those of the page."""
         context.made = render_tables(_read_slopes(context))
-        context.shown = take_tables(_read_page(context))
+        context.shown = extract_tables(_read_page(context))
 
     @staticmethod
     @when("the capacity page's modules are looked for")
@@ -143,7 +143,7 @@
     @then('each capacity row has a mechanism, arithmetic and a margin')
     def check_rows(context: Any) -> None:
         """Look at each row of the first table."""
-        tables = take_tables(PAGE.read_text(encoding='utf-8'))
+        tables = extract_tables(PAGE.read_text(encoding='utf-8'))
         rows = tables.partition('\n\n')[0].splitlines()[2:]
         assert rows
         for row in rows:
--- a/packages/standins/src/trefoilpulley_standins/measure/page.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/page.py
@@ -48,7 +48,7 @@
     return f'{head}{BEGIN}\n\n{tables}\n\n{END}{tail}'
 
 
-def take_tables(text: str) -> str:
+def extract_tables(text: str) -> str:
     """Return the tables in the page's text."""
     return text.partition(BEGIN)[2].partition(END)[0].strip()
 
