--- a/packages/standins/src/trefoilpulley_standins/measure/__init__.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes of the project's cost, and the page that rests on them."""
+"""Measurements of resource costs and the capacity page built on them."""
--- a/packages/standins/src/trefoilpulley_standins/measure/__main__.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the measurements."""
+"""Command line of the capacity measurements."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 monkey.patch_all()
 
-# The patch must come before every other import.
+# gevent must patch the standard library before any other import.
 from trefoilpulley_standins.measure.commands import main  # noqa: E402
 
 if __name__ == '__main__':
--- a/packages/standins/src/trefoilpulley_standins/measure/catalogue.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/catalogue.py
@@ -1,4 +1,4 @@
-"""Made lists of hosts and databases of any size."""
+"""Generated lists of hosts and databases of any size."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
     from collections.abc import Iterator
 
 ZONES = 26
-"""Zones over which hosts and members are spread."""
+"""Availability zones over which hosts and members are spread."""
 
-ZONES_A_REGION = 4
-"""Zones of a region, but for the last one."""
+ZONES_PER_REGION = 4
+"""Availability zones in each region; the last region may have fewer."""
 
-MEMBERS = 3
-"""Members of each database."""
+MEMBERS_PER_DATABASE = 3
+"""Members in each database group."""
 
-_PORT = 7000
+_BASE_PORT = 7000
 
 
 def make_hosts(count: int) -> tuple[HostEntry, ...]:
-    """Return the entries of hosts, spread over the zones."""
+    """Return entries of hosts that are spread over the zones."""
     return tuple(_make_host(n) for n in range(count))
 
 
 def make_databases(count: int) -> tuple[DatabaseEntry, ...]:
-    """Return database groups whose members stand in zones of a region."""
+    """Return database groups, each spread over the zones of one region."""
     return tuple(_make_database(n) for n in range(count))
 
 
@@ -38,10 +38,10 @@
     zone = number % ZONES
     return HostEntry(
         f'entry-host-{number:04d}',
-        f'region-{zone // ZONES_A_REGION}',
-        f'region-{zone // ZONES_A_REGION}-zone-{zone}',
-        Endpoint(f'10.{zone}.{number // 250}.{number % 250}', _PORT),
-        Endpoint(f'10.{zone}.{number // 250}.{number % 250}', _PORT + 1),
+        f'region-{zone // ZONES_PER_REGION}',
+        f'region-{zone // ZONES_PER_REGION}-zone-{zone}',
+        Endpoint(f'10.{zone}.{number // 250}.{number % 250}', _BASE_PORT),
+        Endpoint(f'10.{zone}.{number // 250}.{number % 250}', _BASE_PORT + 1),
     )
 
 
@@ -53,17 +53,17 @@
 
 
 def _make_members(name: str, number: int) -> Iterator[MemberEntry]:
-    home = number % ZONES
-    region = home // ZONES_A_REGION
-    first = region * ZONES_A_REGION
-    zones = min(ZONES_A_REGION, ZONES - first)
-    for place in range(MEMBERS):
-        zone = first + (home - first + place) % zones
+    home_zone = number % ZONES
+    region = home_zone // ZONES_PER_REGION
+    first_zone = region * ZONES_PER_REGION
+    zones = min(ZONES_PER_REGION, ZONES - first_zone)
+    for index in range(MEMBERS_PER_DATABASE):
+        zone = first_zone + (home_zone - first_zone + index) % zones
         address = f'10.{100 + zone}.{number // 250}.{number % 250}'
         yield MemberEntry(
-            f'{name}/{"abc"[place]}',
+            f'{name}/{"abc"[index]}',
             f'region-{region}-zone-{zone}',
-            Endpoint(address, _PORT + place),
+            Endpoint(address, _BASE_PORT + index),
             2,
             16,
         )
--- a/packages/standins/src/trefoilpulley_standins/measure/commands.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/commands.py
@@ -1,4 +1,4 @@
-"""Commands that measure the slopes and make the page."""
+"""Commands that measure the slopes and update the capacity page."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from trefoilpulley_standins.measure.gather import gather_figures
 from trefoilpulley_standins.measure.gather import gather_slopes
 from trefoilpulley_standins.measure.overhead import measure_overhead
-from trefoilpulley_standins.measure.overhead import OUTPUT as OVERHEAD
+from trefoilpulley_standins.measure.overhead import OUTPUT as OVERHEAD_FILE
 from trefoilpulley_standins.measure.overhead import write_overhead
 from trefoilpulley_standins.measure.page import PAGE
-from trefoilpulley_standins.measure.page import put_tables
 from trefoilpulley_standins.measure.page import render_tables
+from trefoilpulley_standins.measure.page import replace_tables
 from trefoilpulley_standins.measure.slopes import dump_recorded
 from trefoilpulley_standins.measure.slopes import load_recorded
 from trefoilpulley_standins.measure.slopes import Recorded
@@ -29,17 +29,17 @@
 
     from trefoilpulley_standins.measure.slopes import Slope
 
-DIRECTORY = Path('build/measure')
-"""Directory of what is measured."""
+OUTPUT_DIRECTORY = Path('build/measure')
+"""Directory of the measured results."""
 
-EXPERIMENTS = Path('examples/experiments')
-"""Directory of the experiments."""
+EXPERIMENTS_DIRECTORY = Path('examples/experiments')
+"""Directory of the experiment files."""
 
 
 @click.group(invoke_without_command=True)
 @click.pass_context
 def main(context: click.Context) -> None:
-    """Measure the slopes; without a command, all of them."""
+    """Measure the slopes; without a command, measure all of them."""
     if context.invoked_subcommand is None:
         for command in (experiments, replay, fleet, state, overhead, slopes):
             context.invoke(command)
@@ -48,41 +48,43 @@
 
 @main.command()
 def experiments() -> None:
-    """Run every experiment of the examples."""
-    for path in sorted(EXPERIMENTS.glob('*.json')):
+    """Run every example experiment."""
+    for path in sorted(EXPERIMENTS_DIRECTORY.glob('*.json')):
         _run('trefoilpulley_standins.experiment', 'run', str(path))
 
 
 @main.command()
 def replay() -> None:
-    """Replay the membership."""
+    """Replay the messages of membership on a simulated fleet."""
     _run('trefoilpulley_standins.membership_replay')
 
 
 @main.command()
 def fleet() -> None:
-    """Count the calls to the service after an outage."""
+    """Count the calls to the platform's service after an outage."""
     _write('fleet', fleet_slopes.measure_slopes(click.echo))
 
 
 @main.command()
 def state() -> None:
-    """Measure the state of a host and the work on its changes."""
+    """Measure the memory of a host's state and the cost of changes."""
     _write('state', state_slopes.measure_slopes(click.echo))
 
 
 @main.command()
 def overhead() -> None:
-    """Measure the cost of a statement through one host."""
-    found = measure_overhead(DIRECTORY / 'overhead-run', click.echo)
+    """Measure the overhead of a statement through one host."""
+    found = measure_overhead(OUTPUT_DIRECTORY / 'overhead-run', click.echo)
     write_overhead(found)
-    click.echo(OVERHEAD.read_text(encoding='utf-8'))
+    click.echo(OVERHEAD_FILE.read_text(encoding='utf-8'))
 
 
 @main.command()
 def slopes() -> None:
-    """Fit and record the slopes of everything that was measured."""
-    parts = [load_recorded(DIRECTORY / f'{n}.json') for n in _PARTS]
+    """Fit the slopes of all measured results and record them."""
+    parts = [
+        load_recorded(OUTPUT_DIRECTORY / f'{n}.json') for n in _MEASURED_PARTS
+    ]
     found = [s for part in parts for s in part.slopes]
     found.extend(gather_slopes())
     recorded = Recorded(tuple(found), tuple(gather_figures()))
@@ -92,18 +94,18 @@
 
 @main.command()
 def page() -> None:
-    """Make the page's tables from the recorded slopes."""
+    """Update the page's tables from the recorded slopes."""
     tables = render_tables(load_recorded(SLOPES_FILE))
     text = PAGE.read_text(encoding='utf-8')
-    PAGE.write_text(put_tables(text, tables), encoding='utf-8')
+    PAGE.write_text(replace_tables(text, tables), encoding='utf-8')
     click.echo(str(PAGE))
 
 
-_PARTS = ('fleet', 'state')
+_MEASURED_PARTS = ('fleet', 'state')
 
 
 def _write(name: str, found: Iterable[Slope]) -> None:
-    dump_recorded(DIRECTORY / f'{name}.json', Recorded(tuple(found)))
+    dump_recorded(OUTPUT_DIRECTORY / f'{name}.json', Recorded(tuple(found)))
 
 
 def _run(module: str, *args: str) -> None:
--- a/packages/standins/src/trefoilpulley_standins/measure/fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/fleet.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's service from a fleet on a virtual clock."""
+"""Calls of a simulated fleet to the platform's service after an outage."""
 
 from __future__ import annotations
 
@@ -23,63 +23,72 @@
 COMMAND = 'python -m trefoilpulley_standins.measure fleet'
 """Command that measures these slopes."""
 
-ZONE_SIZES = (8, 16, 32, 62)
-"""Hosts a zone, with two zones."""
+ZONE_SIZES_HOSTS = (8, 16, 32, 62)
+"""Numbers of hosts per zone, measured with `FIXED_ZONES` zones."""
 
 ZONE_COUNTS = (4, 8, 16, 26)
-"""Zones, of four hosts each."""
+"""Numbers of zones, measured with `FIXED_HOSTS_PER_ZONE` hosts each."""
 
-FEW_ZONES = 2
-"""Zones where the hosts of a zone are varied."""
+FIXED_ZONES = 2
+"""Number of zones while the hosts per zone vary."""
 
-FEW_HOSTS = 4
-"""Hosts of a zone where the zones are varied."""
+FIXED_HOSTS_PER_ZONE = 4
+"""Hosts per zone while the number of zones varies."""
 
-ZONES_A_REGION = 4
-"""Zones of a region."""
+ZONES_PER_REGION = 4
+"""Availability zones in each region."""
 
-SETTLE_S = 20.0
-"""Virtual time before the window, and of the service's outage."""
+SETTLE_DURATION_S = 20.0
+"""Virtual time before the outage, and duration of the outage, in seconds."""
 
-RETURN_S = 20.0
-"""Virtual time that is counted after the service returns."""
+RECOVERY_DURATION_S = 20.0
+"""Virtual time after the outage during which calls are counted, in seconds."""
 
 
-def count_return(zones: int, hosts: int, seed: int) -> float:
-    """Return the calls in the busiest second after an outage.
+def measure_recovery_calls(zones: int, hosts: int, seed: int) -> float:
+    """Return the number of calls in the busiest second after an outage.
 
     Parameters
     ----------
     zones : int
-        Availability zones.
+        Number of availability zones.
     hosts : int
-        Hosts of each.
+        Hosts in each zone.
     seed : int
-        Seed of every random choice.
+        Seed of the random number generators.
     """
     fleet = DocumentFleet(seed)
-    regions = -(-zones // ZONES_A_REGION)
+    regions = -(-zones // ZONES_PER_REGION)
     entries = make_entries(zones, hosts, regions)
     for entry in entries:
         fleet.add(entry.name, entry.zone, entry.region, entries)
     _publish(fleet)
-    fleet.run(SETTLE_S)
-    return _find_busiest(fleet)
+    fleet.run(SETTLE_DURATION_S)
+    return _measure_busiest_second(fleet)
 
 
-def measure_slopes(say: Callable[[str], None]) -> Iterator[Slope]:
-    """Count the calls of several fleets and yield their slopes."""
+def measure_slopes(report_progress: Callable[[str], None]) -> Iterator[Slope]:
+    """Measure fleets of several sizes and yield the slopes of the calls."""
     by_hosts = []
-    for hosts in ZONE_SIZES:
-        say(f'fleet of {FEW_ZONES} zones of {hosts} hosts')
-        by_hosts.append(Point(hosts, count_return(FEW_ZONES, hosts, hosts)))
+    for hosts in ZONE_SIZES_HOSTS:
+        report_progress(f'fleet of {FIXED_ZONES} zones of {hosts} hosts')
+        by_hosts.append(
+            Point(hosts, measure_recovery_calls(FIXED_ZONES, hosts, hosts))
+        )
     by_zones = []
     for zones in ZONE_COUNTS:
-        say(f'fleet of {zones} zones of {FEW_HOSTS} hosts')
-        by_zones.append(Point(zones, count_return(zones, FEW_HOSTS, zones)))
+        report_progress(
+            f'fleet of {zones} zones of {FIXED_HOSTS_PER_ZONE} hosts'
+        )
+        by_zones.append(
+            Point(
+                zones,
+                measure_recovery_calls(zones, FIXED_HOSTS_PER_ZONE, zones),
+            )
+        )
     for suffix, against, points in (
-        ('hosts', f'hosts in each of {FEW_ZONES} zones', by_hosts),
-        ('zones', f'zones of {FEW_HOSTS} hosts', by_zones),
+        ('hosts', f'hosts in each of {FIXED_ZONES} zones', by_hosts),
+        ('zones', f'zones of {FIXED_HOSTS_PER_ZONE} hosts', by_zones),
     ):
         yield fit_slope(
             f'return-calls-{suffix}',
@@ -97,13 +106,13 @@
     fleet.publish(make_document(DocumentKind.CONFIGURATION, 1, text))
 
 
-def _find_busiest(fleet: DocumentFleet) -> float:
+def _measure_busiest_second(fleet: DocumentFleet) -> float:
     fleet.take_service_down()
-    fleet.run(SETTLE_S)
+    fleet.run(SETTLE_DURATION_S)
     fleet.bring_service_up()
-    made = []
-    for _ in range(int(RETURN_S)):
+    calls_per_s = []
+    for _ in range(int(RECOVERY_DURATION_S)):
         calls = fleet.service.calls.total()
         fleet.run(1.0)
-        made.append(fleet.service.calls.total() - calls)
-    return max(made)
+        calls_per_s.append(fleet.service.calls.total() - calls)
+    return max(calls_per_s)
--- a/packages/standins/src/trefoilpulley_standins/measure/gather.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/gather.py
@@ -1,4 +1,4 @@
-"""Slopes from the results of the experiments and of the replay."""
+"""Slopes and figures from the results of earlier measurements."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from trefoilpulley_standins.experiment.result import load_results
 from trefoilpulley_standins.experiment.run import OUTPUT
 from trefoilpulley_standins.measure.lines import LINES
-from trefoilpulley_standins.measure.overhead import OUTPUT as OVERHEAD
+from trefoilpulley_standins.measure.overhead import OUTPUT as OVERHEAD_FILE
 from trefoilpulley_standins.measure.slopes import fit_slope
 from trefoilpulley_standins.measure.slopes import Point
 from trefoilpulley_standins.measure.slopes import round_figure
@@ -23,26 +23,26 @@
     from trefoilpulley_standins.measure.lines import FittedLine
     from trefoilpulley_standins.measure.slopes import Slope
 
-REPLAY = Path('build/measure/membership.json')
-"""Results of the membership's replay."""
+REPLAY_RESULTS = Path('build/measure/membership.json')
+"""Results of the membership replay."""
 
-DEMO = Path('build/demo/report.json')
-"""Report of the demonstration."""
+DEMO_REPORT = Path('build/demo/report.json')
+"""Report of the demo run."""
 
 REPLAY_COMMAND = 'python -m trefoilpulley_standins.membership_replay'
-"""Command that writes them."""
+"""Command that writes the results of the membership replay."""
 
 OVERHEAD_COMMAND = 'python -m trefoilpulley_standins.measure overhead'
-"""Command that measures the cost of a statement."""
+"""Command that measures the overhead of a statement."""
 
 EXPERIMENT_COMMAND = (
     'python -m trefoilpulley_standins.experiment run examples/experiments'
 )
-"""Command that runs an experiment, without the name of the file."""
+"""Command that runs an experiment, without the name of its file."""
 
 
 def gather_slopes() -> Iterator[Slope]:
-    """Yield the slopes of the experiments and of the replay."""
+    """Yield the slopes of the experiments and of the membership replay."""
     for line in LINES:
         results = [
             result
@@ -60,12 +60,12 @@
             _points_of(line, results),
             files,
         )
-    yield from _gather_replay(_load_json(REPLAY))
+    yield from _replay_slopes(_load_json(REPLAY_RESULTS))
 
 
 def gather_figures() -> Iterator[SingleFigure]:
-    """Yield the figures that were measured at one size."""
-    replay = _load_json(REPLAY)
+    """Yield the figures that were measured at a single size."""
+    replay = _load_json(REPLAY_RESULTS)
     for event in replay['event_costs']:
         yield SingleFigure(
             f'event {event["event"]}',
@@ -74,7 +74,7 @@
             round_figure(event['bytes_mean']),
             REPLAY_COMMAND,
         )
-    gap_s = _load_json(DEMO)['failover_gap_s']
+    gap_s = _load_json(DEMO_REPORT)['failover_gap_s']
     yield SingleFigure(
         'demo failover_gap_s',
         'time without an acknowledged write at the loss of a primary',
@@ -82,7 +82,7 @@
         round_figure(gap_s),
         'make demo',
     )
-    for name, value in _load_json(OVERHEAD).items():
+    for name, value in _load_json(OVERHEAD_FILE).items():
         yield SingleFigure(
             f'overhead {name}',
             f'a statement through one host: {name.replace("_", " ")}',
@@ -104,18 +104,18 @@
         x = result.find(line.x) if line.x else result.value
         y = result.find(line.y)
         if x is None or y is None:
-            raise ValueError(f'{line.key}: a point lacks {line.x} or {line.y}')
+            raise ValueError(f'{line.key}: point without {line.x} or {line.y}')
         points.append(Point(x, line.factor * y))
     return points
 
 
-def _gather_replay(replay: Any) -> Iterator[Slope]:
+def _replay_slopes(replay: Any) -> Iterator[Slope]:
     for name, size, against in (
         ('quiet_by_hosts_in_zone', 'hosts', 'hosts in the zone'),
         ('quiet_by_zones', 'zones', 'zones of eight hosts'),
     ):
         rows = replay[name]
-        for key, field, unit, subject in _QUIET:
+        for key, field, unit, subject in _IDLE_FIGURES:
             yield fit_slope(
                 f'{key}-{size}',
                 subject,
@@ -138,7 +138,7 @@
         )
 
 
-_QUIET = (
+_IDLE_FIGURES = (
     (
         'membership-messages',
         'messages_mean',
--- a/packages/standins/src/trefoilpulley_standins/measure/lines.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/lines.py
@@ -1,42 +1,42 @@
-"""Lines that are fitted through the points of the experiments."""
+"""Definitions of the lines that are fitted to experiment results."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 SWEPT_VALUE = ''
-"""Stands for the value of the swept field."""
+"""Value of `FittedLine.x` that selects the swept parameter."""
 
 _PERCENT = 100.0
 
 
 @dataclass(frozen=True, slots=True)
 class FittedLine:
-    """Line through the points of some experiments."""
+    """Definition of a line that is fitted to experiment results."""
 
     key: str
-    """Short name."""
+    """Key of the resulting slope."""
 
     subject: str
-    """What is measured."""
+    """Description of the measured figure."""
 
     against: str
-    """What it is measured against."""
+    """Description of the size that varies."""
 
     unit: str
-    """Unit."""
+    """Unit of the figure."""
 
     experiments: tuple[str, ...]
-    """Experiments whose points it goes through."""
+    """Names of the experiments whose points are fitted."""
 
     y: str
-    """Figure of the points."""
+    """Name of the figure on the y axis."""
 
     x: str = SWEPT_VALUE
-    """Figure that is the size, or the swept value."""
+    """Name of the figure on the x axis, or `SWEPT_VALUE`."""
 
     factor: float = 1.0
-    """Factor of the figure."""
+    """Factor by which the y figure is multiplied."""
 
 
 LINES = (
@@ -269,4 +269,4 @@
         'members moved',
     ),
 )
-"""Lines by their keys."""
+"""Lines that the capacity page uses."""
--- a/packages/standins/src/trefoilpulley_standins/measure/overhead.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/overhead.py
@@ -1,4 +1,4 @@
-"""Cost of a statement through one host against the member alone."""
+"""Overhead of a statement through one host compared with the member."""
 
 from __future__ import annotations
 
@@ -36,78 +36,84 @@
     from trefoilpulley_wire.channel import Channel
 
 OUTPUT = Path('build/measure/overhead.json')
-"""File of the figures."""
+"""File of the measured figures."""
 
-PAIRS = 2000
-"""Statements of each kind, sent in turn."""
+MEASURED_PAIRS = 2000
+"""Pairs of one statement to the member and one through the host."""
 
-WARM_UP = 300
-"""Pairs sent before."""
+WARM_UP_PAIRS = 300
+"""Pairs that are sent before the measured pairs."""
 
-CALLERS = 32
-"""Callers at once in the measurement of the throughput."""
+CONCURRENT_CALLERS = 32
+"""Concurrent callers while the throughput is measured."""
 
-THROUGHPUT_S = 8.0
-"""Time of the measurement of the throughput, in seconds."""
+THROUGHPUT_DURATION_S = 8.0
+"""Duration of the throughput measurement, in seconds."""
 
 IDLE_CALLERS = 2000
-"""Connections opened to measure their memory."""
+"""Idle connections that are opened to measure their memory."""
 
-ROUNDS = 3
-"""Rounds of the latency, of which the least disturbed counts."""
+LATENCY_ROUNDS = 3
+"""Rounds of the latency measurement.
 
-_ANSWER_LIMIT_S = 5.0
-_LONGEST_US = 60_000_000
-_US = 1_000_000
+The round with the lowest median latency through the host counts, since it is
+the least disturbed one.
+"""
+
+_ANSWER_TIMEOUT_S = 5.0
+_MAX_LATENCY_US = 60_000_000
+_US_PER_S = 1_000_000
 _SIZE = Size(hosts_per_zone=1, databases=1, slots=32, connections=60)
 
 
 @dataclass(frozen=True, slots=True)
 class Overhead:
-    """Figures of one run."""
+    """Figures of one measurement."""
 
     member_p50_ms: float
-    """Median time of a statement sent to the member."""
+    """Median latency of a statement sent to the member, in milliseconds."""
 
     member_p99_ms: float
-    """99th percentile of it."""
+    """99th percentile of the latency at the member, in milliseconds."""
 
     host_p50_ms: float
-    """Median time of the statement sent through the host."""
+    """Median latency of a statement through the host, in milliseconds."""
 
     host_p99_ms: float
-    """99th percentile of it."""
+    """99th percentile of the latency through the host, in milliseconds."""
 
     added_p50_ms: float
-    """Difference of the medians."""
+    """Difference of the medians, in milliseconds."""
 
     added_p99_ms: float
-    """Difference of the 99th percentiles."""
+    """Difference of the 99th percentiles, in milliseconds."""
 
     cpu_ms_a_statement: float
-    """Processor time of the host for a statement at full load."""
+    """CPU time of the host per statement at full load, in milliseconds."""
 
     statements_a_core: float
-    """Statements a second that one core of the host would serve."""
+    """Statements per second that one core of the host could serve."""
 
     statements_per_s: float
-    """Statements a second that the host served."""
+    """Statements per second that the host served at full load."""
 
     refused: int
-    """Statements refused at full load."""
+    """Number of statements rejected at full load."""
 
     kb_a_caller: float
-    """Resident memory that each idle caller's connection adds."""
+    """Resident memory that each idle connection adds, in KiB."""
 
     cpu_ms_an_open: float
-    """Processor time of the host for a caller's new connection."""
+    """CPU time of the host per new connection, in milliseconds."""
 
     load_average: float
-    """Load average of the machine over the run's last minute."""
+    """Load average of the machine over the last minute of the run."""
 
 
-def measure_overhead(directory: Path, say: Callable[[str], None]) -> Overhead:
-    """Start one host and one database and measure them."""
+def measure_overhead(
+    directory: Path, report_progress: Callable[[str], None]
+) -> Overhead:
+    """Start one host and one database and measure the overhead."""
     layout = make_layout(_SIZE.to_deployment(), directory, 1)
     processes = GroupedProcesses(layout, directory)
     try:
@@ -115,22 +121,24 @@
         Probe(layout, processes).wait_ready()
         gevent.sleep(2.0)
         host = psutil.Process(processes.pid_of(layout.hosts[0].host))
-        say('latency')
-        rounds = [_measure_latency(layout) for _ in range(ROUNDS)]
-        member, through = min(rounds, key=lambda r: _percentile(r[1], 50))
-        say('throughput')
+        report_progress('latency')
+        rounds = [_measure_latency(layout) for _ in range(LATENCY_ROUNDS)]
+        member_times, host_times = min(
+            rounds, key=lambda r: _percentile(r[1], 50)
+        )
+        report_progress('throughput')
         load = _measure_throughput(layout, host)
-        say('memory of callers')
-        kb_a_caller, open_ms = _measure_opens(layout, host)
+        report_progress('memory of callers')
+        kb_a_caller, open_ms = _measure_connections(layout, host)
     finally:
         processes.stop()
     return Overhead(
-        _percentile(member, 50),
-        _percentile(member, 99),
-        _percentile(through, 50),
-        _percentile(through, 99),
-        _percentile(through, 50) - _percentile(member, 50),
-        _percentile(through, 99) - _percentile(member, 99),
+        _percentile(member_times, 50),
+        _percentile(member_times, 99),
+        _percentile(host_times, 50),
+        _percentile(host_times, 99),
+        _percentile(host_times, 50) - _percentile(member_times, 50),
+        _percentile(host_times, 99) - _percentile(member_times, 99),
         load.cpu_ms,
         1000 / load.cpu_ms,
         load.rate,
@@ -142,26 +150,26 @@
 
 
 def write_overhead(overhead: Overhead) -> None:
-    """Write the figures."""
+    """Write the figures to `OUTPUT`."""
     OUTPUT.parent.mkdir(parents=True, exist_ok=True)
     OUTPUT.write_text(json.dumps(asdict(overhead), indent=1) + '\n')
 
 
 def _measure_latency(layout: Layout) -> tuple[HdrHistogram, HdrHistogram]:
     member = layout.databases[0].members[0]
-    direct = dial(member.endpoint, MEMBER_CODEC).unwrap()
+    member_channel = dial(member.endpoint, MEMBER_CODEC).unwrap()
     caller = open_caller(layout, 0)
-    alone = HdrHistogram(1, _LONGEST_US, 3)
-    through = HdrHistogram(1, _LONGEST_US, 3)
-    for number in range(WARM_UP + PAIRS):
-        alone_us = _time_us(lambda: _read_member(direct))
-        through_us = _time_us(lambda n=number: _read_host(layout, caller, n))
-        if number >= WARM_UP:
-            alone.record_value(alone_us)
-            through.record_value(through_us)
-    direct.close()
+    member_times = HdrHistogram(1, _MAX_LATENCY_US, 3)
+    host_times = HdrHistogram(1, _MAX_LATENCY_US, 3)
+    for number in range(WARM_UP_PAIRS + MEASURED_PAIRS):
+        member_us = _elapsed_us(lambda: _read_member(member_channel))
+        host_us = _elapsed_us(lambda n=number: _read_host(layout, caller, n))
+        if number >= WARM_UP_PAIRS:
+            member_times.record_value(member_us)
+            host_times.record_value(host_us)
+    member_channel.close()
     caller.close()
-    return alone, through
+    return member_times, host_times
 
 
 @dataclass(slots=True)
@@ -173,7 +181,7 @@
 
 
 def _measure_throughput(layout: Layout, host: psutil.Process) -> _FullLoad:
-    callers = [open_caller(layout, n) for n in range(CALLERS)]
+    callers = [open_caller(layout, n) for n in range(CONCURRENT_CALLERS)]
     load = _FullLoad()
 
     def run(caller: Channel) -> None:
@@ -187,7 +195,7 @@
     greenlets = [gevent.spawn(run, caller) for caller in callers]
     gevent.sleep(1.0)
     before = load.served, _cpu_s(host), time.monotonic()
-    gevent.sleep(THROUGHPUT_S)
+    gevent.sleep(THROUGHPUT_DURATION_S)
     count = load.served - before[0]
     load.rate = count / (time.monotonic() - before[2])
     load.cpu_ms = 1000 * (_cpu_s(host) - before[1]) / count
@@ -197,7 +205,7 @@
     return load
 
 
-def _measure_opens(
+def _measure_connections(
     layout: Layout, host: psutil.Process
 ) -> tuple[float, float]:
     before = host.memory_info().rss, _cpu_s(host)
@@ -212,7 +220,7 @@
 
 def _read_member(channel: Channel) -> None:
     read = Read(Statement(READ_SQL), BEGINNING)
-    reply = channel.call(read, _ANSWER_LIMIT_S).unwrap()
+    reply = channel.call(read, _ANSWER_TIMEOUT_S).unwrap()
     if not isinstance(reply, MemberResult):
         raise RuntimeError(str(reply))
 
@@ -220,15 +228,15 @@
 def _read_host(layout: Layout, channel: Channel, number: int) -> None:
     database = layout.databases[0].name
     request = Execute(f'o-{number}', READ_CLASS, database, READ_SQL)
-    reply = channel.call(request, _ANSWER_LIMIT_S).unwrap()
+    reply = channel.call(request, _ANSWER_TIMEOUT_S).unwrap()
     if not isinstance(reply, Answer):
         raise RuntimeError(str(reply))
 
 
-def _time_us(act: Callable[[], None]) -> int:
+def _elapsed_us(action: Callable[[], None]) -> int:
     started = time.monotonic()
-    act()
-    return max(1, int((time.monotonic() - started) * _US))
+    action()
+    return max(1, int((time.monotonic() - started) * _US_PER_S))
 
 
 def _cpu_s(process: psutil.Process) -> float:
@@ -236,5 +244,5 @@
     return spent.user + spent.system
 
 
-def _percentile(histogram: HdrHistogram, share: float) -> float:
-    return histogram.get_value_at_percentile(share) / 1000
+def _percentile(histogram: HdrHistogram, percent: float) -> float:
+    return histogram.get_value_at_percentile(percent) / 1000
--- a/packages/standins/src/trefoilpulley_standins/measure/page.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/page.py
@@ -1,4 +1,4 @@
-"""Table of the page of capacity."""
+"""Generated tables of the capacity page."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from trefoilpulley_standins.measure.rows import ROWS
 from trefoilpulley_standins.measure.terms import format_figure
-from trefoilpulley_standins.measure.terms import Line
+from trefoilpulley_standins.measure.terms import SlopeTerm
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -16,17 +16,17 @@
     from trefoilpulley_standins.measure.slopes import Recorded
 
 PAGE = Path('docs/CAPACITY.md')
-"""Page of capacity, from the root of the repository."""
+"""Capacity page, relative to the root of the repository."""
 
-BEGIN = '<!-- table: begin -->'
-"""Line before the tables."""
+TABLES_BEGIN = '<!-- table: begin -->'
+"""Line that precedes the tables."""
 
-END = '<!-- table: end -->'
-"""Line after the tables."""
+TABLES_END = '<!-- table: end -->'
+"""Line that follows the tables."""
 
 
 def render_tables(recorded: Recorded) -> str:
-    """Return the tables of the page."""
+    """Return the text of the tables."""
     lines = [
         *_render_rows(recorded),
         '',
@@ -41,16 +41,16 @@
     return '\n'.join(lines)
 
 
-def put_tables(text: str, tables: str) -> str:
-    """Return the page's text with other tables."""
-    head, _, rest = text.partition(BEGIN)
-    _, _, tail = rest.partition(END)
-    return f'{head}{BEGIN}\n\n{tables}\n\n{END}{tail}'
+def replace_tables(text: str, tables: str) -> str:
+    """Return the text of a page with its tables replaced."""
+    head, _, rest = text.partition(TABLES_BEGIN)
+    _, _, tail = rest.partition(TABLES_END)
+    return f'{head}{TABLES_BEGIN}\n\n{tables}\n\n{TABLES_END}{tail}'
 
 
 def extract_tables(text: str) -> str:
-    """Return the tables in the page's text."""
-    return text.partition(BEGIN)[2].partition(END)[0].strip()
+    """Return the tables from the text of a page."""
+    return text.partition(TABLES_BEGIN)[2].partition(TABLES_END)[0].strip()
 
 
 def _render_rows(recorded: Recorded) -> Iterator[str]:
@@ -66,22 +66,22 @@
         yield (
             f'| {row.role} | {row.figure} | {arithmetic} '
             f'| {format_figure(value)} {row.unit} | {budget} '
-            f'| {_tell_margin(row, value, recorded)} | `{row.mechanism}` |'
+            f'| {_format_margin(row, value, recorded)} | `{row.mechanism}` |'
         )
 
 
-def _tell_margin(row: Row, value: float, recorded: Recorded) -> str:
+def _format_margin(row: Row, value: float, recorded: Recorded) -> str:
     if row.budget is None:
         return 'none stated'
     if value <= row.budget:
         return f'{format_figure(row.budget / max(value, 1e-9))} times under'
     over = f'**over {format_figure(value / row.budget)} times**'
-    return f'{over}{_tell_break(row, value, recorded)}'
+    return f'{over}{_format_size_limit(row, value, recorded)}'
 
 
-def _tell_break(row: Row, value: float, recorded: Recorded) -> str:
+def _format_size_limit(row: Row, value: float, recorded: Recorded) -> str:
     first = row.terms[0]
-    if not isinstance(first, Line):
+    if not isinstance(first, SlopeTerm):
         return ''
     others = value - first.value(recorded)
     size = first.size_at(recorded, row.budget - others)
@@ -89,7 +89,7 @@
         return ''
     if size <= 0:
         return ', at any size'
-    return f', from {format_figure(size)} {first.of}'
+    return f', from {format_figure(size)} {first.size_unit}'
 
 
 def _render_slopes(recorded: Recorded) -> Iterator[str]:
--- a/packages/standins/src/trefoilpulley_standins/measure/row.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/row.py
@@ -1,4 +1,4 @@
-"""One row of the page of capacity, and the budgets."""
+"""Rows of the capacity page and the budgets of their figures."""
 
 from __future__ import annotations
 
@@ -8,46 +8,49 @@
 if TYPE_CHECKING:
     from trefoilpulley_standins.measure.terms import Term
 
-CPU_BUDGET = 1.2
-"""Processor time of a host for control, in percent of a core."""
+CPU_BUDGET_PERCENT = 1.2
+"""Greatest CPU time of a host for control, in percent of a core."""
 
-BYTES_BUDGET = 6000.0
-"""Bytes a second of a host for control."""
+BYTES_PER_S_BUDGET = 6000.0
+"""Greatest control traffic of a host, in bytes per second."""
 
 MEMORY_BUDGET_KIB = 256 * 1024.0
-"""Memory of a host for control."""
+"""Greatest memory of a host for control, in KiB."""
 
-READS_BUDGET = 2000.0
-"""Reads a second of the platform's service."""
+READS_PER_S_BUDGET = 2000.0
+"""Greatest number of reads per second of the platform's service."""
 
-WRITES_BUDGET = 300.0
-"""Writes a second of the service: its "several hundred", low."""
+WRITES_PER_S_BUDGET = 300.0
+"""Greatest number of writes per second of the platform's service.
 
-CALLER_AIM_KIB = 40.0
-"""Memory aimed at for a caller's connection."""
+The platform states "several hundred"; the budget takes the low end.
+"""
 
-STATEMENTS_AIM = 3000.0
-"""Statements a second aimed at for a core."""
+CALLER_MEMORY_TARGET_KIB = 40.0
+"""Target memory of a caller's connection, in KiB."""
+
+STATEMENTS_PER_S_TARGET = 3000.0
+"""Target statements per second of a core."""
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row of the table."""
+    """Row of the capacity table."""
 
     role: str
-    """Role that spends it."""
+    """Role that uses the resource."""
 
     figure: str
-    """What is spent."""
+    """Description of the figure."""
 
     unit: str
-    """Unit."""
+    """Unit of the figure."""
 
     terms: tuple[Term, ...]
-    """Summands."""
+    """Terms whose sum is the figure."""
 
     mechanism: str
-    """Module that carries it."""
+    """Module that implements the mechanism."""
 
     budget: float | None = None
-    """Most that may be spent; ``None`` where none is stated."""
+    """Greatest value of the figure; ``None`` if no budget is stated."""
--- a/packages/standins/src/trefoilpulley_standins/measure/sizing.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/sizing.py
@@ -1,4 +1,4 @@
-"""The size that is aimed at, and what one host has of it."""
+"""Target size of a deployment and the share of one host."""
 
 from __future__ import annotations
 
@@ -9,77 +9,80 @@
 from trefoilpulley_standins.member.server import MAX_REPORT_INTERVAL_S
 
 HOSTS = 1600
-"""Entry hosts."""
+"""Number of entry hosts."""
 
 DATABASES = 2500
-"""Databases."""
+"""Number of databases."""
 
 MEMBERS = 7500
-"""Members of the databases."""
+"""Number of members of all databases."""
 
 ZONES = 26
-"""Availability zones."""
+"""Number of availability zones."""
 
-ZONES_A_REGION = ZONES / 7
-"""Availability zones of a region, on average."""
+ZONES_PER_REGION = ZONES / 7
+"""Average number of availability zones in a region."""
 
 CALLERS = 4_600_000
-"""Connections of callers."""
+"""Number of callers' connections."""
 
 STATEMENTS_PER_S = 710_000
-"""Statements a second."""
+"""Statements per second of all callers."""
 
-CHANGES_A_DAY = 870
-"""Changes of configuration a day."""
+CONFIGURATION_CHANGES_PER_DAY = 870
+"""Configuration changes per day."""
 
-REPLACED_A_DAY = 280
-"""Hosts that are restarted or replaced a day."""
+REPLACED_HOSTS_PER_DAY = 280
+"""Hosts that are restarted or replaced per day."""
 
-FAILED_A_DAY = 7
-"""Hosts that fail a day."""
+FAILED_HOSTS_PER_DAY = 7
+"""Hosts that fail per day."""
 
 DAY_S = 86_400
-"""Seconds of a day."""
+"""Length of a day, in seconds."""
 
-HOSTS_IN_ZONE = HOSTS / ZONES
-"""Hosts of one zone."""
+HOSTS_PER_ZONE = HOSTS / ZONES
+"""Average number of hosts in a zone."""
 
-MEMBERS_A_HOST = MEMBERS / HOSTS
-"""Members that a host pools."""
+MEMBERS_PER_HOST = MEMBERS / HOSTS
+"""Average number of members that a host pools."""
 
-CALLERS_A_HOST = CALLERS / HOSTS
-"""Connections of callers at a host."""
+CALLERS_PER_HOST = CALLERS / HOSTS
+"""Average number of callers' connections to a host."""
 
-STATEMENTS_A_HOST = STATEMENTS_PER_S / HOSTS
-"""Statements a second that enter at a host."""
+STATEMENTS_PER_S_PER_HOST = STATEMENTS_PER_S / HOSTS
+"""Average statements per second that callers send to a host."""
 
 SHARDS = SHARDS_PER_ZONE * ZONES
-"""Shards of all databases."""
+"""Number of shards of all databases."""
 
-DATABASES_A_SHARD = DATABASES / SHARDS
-"""Databases of one shard."""
+DATABASES_PER_SHARD = DATABASES / SHARDS
+"""Average number of databases in a shard."""
 
-POLL_INTERVAL_S = probe_interval_s(round(MEMBERS / SHARDS))
-"""Time between two probes of a member by its coordinator."""
+PROBE_INTERVAL_S = probe_interval_s(round(MEMBERS / SHARDS))
+"""Time between a coordinator's probes of one member, in seconds."""
 
-PROBE_FRAMES_PER_S = 2 * MEMBERS / SHARDS / POLL_INTERVAL_S
-"""Frames of probes of a host that coordinates one shard."""
+PROBE_FRAMES_PER_S = 2 * MEMBERS / SHARDS / PROBE_INTERVAL_S
+"""Probe frames per second of a host that coordinates one shard."""
 
-SERVED_FRAMES_PER_S = 2 * MEMBERS_A_HOST / POLL_INTERVAL_S
-"""Frames of probes of a host that pools its members."""
+ANSWERED_PROBE_FRAMES_PER_S = 2 * MEMBERS_PER_HOST / PROBE_INTERVAL_S
+"""Probe frames per second that a host answers for pooled members."""
 
 REPLICA_SHARE = 2 / 3
-"""Share of the members that are replicas."""
+"""Fraction of the members that are replicas."""
 
-MEMBER_FRAMES_PER_S = MEMBERS_A_HOST * (
+MEMBER_FRAMES_PER_S = MEMBERS_PER_HOST * (
     1 / MAX_REPORT_INTERVAL_S
-    + 2 / POLL_INTERVAL_S
+    + 2 / PROBE_INTERVAL_S
     + 2 * REPLICA_SHARE / MAX_PROBE_INTERVAL_S
 )
-"""Control frames between a pooler and its members without work."""
+"""Control frames per second between an idle pooler and its members."""
 
 DIGEST_FRAMES_PER_S = 2 * 2 * REFRESHES_PER_S
-"""Most frames of digests that a host asks for and serves."""
+"""Greatest number of digest frames per second of a host.
 
-HOST_CHANGES_A_DAY = 2 * (REPLACED_A_DAY + FAILED_A_DAY)
-"""Changes of the live hosts a day: each goes and comes."""
+A host requests and serves digests; each takes two frames.
+"""
+
+HOST_CHANGES_PER_DAY = 2 * (REPLACED_HOSTS_PER_DAY + FAILED_HOSTS_PER_DAY)
+"""Changes of the live hosts per day: a leave and a join for each host."""
--- a/packages/standins/src/trefoilpulley_standins/measure/slopes.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of measured figures, and the file that records them."""
+"""Lines fitted to measured figures, and the file that records them."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
     from collections.abc import Iterable
 
 SLOPES_FILE = Path('docs/slopes.json')
-"""Recorded slopes, from the root of the repository."""
+"""Recorded slopes, relative to the root of the repository."""
 
-LEAST_POINTS = 4
-"""Points that a slope needs."""
+MIN_POINTS = 4
+"""Least number of points of a slope."""
 
-_NOISE = 1e-12
+_MIN_SLOPE = 1e-12
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """One measured point."""
+    """Measured figure at one size."""
 
     x: float
-    """Size."""
+    """Size at which the figure was measured."""
 
     y: float
-    """Figure."""
+    """Measured figure."""
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """Straight line through measured points."""
+    """Straight line fitted to measured points."""
 
     key: str
-    """Short name."""
+    """Key that identifies the figure."""
 
     subject: str
-    """What is measured."""
+    """Description of the measured figure."""
 
     against: str
-    """What it is measured against."""
+    """Description of the size that varies."""
 
     unit: str
     """Unit of the figure."""
@@ -53,10 +53,10 @@
     """Measured points."""
 
     base: float
-    """Figure of the line at 0."""
+    """Value of the line at size 0."""
 
     slope: float
-    """Rise for each unit of the size."""
+    """Increase of the figure per unit of the size."""
 
     spread: float
     """Standard deviation of the points from the line."""
@@ -65,7 +65,7 @@
     """Command that measures the points."""
 
     def at(self, x: float) -> float:
-        """Return the figure of the line at a size."""
+        """Return the value of the line at a size."""
         return self.base + self.slope * x
 
 
@@ -77,18 +77,22 @@
     points: Iterable[Point],
     command: str,
 ) -> Slope:
-    """Return the line of least squares through points."""
+    """Return the least-squares line through points."""
     points = tuple(points)
-    if len(points) < LEAST_POINTS:
-        raise ValueError(f'{key} has {len(points)} points')
+    if len(points) < MIN_POINTS:
+        raise ValueError(f'{key}: too few points for a slope: {len(points)}')
     mean_x = sum(p.x for p in points) / len(points)
     mean_y = sum(p.y for p in points) / len(points)
-    across = sum((p.x - mean_x) ** 2 for p in points)
-    along = sum((p.x - mean_x) * (p.y - mean_y) for p in points)
-    slope = along / across if abs(along) > _NOISE * across else 0.0
+    x_squares = sum((p.x - mean_x) ** 2 for p in points)
+    xy_products = sum((p.x - mean_x) * (p.y - mean_y) for p in points)
+    slope = (
+        xy_products / x_squares
+        if abs(xy_products) > _MIN_SLOPE * x_squares
+        else 0.0
+    )
     base = mean_y - slope * mean_x
-    squares = sum((p.y - base - slope * p.x) ** 2 for p in points)
-    spread = math.sqrt(squares / (len(points) - 2))
+    squared_residuals = sum((p.y - base - slope * p.x) ** 2 for p in points)
+    spread = math.sqrt(squared_residuals / (len(points) - 2))
     return Slope(
         key,
         subject,
@@ -104,33 +108,33 @@
 
 @dataclass(frozen=True, slots=True)
 class SingleFigure:
-    """Figure that was measured at one size."""
+    """Figure that was measured at a single size."""
 
     key: str
-    """Short name."""
+    """Key that identifies the figure."""
 
     subject: str
-    """What is measured, and at which size."""
+    """Description of the figure and the size it was measured at."""
 
     unit: str
     """Unit of the figure."""
 
     value: float
-    """Figure."""
+    """Measured value."""
 
     command: str
-    """Command that measures it."""
+    """Command that measures the figure."""
 
 
 @dataclass(frozen=True, slots=True)
 class Recorded:
-    """What the page rests on."""
+    """Recorded measurements of the capacity page."""
 
     slopes: tuple[Slope, ...]
     """Slopes."""
 
     figures: tuple[SingleFigure, ...] = ()
-    """Figures of one size."""
+    """Figures that were measured at a single size."""
 
     def slope(self, key: str) -> Slope:
         """Return the slope with a key."""
@@ -145,7 +149,7 @@
 
 
 def dump_recorded(path: Path, recorded: Recorded) -> None:
-    """Write slopes and figures in the order of their keys."""
+    """Write slopes and figures to a file, sorted by key."""
     found = Recorded(
         tuple(sorted(recorded.slopes, key=lambda s: s.key)),
         tuple(sorted(recorded.figures, key=lambda f: f.key)),
@@ -156,11 +160,11 @@
 
 
 def load_recorded(path: Path) -> Recorded:
-    """Read slopes and figures."""
+    """Read slopes and figures from a file."""
     document = json.loads(path.read_text(encoding='utf-8'))
     return _CONVERTER.structure(document, Recorded)
 
 
 def round_figure(value: float) -> float:
-    """Return a figure with four digits."""
+    """Return a figure rounded to four significant digits."""
     return float(f'{value:.4g}')
--- a/packages/standins/src/trefoilpulley_standins/measure/state.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/state.py
@@ -1,4 +1,4 @@
-"""Slopes of a host's state and of the work that it does on changes."""
+"""Slopes of the memory of a host's state and of the cost of changes."""
 
 from __future__ import annotations
 
@@ -47,24 +47,24 @@
 """Command that measures these slopes."""
 
 HOSTS = (200, 400, 800, 1200, 1600)
-"""Hosts listed."""
+"""Numbers of hosts in the measured lists."""
 
 DATABASES = (250, 500, 1000, 1750, 2500)
-"""Databases listed."""
+"""Numbers of databases in the measured lists."""
 
-SHARD_DATABASES = (2, 5, 10, 20)
-"""Databases of a shard."""
+SHARD_SIZES_DATABASES = (2, 5, 10, 20)
+"""Numbers of databases in the measured shards."""
 
-MANY_DATABASES = 2500
-"""Databases where the hosts are varied."""
+FIXED_DATABASES = 2500
+"""Number of databases while the number of hosts varies."""
 
-HOLDERS = 2
-"""Processes with a term granted ahead."""
+GRANTS_PER_DATABASE = 2
+"""Processes that hold a term granted in advance, per database."""
 
-_KIB = 1024.0
-_MS = 1000.0
-_REPEATS = 5
-_TICKS = 50
+_BYTES_PER_KIB = 1024.0
+_MS_PER_S = 1000.0
+_TIMING_REPEATS = 5
+_TICKS_PER_TIMING = 50
 _RANKING_TICKS = 2 * SHARDS_PER_ZONE * ZONES // MAX_SHARDS_PER_TICK
 
 
@@ -78,10 +78,10 @@
     measure: Callable[[int], float]
 
 
-def measure_slopes(say: Callable[[str], None]) -> Iterator[Slope]:
-    """Measure each figure at its sizes and yield its slope."""
+def measure_slopes(report_progress: Callable[[str], None]) -> Iterator[Slope]:
+    """Measure each figure at its sizes and yield the fitted slope."""
     for figure in _FIGURES:
-        say(f'{figure.subject} against {figure.against}')
+        report_progress(f'{figure.subject} against {figure.against}')
         yield fit_slope(
             figure.key,
             figure.subject,
@@ -92,23 +92,23 @@
         )
 
 
-def _trace_kib(make: Callable[[], Any]) -> float:
+def _allocated_kib(make: Callable[[], Any]) -> float:
     make()
     tracemalloc.start()
     kept = make()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     del kept
-    return size / _KIB
+    return size / _BYTES_PER_KIB
 
 
-def _time_ms(act: Callable[[], Any]) -> float:
-    taken = []
-    for _ in range(_REPEATS):
+def _cpu_time_ms(action: Callable[[], Any]) -> float:
+    durations_s = []
+    for _ in range(_TIMING_REPEATS):
         started = time.process_time()
-        act()
-        taken.append(time.process_time() - started)
-    return min(taken) * _MS
+        action()
+        durations_s.append(time.process_time() - started)
+    return min(durations_s) * _MS_PER_S
 
 
 def _hosts_kib(count: int) -> float:
@@ -120,7 +120,7 @@
         membership.on_host_list(hosts)
         return hosts, membership, membership.live_hosts
 
-    return _trace_kib(make)
+    return _allocated_kib(make)
 
 
 def _databases_kib(count: int) -> float:
@@ -134,16 +134,16 @@
         succession.update((), databases)
         return databases, directory, succession
 
-    return _trace_kib(make)
+    return _allocated_kib(make)
 
 
 def _hosts_document_kib(count: int) -> float:
-    return len(zlib.compress(encode_hosts(make_hosts(count)))) / _KIB
+    return len(zlib.compress(encode_hosts(make_hosts(count)))) / _BYTES_PER_KIB
 
 
 def _databases_document_kib(count: int) -> float:
     data = encode_databases(make_databases(count))
-    return len(zlib.compress(data)) / _KIB
+    return len(zlib.compress(data)) / _BYTES_PER_KIB
 
 
 def _hosts_document_ms(count: int) -> float:
@@ -152,21 +152,23 @@
     membership = Membership(hosts[0], 1, (), random.Random(1))
     membership.on_host_list(hosts)
 
-    def take() -> None:
+    def apply_document() -> None:
         found = decode_hosts(zlib.decompress(data)).unwrap()
         membership.on_host_list(found)
 
-    return _time_ms(take)
+    return _cpu_time_ms(apply_document)
 
 
 def _databases_document_ms(count: int) -> float:
     data = zlib.compress(encode_databases(make_databases(count)))
-    return _time_ms(lambda: decode_databases(zlib.decompress(data)).unwrap())
+    return _cpu_time_ms(
+        lambda: decode_databases(zlib.decompress(data)).unwrap()
+    )
 
 
-def _duty(count: int) -> tuple[Duty, tuple[Any, ...], tuple[Any, ...]]:
+def _make_duty(count: int) -> tuple[Duty, tuple[Any, ...], tuple[Any, ...]]:
     hosts = make_hosts(count)
-    databases = make_databases(MANY_DATABASES)
+    databases = make_databases(FIXED_DATABASES)
     duty = Duty(f'{hosts[0].name}@1')
     for _ in range(_RANKING_TICKS):
         duty.on_tick(hosts, databases, 0.0)
@@ -174,7 +176,7 @@
 
 
 def _tick_ms(count: int) -> float:
-    duty, hosts, databases = _duty(count)
+    duty, hosts, databases = _make_duty(count)
     zones: dict[str, list[str]] = {}
     for host in hosts:
         zones.setdefault(host.zone, []).append(host.name)
@@ -192,11 +194,14 @@
         duty.on_tick(seen.live_hosts, seen.catalog.databases, 0.0)
 
     tick()
-    return _time_ms(lambda: [tick() for _ in range(_TICKS)]) / _TICKS
+    return (
+        _cpu_time_ms(lambda: [tick() for _ in range(_TICKS_PER_TIMING)])
+        / _TICKS_PER_TIMING
+    )
 
 
 def _rank_ms(count: int) -> float:
-    duty, hosts, databases = _duty(count)
+    duty, hosts, databases = _make_duty(count)
     succession = duty.succession
 
     def rank() -> None:
@@ -204,35 +209,37 @@
             for _ in range(_RANKING_TICKS):
                 succession.update(live, databases)
 
-    return _time_ms(rank) / 2
+    return _cpu_time_ms(rank) / 2
 
 
-def _record(name: str) -> DatabaseRecord:
+def _make_record(name: str) -> DatabaseRecord:
     grants = tuple(
         TermGrant(8 + n, f'entry-host-{n:04d}@1765000000000000000')
-        for n in range(HOLDERS)
+        for n in range(GRANTS_PER_DATABASE)
+    )
+    return DatabaseRecord(
+        name, 7, f'{name}/a', 7 + GRANTS_PER_DATABASE, grants
     )
-    return DatabaseRecord(name, 7, f'{name}/a', 7 + HOLDERS, grants)
 
 
-def _record_kib(count: int) -> float:
+def _shard_record_kib(count: int) -> float:
     names = [d.name for d in make_databases(count)]
-    record = ShardRecord({n: _record(n) for n in names})
-    return len(encode_shard(record)) / _KIB
+    record = ShardRecord({n: _make_record(n) for n in names})
+    return len(encode_shard(record)) / _BYTES_PER_KIB
 
 
 def _coordinator_kib(count: int) -> float:
     entries = make_databases(count)
-    record = ShardRecord({e.name: _record(e.name) for e in entries})
-    around = [TickContext(e, frozenset(), 1.0, True) for e in entries]
+    record = ShardRecord({e.name: _make_record(e.name) for e in entries})
+    contexts = [TickContext(e, frozenset(), 1.0, True) for e in entries]
 
     def make() -> Any:
         shard = ShardCoordinator(1, 'entry-host-0000@1765000000000000000')
         shard.on_loaded(encode_shard(record), 1, 0.0)
-        shard.on_tick(around, True, 0.0)
+        shard.on_tick(contexts, True, 0.0)
         return shard
 
-    return _trace_kib(make)
+    return _allocated_kib(make)
 
 
 _FIGURES = (
@@ -305,15 +312,15 @@
         'size of the record of a shard',
         'databases of the shard',
         'KiB',
-        SHARD_DATABASES,
-        _record_kib,
+        SHARD_SIZES_DATABASES,
+        _shard_record_kib,
     ),
     _Figure(
         'coordinator-memory',
         'memory of the coordinator of a shard',
         'databases of the shard',
         'KiB',
-        SHARD_DATABASES,
+        SHARD_SIZES_DATABASES,
         _coordinator_kib,
     ),
 )
--- a/packages/standins/src/trefoilpulley_standins/measure/terms.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/terms.py
@@ -1,4 +1,4 @@
-"""Terms of the arithmetic on the page of capacity."""
+"""Terms of the sums on the capacity page."""
 
 from __future__ import annotations
 
@@ -9,68 +9,75 @@
 if TYPE_CHECKING:
     from trefoilpulley_standins.measure.slopes import Recorded
 
-MS_TO_PERCENT = 0.1
-"""Percent of a core that a millisecond a second is."""
+MS_PER_S_TO_PERCENT = 0.1
+"""Percent of a core that one millisecond per second is."""
 
 
 class Term(abc.ABC):
-    """One summand."""
+    """Term of a row's sum."""
 
     @abc.abstractmethod
     def value(self, recorded: Recorded) -> float:
-        """Return the summand."""
+        """Return the value of the term."""
 
     @abc.abstractmethod
     def text(self, recorded: Recorded) -> str:
-        """Return the summand's arithmetic."""
+        """Return the calculation of the value as text."""
 
 
 @dataclass(frozen=True, slots=True)
-class Line(Term):
-    """A slope at a size."""
+class SlopeTerm(Term):
+    """Value of a recorded slope at a size."""
 
     key: str
     """Key of the slope."""
 
     size: float
-    """Size."""
+    """Size at which the slope is evaluated."""
 
-    of: str
-    """What the size counts."""
+    size_unit: str
+    """Unit of the size."""
 
     factor: float = 1.0
-    """Factor of the whole."""
+    """Factor by which the value is multiplied."""
 
-    per: str = ''
-    """What the factor is."""
+    factor_unit: str = ''
+    """Unit of the factor."""
 
     has_base: bool = True
-    """Whether the line's figure at 0 counts."""
+    """Whether the value of the line at size 0 is included."""
 
     is_rate_of_ms: bool = False
-    """Whether milliseconds a second become percent of a core."""
+    """Whether to convert milliseconds per second to percent of a core."""
 
     def value(self, recorded: Recorded) -> float:
-        """Return the summand."""
+        """Return the value of the term."""
         found = recorded.slope(self.key)
         base = found.base if self.has_base else 0.0
         return self._scale * (base + found.slope * self.size)
 
     def text(self, recorded: Recorded) -> str:
-        """Return the summand's arithmetic."""
+        """Return the calculation of the value as text."""
         found = recorded.slope(self.key)
-        risen = f'{format_figure(found.slope)} × {format_figure(self.size)}'
-        risen = f'{risen} {self.of}'
+        product = f'{format_figure(found.slope)} × {format_figure(self.size)}'
+        product = f'{product} {self.size_unit}'
         if self.has_base:
-            risen = f'{format_figure(found.base)} + {risen}'
+            product = f'{format_figure(found.base)} + {product}'
         if self.has_base or self.factor != 1.0:
-            risen = f'({risen})'
+            product = f'({product})'
         if self.factor != 1.0:
-            risen = f'{_times(self.factor, self.per)} × {risen}'
-        return f'{risen}{_to_percent(self.is_rate_of_ms)} [{self.key}]'
+            product = (
+                f'{_format_factor(self.factor, self.factor_unit)} × {product}'
+            )
+        return (
+            f'{product}{_percent_conversion(self.is_rate_of_ms)} [{self.key}]'
+        )
 
     def size_at(self, recorded: Recorded, value: float) -> float | None:
-        """Return the size at which the summand has a value."""
+        """Return the size at which the term reaches a value.
+
+        Returns ``None`` if the slope does not rise.
+        """
         found = recorded.slope(self.key)
         if found.slope <= 0:
             return None
@@ -79,71 +86,77 @@
 
     @property
     def _scale(self) -> float:
-        return self.factor * (MS_TO_PERCENT if self.is_rate_of_ms else 1.0)
+        return self.factor * (
+            MS_PER_S_TO_PERCENT if self.is_rate_of_ms else 1.0
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Single(Term):
-    """A figure of one size, so many times."""
+class FigureTerm(Term):
+    """Recorded figure of a single size, multiplied by a factor."""
 
     key: str
     """Key of the figure."""
 
     factor: float
-    """Factor."""
+    """Factor by which the figure is multiplied."""
 
-    per: str
-    """What the factor is."""
+    factor_unit: str
+    """Unit of the factor."""
 
     is_rate_of_ms: bool = False
-    """Whether milliseconds a second become percent of a core."""
+    """Whether to convert milliseconds per second to percent of a core."""
 
     def value(self, recorded: Recorded) -> float:
-        """Return the summand."""
-        scale = MS_TO_PERCENT if self.is_rate_of_ms else 1.0
+        """Return the value of the term."""
+        scale = MS_PER_S_TO_PERCENT if self.is_rate_of_ms else 1.0
         return self.factor * scale * recorded.figure(self.key).value
 
     def text(self, recorded: Recorded) -> str:
-        """Return the summand's arithmetic."""
+        """Return the calculation of the value as text."""
         value = format_figure(recorded.figure(self.key).value)
-        risen = f'{_times(self.factor, self.per)} × {value}'
-        return f'{risen}{_to_percent(self.is_rate_of_ms)} [{self.key}]'
+        product = f'{_format_factor(self.factor, self.factor_unit)} × {value}'
+        return (
+            f'{product}{_percent_conversion(self.is_rate_of_ms)} [{self.key}]'
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Stated(Term):
-    """A count that follows from constants of the code and the size."""
+class ConstantTerm(Term):
+    """Value that follows from constants of the code and the target size."""
 
     amount: float
-    """Summand."""
+    """Value of the term."""
 
     arithmetic: str
-    """How it comes about."""
+    """Calculation of the value, as shown on the page."""
 
-    is_guess: bool = False
-    """Whether it rests on a guess."""
+    is_estimate: bool = False
+    """Whether the value is an estimate."""
 
     def value(self, recorded: Recorded) -> float:
-        """Return the summand."""
+        """Return the value of the term."""
         return self.amount
 
     def text(self, recorded: Recorded) -> str:
-        """Return the summand's arithmetic."""
+        """Return the calculation of the value as text."""
         return (
-            f'guess: {self.arithmetic}' if self.is_guess else (self.arithmetic)
+            f'guess: {self.arithmetic}'
+            if self.is_estimate
+            else (self.arithmetic)
         )
 
 
 def format_figure(value: float) -> str:
-    """Return a figure with three digits."""
+    """Return a figure as text with three digits."""
     if abs(value) >= 100:
         return f'{value:,.0f}'
     return f'{value:.3g}'
 
 
-def _to_percent(is_rate_of_ms: bool) -> str:
+def _percent_conversion(is_rate_of_ms: bool) -> str:
     return ' ms / 10 ms for a percent' if is_rate_of_ms else ''
 
 
-def _times(factor: float, per: str) -> str:
-    return f'{format_figure(factor)} {per}'.strip()
+def _format_factor(factor: float, factor_unit: str) -> str:
+    return f'{format_figure(factor)} {factor_unit}'.strip()
