--- a/packages/standins/src/trefoilpulley_standins/measure/fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/fleet.py
@@ -23,7 +23,7 @@
 COMMAND = 'python -m trefoilpulley_standins.measure fleet'
 """Command that measures these slopes."""
 
-ZONE_SIZES_HOSTS = (8, 16, 32, 62)
+HOSTS_PER_ZONE_SIZES = (8, 16, 32, 62)
 """Numbers of hosts per zone, measured with `FIXED_ZONES` zones."""
 
 ZONE_COUNTS = (4, 8, 16, 26)
@@ -70,7 +70,7 @@
 def measure_slopes(report_progress: Callable[[str], None]) -> Iterator[Slope]:
     """Measure fleets of several sizes and yield the slopes of the calls."""
     by_hosts = []
-    for hosts in ZONE_SIZES_HOSTS:
+    for hosts in HOSTS_PER_ZONE_SIZES:
         report_progress(f'fleet of {FIXED_ZONES} zones of {hosts} hosts')
         by_hosts.append(
             Point(hosts, measure_recovery_calls(FIXED_ZONES, hosts, hosts))
--- a/packages/standins/src/trefoilpulley_standins/measure/page.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/page.py
@@ -98,26 +98,26 @@
         '| command |'
     )
     yield '| --- | --- | --- | --- | --- | --- | --- | --- | --- |'
-    for found in recorded.slopes:
-        sizes = [p.x for p in found.points]
+    for entry in recorded.slopes:
+        sizes = [p.x for p in entry.points]
         points = (
             f'{len(sizes)}, {format_figure(min(sizes))} to '
             f'{format_figure(max(sizes))}'
         )
         yield (
-            f'| {found.key} | {found.subject} | {found.against} '
-            f'| {found.unit} | {points} | {format_figure(found.base)} '
-            f'| {format_figure(found.slope)} | {format_figure(found.spread)} '
-            f'| `{found.command}` |'
+            f'| {entry.key} | {entry.subject} | {entry.against} '
+            f'| {entry.unit} | {points} | {format_figure(entry.base)} '
+            f'| {format_figure(entry.slope)} | {format_figure(entry.spread)} '
+            f'| `{entry.command}` |'
         )
 
 
 def _render_figures(recorded: Recorded) -> Iterator[str]:
     yield '| key | figure | value | command |'
     yield '| --- | --- | --- | --- |'
-    for found in recorded.figures:
+    for entry in recorded.figures:
         yield (
-            f'| {found.key} | {found.subject} '
-            f'| {format_figure(found.value)} {found.unit} '
-            f'| `{found.command}` |'
+            f'| {entry.key} | {entry.subject} '
+            f'| {format_figure(entry.value)} {entry.unit} '
+            f'| `{entry.command}` |'
         )
--- a/packages/standins/src/trefoilpulley_standins/measure/slopes.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/slopes.py
@@ -19,6 +19,7 @@
 MIN_POINTS = 4
 """Least number of points of a slope."""
 
+# A smaller slope is a rounding error and counts as 0.
 _MIN_SLOPE = 1e-12
 
 
@@ -150,11 +151,11 @@
 
 def dump_recorded(path: Path, recorded: Recorded) -> None:
     """Write slopes and figures to a file, sorted by key."""
-    found = Recorded(
+    sorted_records = Recorded(
         tuple(sorted(recorded.slopes, key=lambda s: s.key)),
         tuple(sorted(recorded.figures, key=lambda f: f.key)),
     )
-    document = _CONVERTER.unstructure(found)
+    document = _CONVERTER.unstructure(sorted_records)
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(document, indent=1) + '\n', encoding='utf-8')
 
--- a/packages/standins/src/trefoilpulley_standins/measure/state.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/state.py
@@ -52,14 +52,14 @@
 DATABASES = (250, 500, 1000, 1750, 2500)
 """Numbers of databases in the measured lists."""
 
-SHARD_SIZES_DATABASES = (2, 5, 10, 20)
+SHARD_SIZES = (2, 5, 10, 20)
 """Numbers of databases in the measured shards."""
 
 FIXED_DATABASES = 2500
 """Number of databases while the number of hosts varies."""
 
 GRANTS_PER_DATABASE = 2
-"""Processes that hold a term granted in advance, per database."""
+"""Terms granted in advance in each database's record."""
 
 _BYTES_PER_KIB = 1024.0
 _MS_PER_S = 1000.0
@@ -153,8 +153,8 @@
     membership.on_host_list(hosts)
 
     def apply_document() -> None:
-        found = decode_hosts(zlib.decompress(data)).unwrap()
-        membership.on_host_list(found)
+        decoded = decode_hosts(zlib.decompress(data)).unwrap()
+        membership.on_host_list(decoded)
 
     return _cpu_time_ms(apply_document)
 
@@ -190,8 +190,8 @@
     )
 
     def tick() -> None:
-        seen = observer.observe()
-        duty.on_tick(seen.live_hosts, seen.catalog.databases, 0.0)
+        view = observer.observe()
+        duty.on_tick(view.live_hosts, view.catalog.databases, 0.0)
 
     tick()
     return (
@@ -312,7 +312,7 @@
         'size of the record of a shard',
         'databases of the shard',
         'KiB',
-        SHARD_SIZES_DATABASES,
+        SHARD_SIZES,
         _shard_record_kib,
     ),
     _Figure(
@@ -320,7 +320,7 @@
         'memory of the coordinator of a shard',
         'databases of the shard',
         'KiB',
-        SHARD_SIZES_DATABASES,
+        SHARD_SIZES,
         _coordinator_kib,
     ),
 )
--- a/packages/standins/src/trefoilpulley_standins/measure/terms.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/terms.py
@@ -52,17 +52,17 @@
 
     def value(self, recorded: Recorded) -> float:
         """Return the value of the term."""
-        found = recorded.slope(self.key)
-        base = found.base if self.has_base else 0.0
-        return self._scale * (base + found.slope * self.size)
+        line = recorded.slope(self.key)
+        base = line.base if self.has_base else 0.0
+        return self._scale * (base + line.slope * self.size)
 
     def text(self, recorded: Recorded) -> str:
         """Return the calculation of the value as text."""
-        found = recorded.slope(self.key)
-        product = f'{format_figure(found.slope)} × {format_figure(self.size)}'
+        line = recorded.slope(self.key)
+        product = f'{format_figure(line.slope)} × {format_figure(self.size)}'
         product = f'{product} {self.size_unit}'
         if self.has_base:
-            product = f'{format_figure(found.base)} + {product}'
+            product = f'{format_figure(line.base)} + {product}'
         if self.has_base or self.factor != 1.0:
             product = f'({product})'
         if self.factor != 1.0:
@@ -78,11 +78,11 @@
 
         Returns ``None`` if the slope does not rise.
         """
-        found = recorded.slope(self.key)
-        if found.slope <= 0:
+        line = recorded.slope(self.key)
+        if line.slope <= 0:
             return None
-        base = found.base if self.has_base else 0.0
-        return (value / self._scale - base) / found.slope
+        base = line.base if self.has_base else 0.0
+        return (value / self._scale - base) / line.slope
 
     @property
     def _scale(self) -> float:
--- a/packages/standins/src/trefoilpulley_standins/member/_replicated.py
+++ b/packages/standins/src/trefoilpulley_standins/member/_replicated.py
@@ -63,8 +63,10 @@
     def on_append(self, message: Append) -> bool:
         """Apply records of the primary.
 
-        Returns false if the records do not directly follow the log or one
-        of the records cannot be applied.
+        Returns false if the member does not follow the primary of the
+        term, if the records do not directly follow the log, or if a record
+        cannot be applied. After a record that cannot be applied, the member
+        needs a copy of the primary's state.
         """
         if not self._is_replica_in_term(message.term) or self.is_rebuilding:
             return False
@@ -85,7 +87,7 @@
             self._primary_contact_at = now
 
     def on_confirm(self, message: Confirm) -> None:
-        """Record the position that a replica has acknowledged."""
+        """Record the position that a replica acknowledges."""
         if not self.is_primary or message.term != self.term:
             return
         self._acknowledged_positions[message.member] = message.position
--- a/packages/standins/src/trefoilpulley_standins/member/_replicator.py
+++ b/packages/standins/src/trefoilpulley_standins/member/_replicator.py
@@ -53,7 +53,7 @@
     peers : Mapping[str, Endpoint]
         Replication addresses of the other members.
     lag_s : float
-        Time for which records are held back, in seconds.
+        Delay before received records are applied, in seconds.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._state_changed = state_changed
         self._peers = peers
         self.lag_s = lag_s
-        """Time for which records are held back, in seconds."""
+        """Delay before received records are applied, in seconds."""
 
     def run(self) -> None:
         """Subscribe to the current primary and resubscribe after a failure."""
@@ -82,12 +82,12 @@
         term, primary = self._engine.term, self._engine.primary
         subscription = _Subscription(self, self._engine, term)
         endpoint = self._peers[primary]
-        dialled = dial(endpoint, REPLICATION_CODEC, subscription)
-        if not is_successful(dialled):
+        dial_result = dial(endpoint, REPLICATION_CODEC, subscription)
+        if not is_successful(dial_result):
             return
-        channel = dialled.unwrap()
+        channel = dial_result.unwrap()
         try:
-            if subscription.begin(channel):
+            if subscription.start(channel):
                 self._wait_until_obsolete(channel, subscription, term, primary)
         finally:
             subscription.stop()
@@ -125,7 +125,7 @@
         """Whether the heartbeat timeout of the primary has expired."""
         return time.monotonic() - self._last_message_at > HEARTBEAT_TIMEOUT_S
 
-    def begin(self, channel: Channel) -> bool:
+    def start(self, channel: Channel) -> bool:
         """Subscribe; return whether the primary will send records."""
         answer = channel.call(self._engine.subscription(), SUBSCRIBE_TIMEOUT_S)
         if not is_successful(answer) or not self._apply_reply(answer.unwrap()):
--- a/packages/standins/src/trefoilpulley_standins/member/_session.py
+++ b/packages/standins/src/trefoilpulley_standins/member/_session.py
@@ -28,7 +28,7 @@
     Parameters
     ----------
     count : int
-        Statements and transactions that may run at once.
+        Greatest number of concurrent statements and transactions.
     statement_duration_s : float
         Simulated execution time of a statement, in seconds.
     """
--- a/packages/standins/src/trefoilpulley_standins/member/engine.py
+++ b/packages/standins/src/trefoilpulley_standins/member/engine.py
@@ -85,19 +85,19 @@
 
         Returns the recorded outcome if the key has one.
         """
-        begun = self.begin(term)
-        if not is_successful(begun):
-            return begun
-        transaction = begun.unwrap()
+        begin_result = self.begin(term)
+        if not is_successful(begin_result):
+            return begin_result
+        transaction = begin_result.unwrap()
         stored_result = self._stored_result(key)
         if stored_result is not None:
             self.rollback(transaction)
             return stored_result
-        ran = self.run(transaction, statement)
-        if not is_successful(ran):
+        run_result = self.run(transaction, statement)
+        if not is_successful(run_result):
             self.rollback(transaction)
-            return ran
-        return self._commit_with_outcome(transaction, key, ran.unwrap())
+            return run_result
+        return self._commit_with_outcome(transaction, key, run_result.unwrap())
 
     def begin(self, term: int) -> Result[Transaction, Failure]:
         """Begin a transaction; only one may be open at a time."""
@@ -116,12 +116,12 @@
         """Run a statement in an open transaction."""
         if transaction is not self._open_transaction:
             return Failed(TransactionLost())
-        ran = self._working_store.run(statement)
-        if not is_successful(ran):
+        run_result = self._working_store.run(statement)
+        if not is_successful(run_result):
             self._clear_ended_transaction()
-            return ran.lash(_as_statement_failure)
+            return run_result.lash(_as_statement_failure)
         transaction.statements.append(statement)
-        return ran.map(self._with_position)
+        return run_result.map(self._with_position)
 
     def commit(
         self, transaction: Transaction, key: OutcomeKey | None
@@ -164,8 +164,8 @@
         self._working_store.begin()
         self._open_transaction = Transaction()
         marker = Outcome(key, is_abandoned=True)
-        written = self._commit_record((), marker)
-        return written.bind(lambda _: Failed(NotRun('abandoned')))
+        commit_result = self._commit_record((), marker)
+        return commit_result.bind(lambda _: Failed(NotRun('abandoned')))
 
     def fence(self, term: int, now: float) -> Result[None, Failure]:
         """Reject every lower term from now on."""
@@ -256,18 +256,20 @@
         self,
         transaction: Transaction,
         key: OutcomeKey | None,
-        answer: StatementResult,
+        result: StatementResult,
     ) -> Result[StatementResult, Failure]:
         outcome = None
         if key is not None:
             outcome = Outcome(
                 key,
-                columns=answer.columns,
-                rows=answer.rows,
-                row_count=answer.row_count,
+                columns=result.columns,
+                rows=result.rows,
+                row_count=result.row_count,
             )
-        written = self._commit_record(tuple(transaction.statements), outcome)
-        return written.map(lambda _: self._with_position(answer))
+        commit_result = self._commit_record(
+            tuple(transaction.statements), outcome
+        )
+        return commit_result.map(lambda _: self._with_position(result))
 
     def _commit_record(
         self, statements: tuple[Statement, ...], outcome: Outcome | None
--- a/packages/standins/src/trefoilpulley_standins/member/server.py
+++ b/packages/standins/src/trefoilpulley_standins/member/server.py
@@ -146,8 +146,8 @@
             if not is_held:
                 return _to_failure(Overloaded('no slot became free in time'))
             self._slots.simulate_statement()
-            ran = self.engine.read(message.statement, message.floor)
-            return _to_reply(ran)
+            result = self.engine.read(message.statement, message.floor)
+            return _to_reply(result)
 
     def _on_write(self, channel: Channel, message: wire.Write) -> Any:
         with self._session_of(channel).statement_lock:
@@ -157,10 +157,10 @@
                         Overloaded('no slot became free in time')
                     )
                 self._slots.simulate_statement()
-                ran = self.engine.write(
+                result = self.engine.write(
                     message.statement, message.term, message.key
                 )
-                return _to_reply(ran)
+                return _to_reply(result)
 
     def _on_resolve(self, channel: Channel, message: wire.Resolve) -> Any:
         with self._slots.hold(is_writer=True) as is_held:
@@ -177,11 +177,11 @@
                 return _to_failure(Overloaded('a transaction is already open'))
             if not self._slots.acquire(is_writer=True):
                 return _to_failure(Overloaded('no slot became free in time'))
-            begun = self.engine.begin(message.term)
-            if not is_successful(begun):
+            begin_result = self.engine.begin(message.term)
+            if not is_successful(begin_result):
                 self._slots.release(is_writer=True)
-                return _to_failure(begun.failure())
-            session.open(begun.unwrap(), channel.close)
+                return _to_failure(begin_result.failure())
+            session.open(begin_result.unwrap(), channel.close)
             if not channel.is_open:
                 session.end()
             return wire.MemberDone()
@@ -203,9 +203,9 @@
         with session.statement_lock:
             if session.transaction is None:
                 return _to_failure(TransactionLost())
-            ran = self.engine.commit(session.transaction, message.key)
+            result = self.engine.commit(session.transaction, message.key)
             session.end()
-            return _to_reply(ran)
+            return _to_reply(result)
 
     def _on_rollback(
         self, channel: Channel, message: wire.RollbackTransaction
@@ -230,10 +230,10 @@
             self.engine.follow(message.term, message.primary, time.monotonic())
         )
 
-    def _to_reply_with_status(self, done: Result[None, Failure]) -> Any:
-        if is_successful(done):
+    def _to_reply_with_status(self, result: Result[None, Failure]) -> Any:
+        if is_successful(result):
             return wire.MemberReport(self.status())
-        return _to_failure(done.failure())
+        return _to_failure(result.failure())
 
     def _session_of(self, channel: Channel) -> Session:
         if channel.context is None:
@@ -302,10 +302,10 @@
         return True
 
 
-def _to_reply(ran: Result[StatementResult, Failure]) -> Any:
-    if is_successful(ran):
-        return wire.MemberResult(ran.unwrap())
-    return _to_failure(ran.failure())
+def _to_reply(result: Result[StatementResult, Failure]) -> Any:
+    if is_successful(result):
+        return wire.MemberResult(result.unwrap())
+    return _to_failure(result.failure())
 
 
 def _to_failure(failure: Failure) -> wire.MemberFailure:
--- a/packages/standins/src/trefoilpulley_standins/platform/gateway.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/gateway.py
@@ -28,9 +28,9 @@
     from collections.abc import Callable
 
     from trefoilpulley_standins.platform.store import Change
-    from trefoilpulley_standins.platform.store import Effect
     from trefoilpulley_standins.platform.store import KeyValueStore
     from trefoilpulley_standins.platform.store import Operation
+    from trefoilpulley_standins.platform.store import OperationResult
     from trefoilpulley_standins.platform.store import StoredValue
 
 Document = dict[str, Any]
@@ -113,35 +113,35 @@
         return Success({'header': self.header(), **answer})
 
     def _put(self, body: Document, now: float) -> Result[Document, Failure]:
-        done = self._store.execute((), (_decode_put(body),))
-        return done.map(lambda _: {'header': self.header()})
+        result = self._store.execute((), (_decode_put(body),))
+        return result.map(lambda _: {'header': self.header()})
 
     def _delete_range(
         self, body: Document, now: float
     ) -> Result[Document, Failure]:
-        done = self._store.execute((), (Delete(decode_range(body)),))
-        return done.map(
+        result = self._store.execute((), (Delete(decode_range(body)),))
+        return result.map(
             lambda txn: {
                 'header': self.header(),
-                **self._effect_document(txn.effects[0])[
+                **self._result_document(txn.results[0])[
                     'response_delete_range'
                 ],
             }
         )
 
     def _txn(self, body: Document, now: float) -> Result[Document, Failure]:
-        done = self._store.execute(
+        result = self._store.execute(
             [_decode_condition(c) for c in body.get('compare', ())],
             tuple(_decode_operation(o) for o in body.get('success', ())),
             tuple(_decode_operation(o) for o in body.get('failure', ())),
         )
-        if not is_successful(done):
-            return done
-        txn = done.unwrap()
+        if not is_successful(result):
+            return result
+        txn = result.unwrap()
         answer: Document = {'header': self.header()}
         if txn.is_success:
             answer['succeeded'] = True
-        answer['responses'] = [self._effect_document(e) for e in txn.effects]
+        answer['responses'] = [self._result_document(e) for e in txn.results]
         return Success(answer)
 
     def _grant(self, body: Document, now: float) -> Result[Document, Failure]:
@@ -182,15 +182,15 @@
             ]
         return Success(answer)
 
-    def _effect_document(self, effect: Effect) -> Document:
+    def _result_document(self, result: OperationResult) -> Document:
         header = {'header': self.header()}
-        if isinstance(effect.operation, Put):
+        if isinstance(result.operation, Put):
             return {'response_put': header}
-        if isinstance(effect.operation, Get):
-            found = self._range_document(effect.values, is_keys_only=False)
+        if isinstance(result.operation, Get):
+            found = self._range_document(result.values, is_keys_only=False)
             return {'response_range': {**header, **found}}
-        if effect.values:
-            header['deleted'] = str(len(effect.values))
+        if result.values:
+            header['deleted'] = str(len(result.values))
         return {'response_delete_range': header}
 
     def _range_document(
--- a/packages/standins/src/trefoilpulley_standins/platform/server.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/server.py
@@ -237,14 +237,14 @@
     def _handle_call(
         self, path: str, body: Any, start: Callable
     ) -> list[bytes]:
-        done = self._gateway.call(path, body, time.monotonic())
-        if not is_successful(done):
-            return _send_failure(done.failure(), start)
+        result = self._gateway.call(path, body, time.monotonic())
+        if not is_successful(result):
+            return _send_failure(result.failure(), start)
         faults = self._service.faults
         if path in _WRITE_PATHS and faults.try_lose_answer(written_keys(body)):
             raise AnswerLostError()
         start('200 OK', _JSON)
-        return [json.dumps(done.unwrap()).encode()]
+        return [json.dumps(result.unwrap()).encode()]
 
     def _apply_faults(self) -> None:
         faults = self._service.faults
--- a/packages/standins/src/trefoilpulley_standins/platform/store.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/store.py
@@ -134,7 +134,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Effect:
+class OperationResult:
     """Result of one operation of a transaction."""
 
     operation: Operation
@@ -154,7 +154,7 @@
     revision: int
     """Revision of the store after the transaction."""
 
-    effects: tuple[Effect, ...]
+    results: tuple[OperationResult, ...]
     """Result of each operation, in order."""
 
 
@@ -223,8 +223,8 @@
             lease = operation.lease if isinstance(operation, Put) else 0
             if lease and lease not in self._leases:
                 return Failed(LeaseExpired('requested lease not found'))
-        effects = self._run_operations(operations)
-        return Success(TxnResult(is_success, self.revision, effects))
+        results = self._run_operations(operations)
+        return Success(TxnResult(is_success, self.revision, results))
 
     def grant(self, ttl_s: int, now: float) -> GrantedLease:
         """Grant a lease."""
@@ -275,9 +275,9 @@
     def changes_since(self, revision: int) -> tuple[Change, ...]:
         """Return the retained changes since a revision, inclusive."""
         return tuple(
-            e
-            for e in self._retained_changes
-            if e.value.mod_revision >= revision
+            change
+            for change in self._retained_changes
+            if change.value.mod_revision >= revision
         )
 
     def watch(self, callback: Callable[[tuple[Change, ...]], None]) -> None:
@@ -306,32 +306,32 @@
 
     def _run_operations(
         self, operations: tuple[Operation, ...]
-    ) -> tuple[Effect, ...]:
+    ) -> tuple[OperationResult, ...]:
         revision = self.revision + 1
         changes: list[Change] = []
-        effects = tuple(
+        results = tuple(
             self._run_operation(operation, revision, changes)
             for operation in operations
         )
         if changes:
             self.revision = revision
             self._publish(tuple(changes))
-        return effects
+        return results
 
     def _run_operation(
         self, operation: Operation, revision: int, changes: list[Change]
-    ) -> Effect:
+    ) -> OperationResult:
         if isinstance(operation, Get):
-            return Effect(operation, self.get(operation.keys))
+            return OperationResult(operation, self.get(operation.keys))
         if isinstance(operation, Put):
             changes.append(Change(self._put(operation, revision)))
-            return Effect(operation)
+            return OperationResult(operation)
         deleted = self.get(operation.keys)
         for stored in deleted:
             del self._values[stored.key]
             tombstone = StoredValue(stored.key, mod_revision=revision)
             changes.append(Change(tombstone))
-        return Effect(operation, deleted)
+        return OperationResult(operation, deleted)
 
     def _put(self, operation: Put, revision: int) -> StoredValue:
         previous = self._values.get(operation.key)
