--- a/features/proxy_hedge.feature
+++ b/features/proxy_hedge.feature
@@ -1,33 +1,33 @@
-Feature: Reads that are sent to a second member
+Feature: Hedged reads and requests that wait for a primary
 
-  Load pattern: a member stays silent, or its connections are all taken, and
-  a read goes to another member meanwhile.
+  Load pattern: a member does not answer, or all its connections are in use,
+  and a read is sent to a second member as well.
 
-  Scenario: a read that still waits when another answers is never sent
-    Given a read whose first member has no connection free
-    When its second member answers
-    And the session changes its value before the first has a connection
-    Then the first member was sent nothing
+  Scenario: a queued read is not sent once another member has answered
+    Given a read whose first member has no free connection
+    When the second member answers the read
+    And the session changes a variable before the first member has a free connection
+    Then the first member was sent no request
 
-  Scenario: a read that was sent counts if it answers first
-    Given a read whose first member has no connection free
-    When the first member has a connection before the second is asked
-    Then the first member was sent the read once
+  Scenario: the reply of the first member is used if it arrives first
+    Given a read whose first member has no free connection
+    When the first member has a free connection before the read is hedged
+    Then the read was sent once, to the first member
 
-  Scenario: work does not wait for a change of primary that is not coming
-    Given a write while no primary is known
-    When this host has learned that no change is coming
+  Scenario: a write does not wait while no failover is expected
+    Given a write to a group without a known primary
+    When this host has learned that no failover will start
     Then the write is refused without a wait
-    When another host claims the change
-    And the new primary proves itself
-    Then the next write waits for it
+    When another host claims the failover
+    And the new primary proves its leadership
+    Then the next write waits for the new primary
 
-  Scenario: a write for which no connection could be opened has not run
-    Given a group whose primary takes no connection
+  Scenario: a write is reported as not run if no connection could be opened
+    Given a group whose primary accepts no connection
     Then a write is refused as not run
 
-  Scenario: a primary that leaves gets no new work after some seconds
+  Scenario: a leaving primary gets no new requests after a few seconds
     Given a group whose primary has been leaving for 1 s
-    Then its primary still takes work
+    Then the primary still gets requests
     Given a group whose primary has been leaving for 6 s
-    Then its primary takes no work
+    Then the primary gets no requests
--- a/features/steps/proxy_hedge_steps.py
+++ b/features/steps/proxy_hedge_steps.py
@@ -1,4 +1,4 @@
-"""Steps on reads that are sent to a second member."""
+"""Steps on hedged reads and on requests that wait for a primary."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 from trefoilpulley_node.proxy.work import StatementRequest
 
 
-class _Upstream(UpstreamSession):
-    """Connection that answers at once."""
+class _ImmediateUpstream(UpstreamSession):
+    """Connection whose member answers each request at once."""
 
     def __init__(self, sent: list[Call]) -> None:
         self._sent = sent
@@ -61,8 +61,8 @@
         pass
 
 
-class _Dialer(UpstreamDialer):
-    """Opens a connection once the member's gate is open."""
+class _GatedDialer(UpstreamDialer):
+    """Opens connections to a member once the test permits it."""
 
     def __init__(self) -> None:
         self.gates: dict[str, Event] = {}
@@ -72,19 +72,19 @@
         self, member: MemberRecord, timeout_s: float
     ) -> Result[UpstreamSession, Failure]:
         if not self.gates[member.member].wait(30.0):
-            return Failed(NoUpstream('never opened'))
-        return Success(_Upstream(self.sent[member.member]))
+            return Failed(NoUpstream('the gate was not opened in time'))
+        return Success(_ImmediateUpstream(self.sent[member.member]))
 
 
 class HedgeSteps:
-    """Steps on one read and two members."""
+    """Steps on a read that is hedged between two members."""
 
     @staticmethod
-    @given('a read whose first member has no connection free')
-    def make_read(context: Any) -> None:
-        """Send a read to a member that keeps it waiting."""
+    @given('a read whose first member has no free connection')
+    def start_read(context: Any) -> None:
+        """Start a read whose first member opens no connection yet."""
         clock = BoottimeClock()
-        context.dialer = _Dialer()
+        context.dialer = _GatedDialer()
         context.group = Group('ledger')
         context.group.state.update(
             MemberRecord(
@@ -103,7 +103,7 @@
         context.group.state.evidence.record(now - 1.0, Position(1, 5))
         context.session = SessionState({'tz': 'utc'})
         route = Route('db', 'ledger', ReadFreshness.BOUNDED, 9.0, 0.2, 1, 8.0)
-        work = StatementRequest(
+        request = StatementRequest(
             Run('q1', 'READ a', False),
             None,
             route,
@@ -121,19 +121,25 @@
             clock,
             metrics,
         )
-        context.read = gevent.spawn(runner.read, work)
+        context.read = gevent.spawn(runner.read, request)
 
     @staticmethod
-    @when('its second member answers')
-    def answer_second(context: Any) -> None:
-        """Let the second member have a connection."""
+    @when('the second member answers the read')
+    def connect_second(context: Any) -> None:
+        """Open a connection to the second member and wait for the reply."""
         context.dialer.gates['second'].set()
         assert isinstance(context.read.get(), Success)
 
     @staticmethod
-    @when('the session changes its value before the first has a connection')
-    def change_value(context: Any) -> None:
-        """Let the caller go on, then free the first member."""
+    @when(
+        'the session changes a variable before the first member has a free '
+        'connection'
+    )
+    def change_variable(context: Any) -> None:
+        """Change a session variable, then connect to the first member.
+
+        Returns once the first member's pool has no request left.
+        """
         context.session.values['tz'] = 'eet'
         context.dialer.gates['first'].set()
         pool = context.group.accesses['first'].local_pool
@@ -141,28 +147,28 @@
             gevent.sleep(0.001)
 
     @staticmethod
-    @when('the first member has a connection before the second is asked')
-    def answer_first(context: Any) -> None:
-        """Free the first member at once."""
+    @when('the first member has a free connection before the read is hedged')
+    def connect_first(context: Any) -> None:
+        """Open a connection to the first member and wait for the reply."""
         context.dialer.gates['first'].set()
         assert isinstance(context.read.get(), Success)
 
     @staticmethod
-    @then('the first member was sent nothing')
+    @then('the first member was sent no request')
     def check_unsent(context: Any) -> None:
-        """Check that no statement ran with other values."""
+        """Check that the read did not run with the changed variable."""
         assert context.dialer.sent['first'] == []
 
     @staticmethod
-    @then('the first member was sent the read once')
-    def check_sent(context: Any) -> None:
-        """Check that the read ran there."""
+    @then('the read was sent once, to the first member')
+    def check_sent_once(context: Any) -> None:
+        """Check that only the first member got the set-up and the read."""
         assert len(context.dialer.sent['first']) == 2
         assert context.dialer.sent['second'] == []
 
 
-class _DeadDialer(UpstreamDialer):
-    """Opens nothing."""
+class _UnreachableDialer(UpstreamDialer):
+    """Fails to connect to any member."""
 
     def dial(
         self, member: MemberRecord, timeout_s: float
@@ -170,13 +176,13 @@
         return Failed(PeerUnreachable('timeout'))
 
 
-class UnsentSteps:
-    """Steps on what was never sent."""
+class UnreachablePrimarySteps:
+    """Steps on a primary to which no connection can be opened."""
 
     @staticmethod
-    @given('a group whose primary takes no connection')
+    @given('a group whose primary accepts no connection')
     def make_group(context: Any) -> None:
-        """Make a group whose only member can't be reached."""
+        """Create a group whose only member is unreachable."""
         context.clock = BoottimeClock()
         context.group = Group('ledger')
         context.group.state.update(
@@ -187,13 +193,13 @@
             ]
         )
         health = context.group.state.members['p']
-        pool = MemberPool(health, _DeadDialer(), context.clock)
+        pool = MemberPool(health, _UnreachableDialer(), context.clock)
         context.group.accesses['p'] = MemberAccess(pool)
 
     @staticmethod
     @then('a write is refused as not run')
     def check_not_run(context: Any) -> None:
-        """Check that the refusal is a promise."""
+        """Check that the failure states that the write was not run."""
         metrics = ProxyMetrics()
         runner = StatementRunner(
             'a',
@@ -203,17 +209,17 @@
             metrics,
         )
         context.group.state.no_failover_until = context.clock.now() + 1000.0
-        done = runner.write(PrimaryWaitSteps.make_work(context))
-        assert done.failure().run_state is RunState.NOT_RUN, done
+        result = runner.write(PrimaryWaitSteps.make_request(context))
+        assert result.failure().run_state is RunState.NOT_RUN, result
 
 
-class LeavingSteps:
-    """Steps on a primary that leaves."""
+class LeavingPrimarySteps:
+    """Steps on a leaving primary."""
 
     @staticmethod
-    @given('a group whose primary has been leaving for {since:d} s')
-    def make_group(context: Any, since: int) -> None:
-        """Make a group whose primary has announced its end."""
+    @given('a group whose primary has been leaving for {leaving_s:d} s')
+    def make_group(context: Any, leaving_s: int) -> None:
+        """Create a group whose primary has announced its planned stop."""
         context.clock = BoottimeClock()
         context.group = Group('ledger')
         context.group.state.update(
@@ -224,68 +230,68 @@
             ]
         )
         health = context.group.state.members['p']
-        health.update_leaving(context.clock.now() - since)
+        health.update_leaving(context.clock.now() - leaving_s)
         health.update_leaving(context.clock.now())
 
     @staticmethod
-    @then('its primary still takes work')
-    def check_taken(context: Any) -> None:
-        """Check that the handover has some time."""
+    @then('the primary still gets requests')
+    def check_still_used(context: Any) -> None:
+        """Check that the primary is not lost during the handover."""
         assert not PrimaryWait(context.clock).is_lost(context.group)
 
     @staticmethod
-    @then('its primary takes no work')
+    @then('the primary gets no requests')
     def check_refused(context: Any) -> None:
-        """Check that work waits for another primary, or is refused."""
+        """Check that the primary counts as lost."""
         assert PrimaryWait(context.clock).is_lost(context.group)
 
 
 class PrimaryWaitSteps:
-    """Steps on waiting for a change of primary."""
+    """Steps on requests that wait for a new primary."""
 
     @staticmethod
-    @given('a write while no primary is known')
-    def make_write(context: Any) -> None:
-        """Make a write for a group without a primary."""
+    @given('a write to a group without a known primary')
+    def make_group_without_primary(context: Any) -> None:
+        """Create a group without a primary."""
         context.clock = BoottimeClock()
         context.group = Group('ledger')
         context.wait = PrimaryWait(context.clock)
 
     @staticmethod
-    @when('this host has learned that no change is coming')
-    def pause(context: Any) -> None:
-        """Note that no change is coming for a long while."""
+    @when('this host has learned that no failover will start')
+    def rule_out_failover(context: Any) -> None:
+        """Record that no failover will start within the next 1000 s."""
         until = context.clock.now() + 1000.0
         context.group.state.no_failover_until = until
 
     @staticmethod
     @then('the write is refused without a wait')
     def check_refused(context: Any) -> None:
-        """Check that nothing waits; a wait would hang."""
-        assert not context.wait.wait(PrimaryWaitSteps.make_work(context))
+        """Check that the write does not wait; a wait would take minutes."""
+        assert not context.wait.wait(PrimaryWaitSteps.make_request(context))
 
     @staticmethod
-    @when('another host claims the change')
-    def claim(context: Any) -> None:
-        """Note that a change is on its way."""
+    @when('another host claims the failover')
+    def announce_failover(context: Any) -> None:
+        """Record that a failover is due in 0.5 s."""
         context.group.state.no_failover_until = float('-inf')
         context.group.state.failover_due_at = context.clock.now() + 0.5
 
     @staticmethod
-    @when('the new primary proves itself')
-    def prove(context: Any) -> None:
-        """Wake the work once it waits."""
+    @when('the new primary proves its leadership')
+    def prove_leadership(context: Any) -> None:
+        """Wake the waiting write from another greenlet."""
         gevent.spawn(context.group.notify_primary_changed)
 
     @staticmethod
-    @then('the next write waits for it')
+    @then('the next write waits for the new primary')
     def check_waits(context: Any) -> None:
-        """Check that the wait ends with a primary."""
-        assert context.wait.wait(PrimaryWaitSteps.make_work(context))
+        """Check that the wait ends when the primary is known."""
+        assert context.wait.wait(PrimaryWaitSteps.make_request(context))
 
     @staticmethod
-    def make_work(context: Any) -> StatementRequest:
-        """Return a write with much time left."""
+    def make_request(context: Any) -> StatementRequest:
+        """Return a write with a long time limit."""
         now = context.clock.now()
         route = Route('db', 'ledger', ReadFreshness.PRIMARY, 600.0, 0.2, 1)
         return StatementRequest(
--- a/features/steps/proxy_overload_steps.py
+++ b/features/steps/proxy_overload_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a member that is full."""
+"""Steps on an overloaded member."""
 
 from __future__ import annotations
 
@@ -43,67 +43,72 @@
 from trefoilpulley_node.proxy.statement_runner import StatementRunner
 from trefoilpulley_node.proxy.work import StatementRequest
 
-FAR_S = 3600.0
-"""Time that no scenario takes, in seconds."""
+LONG_TIMEOUT_S = 3600.0
+"""Time limit that no scenario reaches, in seconds."""
 
-STATEMENT_S = 0.025
-"""Time that a statement is taken to need before one was seen."""
+STATEMENT_LATENCY_S = 0.025
+"""Latency that the steps assume for a statement, in seconds."""
 
 
-class FlightSteps:
-    """Steps on the limit alone."""
+class ConcurrencyLimitSteps:
+    """Steps on the concurrency limit alone."""
 
     @staticmethod
-    @given('a limit of statements at a member of {most:d} connections')
-    def make(context: Any, most: int) -> None:
-        """Make the limit of one host."""
+    @given(
+        'a limit of the statements in flight at a member of '
+        '{max_connections:d} connections'
+    )
+    def make(context: Any, max_connections: int) -> None:
+        """Create the limit of one host."""
         context.in_flight_limit = ConcurrencyLimit()
-        context.in_flight_limit.update(most)
+        context.in_flight_limit.update(max_connections)
         context.now = 100.0
 
     @staticmethod
     @when('the member serves {count:d} statements')
     def serve(context: Any, count: int) -> None:
-        """Let the member take statements."""
+        """Record statements that the member served at the assumed latency."""
         for _ in range(count):
-            context.in_flight_limit.on_served(STATEMENT_S, context.now)
+            context.in_flight_limit.on_served(STATEMENT_LATENCY_S, context.now)
 
     @staticmethod
     @when(
-        'the member serves {count:d} statements in {took:d} ms each, '
-        '{apart:d} ms apart'
+        'the member serves {count:d} statements in {latency_ms:d} ms each, '
+        '{interval_ms:d} ms apart'
     )
-    def serve_slowly(context: Any, count: int, took: int, apart: int) -> None:
-        """Let statements wait at the member."""
+    def serve_slowly(
+        context: Any, count: int, latency_ms: int, interval_ms: int
+    ) -> None:
+        """Record statements whose latency shows a queue at the member."""
         for _ in range(count):
-            context.in_flight_limit.on_served(took / 1000, context.now)
-            context.now += apart / 1000
+            context.in_flight_limit.on_served(latency_ms / 1000, context.now)
+            context.now += interval_ms / 1000
 
     @staticmethod
     @when('the member refuses {count:d} statements at the same moment')
     def refuse(context: Any, count: int) -> None:
-        """Let the member refuse all that are at it."""
+        """Record that the member refused each of the statements in flight."""
         for _ in range(count):
             context.in_flight_limit.on_busy(count, context.now)
 
     @staticmethod
-    @when('the member refuses {count:d} statements {later:d} ms later')
-    def refuse_later(context: Any, count: int, later: int) -> None:
-        """Let some time pass before the next refusals."""
-        context.now += later / 1000
-        FlightSteps.refuse(context, count)
+    @when('the member refuses {count:d} statements {later_ms:d} ms later')
+    def refuse_later(context: Any, count: int, later_ms: int) -> None:
+        """Record refusals after some time."""
+        context.now += later_ms / 1000
+        ConcurrencyLimitSteps.refuse(context, count)
 
     @staticmethod
-    @then('{count:d} statements may be at it at once')
+    @then('the limit is {count:d} statements in flight')
     def check(context: Any, count: int) -> None:
-        """Check the limit."""
+        """Check the number of statements that may be in flight."""
         assert context.in_flight_limit.value == count, (
             context.in_flight_limit.value
         )
 
 
-class _Upstream(UpstreamSession):
-    """Connection whose statements end when they are told to."""
+class _GatedUpstream(UpstreamSession):
+    """Connection whose statements finish when the test permits it."""
 
     def __init__(self, context: Any) -> None:
         self._context = context
@@ -122,30 +127,30 @@
         pass
 
 
-class _Dialer(UpstreamDialer):
-    """Opens as many connections as asked for."""
+class _GatedDialer(UpstreamDialer):
+    """Opens any number of connections."""
 
     def __init__(self, context: Any) -> None:
         self._context = context
 
     def dial(self, member: MemberRecord, timeout_s: float) -> Any:
-        return Success(_Upstream(self._context))
+        return Success(_GatedUpstream(self._context))
 
 
-class FullMemberSteps:
-    """Steps on work that waits for a member."""
+class QueuedRequestSteps:
+    """Steps on requests that wait for an overloaded member."""
 
     @staticmethod
     @given('a member that serves one statement at a time')
     def make(context: Any) -> None:
-        """Make a pool of some connections whose member was full."""
+        """Create a pool whose in-flight limit was decreased to one."""
         clock = context.clock = BoottimeClock()
         record = MemberRecord(
             'm', 'ledger', Endpoint('127.0.0.1', 1), 'a', True, False
         )
         context.served = []
         context.gates = {}
-        pool = MemberPool(MemberHealth(record), _Dialer(context), clock)
+        pool = MemberPool(MemberHealth(record), _GatedDialer(context), clock)
         pool.share.update(16, 2)
         pool.in_flight_limit.update(pool.share.max_open)
         pool.in_flight_limit.on_busy(1, clock.now())
@@ -154,10 +159,10 @@
 
     @staticmethod
     @when(
-        'work "{one}" of priority {first:d} is at it and "{two}" of priority '
-        '{second:d} and "{three}" of priority {third:d} wait'
+        'request "{one}" of priority {first:d} is in flight and "{two}" of '
+        'priority {second:d} and "{three}" of priority {third:d} are queued'
     )
-    def press(
+    def queue_requests(
         context: Any,
         one: str,
         first: int,
@@ -166,84 +171,89 @@
         three: str,
         third: int,
     ) -> None:
-        """Send work faster than the member serves it."""
+        """Send one request to the member, then queue two others."""
         pool = context.access.local_pool
-        FullMemberSteps._send(context, one, first)
+        QueuedRequestSteps._send(context, one, first)
         until(lambda: context.served == [one])
         for count, (name, priority) in enumerate(
             ((two, second), (three, third))
         ):
-            FullMemberSteps._send(context, name, priority)
+            QueuedRequestSteps._send(context, name, priority)
             until(lambda c=count: pool.waiting == c + 1)
 
     @staticmethod
-    @when('the statements end one after the other')
+    @when('the statements finish one after the other')
     def end(context: Any) -> None:
-        """Let each statement end once it is at the member."""
+        """Let each statement finish once it is in flight."""
         for count in range(len(context.gates)):
             until(lambda c=count: len(context.served) == c + 1)
             context.gates[context.served[-1]].set()
 
     @staticmethod
-    @then('it has served "{names}"')
+    @then('the member has served "{names}"')
     def check_order(context: Any, names: str) -> None:
-        """Check the order."""
+        """Check the order in which the member got the statements."""
         assert context.served == names.split(), context.served
 
     @staticmethod
     @then(
-        'work of priority {priority:d} that must have its turn in {left:d} ms '
-        'is refused at once'
+        'a request of priority {priority:d} with a maximum wait of '
+        '{max_wait_ms:d} ms is refused at once'
     )
-    def check_refused(context: Any, priority: int, left: int) -> None:
-        """Check that it does not wait; a wait would find no turn."""
+    def check_refused(context: Any, priority: int, max_wait_ms: int) -> None:
+        """Check the refusal; a request that waits would never be served."""
         now = context.clock.now()
-        context.access.health.latency_s = STATEMENT_S
-        done = context.access.acquire(
-            priority, now + FAR_S, SessionState(), now + left / 1000
+        context.access.health.latency_s = STATEMENT_LATENCY_S
+        result = context.access.acquire(
+            priority,
+            now + LONG_TIMEOUT_S,
+            SessionState(),
+            now + max_wait_ms / 1000,
         )
-        assert isinstance(done.failure(), Overloaded), done
-        assert 'too long' in done.failure().detail, done
+        assert isinstance(result.failure(), Overloaded), result
+        assert 'too long' in result.failure().detail, result
 
     @staticmethod
     @then(
-        'work of priority {priority:d} that must have its turn in {left:d} ms '
-        'waits'
+        'a request of priority {priority:d} with a maximum wait of '
+        '{max_wait_ms:d} ms is queued'
     )
-    def check_waits(context: Any, priority: int, left: int) -> None:
-        """Check that it joins the line."""
+    def check_waits(context: Any, priority: int, max_wait_ms: int) -> None:
+        """Check that the request joins the queue."""
         pool = context.access.local_pool
         before = pool.waiting
         now = context.clock.now()
         gevent.spawn(
             context.access.acquire,
             priority,
-            now + FAR_S,
+            now + LONG_TIMEOUT_S,
             SessionState(),
-            now + left / 1000,
+            now + max_wait_ms / 1000,
         )
         until(lambda: pool.waiting == before + 1)
 
     @staticmethod
     @then('a statement of an open transaction is sent without a wait')
     def check_transaction(context: Any) -> None:
-        """Send a statement on a connection that was lent before."""
+        """Send a statement on a connection that is already acquired."""
         conn = context.access.local_pool._dial(
-            context.clock.now() + FAR_S
+            context.clock.now() + LONG_TIMEOUT_S
         ).unwrap()
-        FullMemberSteps._exchange(context, conn, 't')
+        QueuedRequestSteps._exchange(context, conn, 't')
         until(lambda: 't' in context.served)
 
     @staticmethod
     def _send(context: Any, name: str, priority: int) -> None:
         context.gates[name] = Event()
-        gevent.spawn(FullMemberSteps._run, context, name, priority)
+        gevent.spawn(
+            QueuedRequestSteps._run_statement, context, name, priority
+        )
 
     @staticmethod
-    def _run(context: Any, name: str, priority: int) -> None:
-        deadline = context.clock.now() + FAR_S
-        lent = context.access.acquire(priority, deadline, SessionState())
-        conn = lent.unwrap()
+    def _run_statement(context: Any, name: str, priority: int) -> None:
+        deadline = context.clock.now() + LONG_TIMEOUT_S
+        acquired = context.access.acquire(priority, deadline, SessionState())
+        conn = acquired.unwrap()
         context.exchanger.exchange(
             context.access, conn, (RunStatement(name, 'READ a'),), deadline
         )
@@ -257,23 +267,23 @@
             context.access,
             conn,
             (RunStatement(name, 'READ a'),),
-            context.clock.now() + FAR_S,
+            context.clock.now() + LONG_TIMEOUT_S,
         )
 
 
-class EndedWorkSteps:
-    """Steps on work that is ended while it waits."""
+class CancelledRequestSteps:
+    """Steps on a request that is cancelled while it waits."""
 
     @staticmethod
-    @given('a member with one connection for which two pieces of work wait')
+    @given('a member with one connection for which two requests wait')
     def make(context: Any) -> None:
-        """Lend the only connection, and let others wait for it."""
-        FullMemberSteps.make(context)
+        """Acquire the only connection and queue two requests for it."""
+        QueuedRequestSteps.make(context)
         pool = context.access.local_pool
         pool.share.update(1, 1)
-        pool.share.on_refused(context.clock.now() + FAR_S)
-        deadline = context.clock.now() + FAR_S
-        context.lent = pool.acquire(1, deadline, SessionState()).unwrap()
+        pool.share.on_refused(context.clock.now() + LONG_TIMEOUT_S)
+        deadline = context.clock.now() + LONG_TIMEOUT_S
+        context.acquired = pool.acquire(1, deadline, SessionState()).unwrap()
         context.waiting = [
             gevent.spawn(pool.acquire, 1, deadline, SessionState())
             for _ in range(2)
@@ -281,24 +291,27 @@
         until(lambda: pool.waiting == 2)
 
     @staticmethod
-    @when('the connection comes free and the first of them is ended')
+    @when(
+        'the connection is released and the first of the requests is cancelled'
+    )
     def end(context: Any) -> None:
-        """End work that has been handed the connection and has not run."""
-        # The end takes effect once this greenlet rests, before the turn.
+        """Cancel a request to which the connection has been assigned."""
+        # The kill takes effect when this greenlet yields, which is before
+        # the waiting greenlet resumes with the assigned connection.
         context.waiting[0].kill(block=False)
-        context.access.local_pool.release(context.lent)
+        context.access.local_pool.release(context.acquired)
 
     @staticmethod
-    @then('the second one has the connection')
+    @then('the second request gets the connection')
     def check(context: Any) -> None:
-        """Check that the connection was not lost."""
-        with gevent.Timeout(HANG_S, AssertionError('hung')):
-            lent = context.waiting[1].get()
-        assert lent.unwrap() is context.lent
+        """Check that the cancelled request did not keep the connection."""
+        with gevent.Timeout(HANG_S, AssertionError('timed out')):
+            acquired = context.waiting[1].get()
+        assert acquired.unwrap() is context.acquired
 
 
 class _RefusingUpstream(UpstreamSession):
-    """Connection of a member that refuses everything."""
+    """Connection whose member refuses every request."""
 
     def __init__(self, failure: Failure) -> None:
         self._failure = failure
@@ -315,7 +328,7 @@
 
 
 class _RefusingDialer(UpstreamDialer):
-    """Opens connections to a full primary and a replica that lags."""
+    """Connects to an overloaded primary and a replica that is behind."""
 
     def dial(self, member: MemberRecord, timeout_s: float) -> Any:
         if member.member == 'p':
@@ -324,19 +337,26 @@
 
 
 class RefusingGroupSteps:
-    """Steps on a group that can serve nothing."""
+    """Steps on a group whose members refuse every request."""
 
     @staticmethod
-    @given('a group whose primary is full and whose replica is far behind')
+    @given(
+        'a group whose primary is overloaded and whose replica is far behind'
+    )
     def make(context: Any) -> None:
-        """Make the group; its primary answers and is not lost."""
+        """Create a group whose primary answers and therefore is not lost."""
         clock = context.clock = BoottimeClock()
         group = context.group = Group('ledger')
         group.state.update(
             MemberRecord(
-                name, 'ledger', Endpoint('127.0.0.1', 1), 'a', lead, False
+                name,
+                'ledger',
+                Endpoint('127.0.0.1', 1),
+                'a',
+                is_primary,
+                False,
             )
-            for name, lead in (('p', True), ('r', False))
+            for name, is_primary in (('p', True), ('r', False))
         )
         for name, health in group.state.members.items():
             pool = MemberPool(health, _RefusingDialer(), clock)
@@ -347,25 +367,27 @@
     @staticmethod
     @then('a read is refused at once as not run')
     def check_read(context: Any) -> None:
-        """Check a read that a replica may serve."""
+        """Check the refusal of a read that a replica may serve."""
         RefusingGroupSteps._check_read(context, ReadFreshness.BOUNDED)
 
     @staticmethod
     @then('a read of the present is refused at once as not run')
     def check_present(context: Any) -> None:
-        """Check a read that only the primary may serve."""
+        """Check the refusal of a read that only the primary may serve."""
         RefusingGroupSteps._check_read(context, ReadFreshness.PRIMARY)
 
     @staticmethod
     @then('a transaction is refused at once as not run')
     def check_transaction(context: Any) -> None:
-        """Check the first statement of a transaction."""
+        """Check the refusal of the first statement of a transaction."""
         clock = context.clock
         transaction = CallerTransaction(
             False, 'a', context.exchanger, PrimaryWait(clock), clock
         )
-        work = RefusingGroupSteps._work(context, ReadFreshness.BOUNDED)
-        RefusingGroupSteps._check(lambda: transaction.run(work))
+        request = RefusingGroupSteps._make_request(
+            context, ReadFreshness.BOUNDED
+        )
+        RefusingGroupSteps._check_not_run(lambda: transaction.run(request))
 
     @staticmethod
     def _check_read(context: Any, freshness: ReadFreshness) -> None:
@@ -373,20 +395,22 @@
         runner = StatementRunner(
             'a', context.exchanger, PrimaryWait(clock), clock, ProxyMetrics()
         )
-        work = RefusingGroupSteps._work(context, freshness)
-        RefusingGroupSteps._check(lambda: runner.read(work))
+        request = RefusingGroupSteps._make_request(context, freshness)
+        RefusingGroupSteps._check_not_run(lambda: runner.read(request))
 
     @staticmethod
-    def _check(run: Callable[[], Any]) -> None:
-        """Check the refusal; a wait for a primary would hang."""
-        with gevent.Timeout(HANG_S, AssertionError('hung')):
-            done = run()
-        assert done.failure().run_state is RunState.NOT_RUN, done
+    def _check_not_run(run: Callable[[], Any]) -> None:
+        """Check the refusal; a wait for a primary would time out."""
+        with gevent.Timeout(HANG_S, AssertionError('timed out')):
+            result = run()
+        assert result.failure().run_state is RunState.NOT_RUN, result
 
     @staticmethod
-    def _work(context: Any, freshness: ReadFreshness) -> StatementRequest:
+    def _make_request(
+        context: Any, freshness: ReadFreshness
+    ) -> StatementRequest:
         now = context.clock.now()
-        route = Route('db', 'ledger', freshness, FAR_S, 0.2, 1, 8.0)
+        route = Route('db', 'ledger', freshness, LONG_TIMEOUT_S, 0.2, 1, 8.0)
         return StatementRequest(
             Run('q', 'READ a', False),
             None,
--- a/features/steps/proxy_reads_steps.py
+++ b/features/steps/proxy_reads_steps.py
@@ -1,4 +1,4 @@
-"""Steps on floors, placement, lines and shares."""
+"""Steps on read floors, placement, queues, shares and isolation."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from trefoilpulley_core.proxy.waiting_line import ConnectionQueue
 
 NOW = 100.0
-"""Virtual time of the placements, in seconds."""
+"""Virtual time at which most scenarios take place, in seconds."""
 
 
 def _position(text: str) -> Position:
@@ -37,18 +37,18 @@
     """Steps on the floors of reads."""
 
     @staticmethod
-    @given('proofs {proofs}')
-    def record(context: Any, proofs: str) -> None:
-        """Record proofs in the order in which they came."""
+    @given('evidence {entries}')
+    def record(context: Any, entries: str) -> None:
+        """Record evidence in the given order."""
         context.log = EvidenceLog()
         context.session = SessionFloor()
-        for at, position in re.findall(r'at ([\d.]+) s of ([\d.]+)', proofs):
+        for at, position in re.findall(r'at ([\d.]+) s of ([\d.]+)', entries):
             context.log.record(float(at), _position(position))
 
     @staticmethod
     @given('the session committed {position} at {at:f} s')
     def commit(context: Any, position: str, at: float) -> None:
-        """Note the session's newest commit."""
+        """Set the session's newest commit."""
         context.session = SessionFloor(at, _position(position))
 
     @staticmethod
@@ -59,27 +59,29 @@
     def check_floor(
         context: Any, kind: str, age: float, now: float, floor: str
     ) -> None:
-        """Check what a replica must hold."""
+        """Check the position that a replica must hold."""
         found = context.log.read_floor(_route(kind, age), context.session, now)
         assert found is not None
         assert found.position == _position(floor), found
 
     @staticmethod
     @then('a "{kind}" read of at most {age:f} s at {now:f} s has no floor')
-    def check_none(context: Any, kind: str, age: float, now: float) -> None:
-        """Check that only a primary may serve."""
+    def check_no_floor(
+        context: Any, kind: str, age: float, now: float
+    ) -> None:
+        """Check that only the primary may serve the read."""
         found = context.log.read_floor(_route(kind, age), context.session, now)
         assert found is None, found
 
     @staticmethod
     @then('a "{kind}" read at {now:f} s has no floor')
-    def check_present(context: Any, kind: str, now: float) -> None:
-        """Check that only a primary may serve."""
-        EvidenceSteps.check_none(context, kind, 0.0, now)
+    def check_present_read(context: Any, kind: str, now: float) -> None:
+        """Check that only the primary may serve the read."""
+        EvidenceSteps.check_no_floor(context, kind, 0.0, now)
 
 
 class PlacementSteps:
-    """Steps on the choice of a member."""
+    """Steps on the placement of a read."""
 
     @staticmethod
     @given(
@@ -89,65 +91,67 @@
     def make_group(
         context: Any, primary: str, replicas: str, zone: str
     ) -> None:
-        """Make a group whose members are all in one zone."""
+        """Create a group whose members are all in one zone."""
         context.names = (primary, *replicas.split())
         context.zone = zone
         context.state = GroupState('ledger')
-        PlacementSteps._list(context, '')
+        PlacementSteps._update_members(context, '')
         context.state.primary = primary
 
     @staticmethod
-    @given('"{one}" takes {first:d} ms and "{other}" takes {second:d} ms')
-    def set_times(
+    @given(
+        '"{one}" has a latency of {first:d} ms and "{other}" of {second:d} ms'
+    )
+    def set_latencies(
         context: Any, one: str, first: int, other: str, second: int
     ) -> None:
-        """Set the mean times of two members."""
-        for name, took_ms in ((one, first), (other, second)):
+        """Set the mean latencies of two members."""
+        for name, latency_ms in ((one, first), (other, second)):
             health = context.state.members[name]
-            health.latency_s = took_ms / 1000
+            health.latency_s = latency_ms / 1000
             health.last_served_at = NOW
 
     @staticmethod
     @when('{count:d} statements are in flight at "{name}"')
-    def send(context: Any, count: int, name: str) -> None:
-        """Put statements in flight."""
+    def set_in_flight(context: Any, count: int, name: str) -> None:
+        """Set the number of statements in flight at a member."""
         context.state.members[name].in_flight = count
 
     @staticmethod
-    @when('"{one}" and "{other}" stop to answer')
-    def fail_two(context: Any, one: str, other: str) -> None:
-        """Let two members fail."""
+    @when('"{one}" and "{other}" become unreachable')
+    def lose_two(context: Any, one: str, other: str) -> None:
+        """Record that two members are unreachable."""
         context.state.members[one].on_unreachable(NOW)
         context.state.members[other].on_unreachable(NOW)
 
     @staticmethod
-    @when('"{name}" stops to answer too')
-    def fail(context: Any, name: str) -> None:
-        """Let a member fail."""
+    @when('"{name}" becomes unreachable too')
+    def lose(context: Any, name: str) -> None:
+        """Record that a member is unreachable."""
         context.state.members[name].on_unreachable(NOW)
 
     @staticmethod
     @when('"{name}" is leaving')
     def leave(context: Any, name: str) -> None:
-        """Let a member announce its end."""
-        PlacementSteps._list(context, name)
+        """Record that a member announced its planned stop."""
+        PlacementSteps._update_members(context, name)
 
     @staticmethod
     @when('"{name}" was behind a floor of {age:d} ms')
-    def lag(context: Any, name: str, age: int) -> None:
-        """Let a member refuse a floor."""
+    def refuse_floor(context: Any, name: str, age: int) -> None:
+        """Record that a member refused a read as it lacks the floor."""
         context.state.members[name].on_floor_missing(age / 1000, NOW)
 
     @staticmethod
     @when('"{name}" refuses a read')
-    def refuse(context: Any, name: str) -> None:
-        """Let a member refuse the read that is placed next."""
+    def refuse_read(context: Any, name: str) -> None:
+        """Exclude a member that refused the read from its next placement."""
         context.refused = frozenset({name})
 
     @staticmethod
     @when('{passed:d} s have passed')
-    def wait(context: Any, passed: int) -> None:
-        """Look at the group later; the speeds are seen anew."""
+    def advance(context: Any, passed: int) -> None:
+        """Advance the time, with latencies that are measured anew."""
         context.now = NOW + passed
         for health in context.state.members.values():
             health.last_served_at = context.now
@@ -155,15 +159,15 @@
     @staticmethod
     @then('a bounded read goes to "{name}"')
     def check_place(context: Any, name: str) -> None:
-        """Check the chosen member."""
-        found = PlacementSteps._place(context)
-        assert found is not None
-        assert found.member == name, found
+        """Check the member that is chosen for the read."""
+        placement = PlacementSteps._place(context)
+        assert placement is not None
+        assert placement.member == name, placement
 
     @staticmethod
-    @then('a bounded read goes nowhere')
-    def check_nowhere(context: Any) -> None:
-        """Check that the read is turned away."""
+    @then('a bounded read goes to no member')
+    def check_no_member(context: Any) -> None:
+        """Check that no member is chosen for the read."""
         assert PlacementSteps._place(context) is None
 
     @staticmethod
@@ -174,7 +178,7 @@
         return place_read(context.state, floor, context.zone, refused, now)
 
     @staticmethod
-    def _list(context: Any, leaving: str) -> None:
+    def _update_members(context: Any, leaving: str) -> None:
         context.state.update(
             MemberRecord(
                 name,
@@ -188,116 +192,123 @@
         )
 
 
-class LineSteps:
-    """Steps on waiting for a connection."""
+class QueueSteps:
+    """Steps on the queue for connections."""
 
     @staticmethod
-    @given('a line for {connections:d} connections held {hold:d} ms each')
-    def make_line(context: Any, connections: int, hold: int) -> None:
-        """Make an empty line."""
-        context.line = ConnectionQueue()
-        context.line.mean_hold_s = hold / 1000
+    @given(
+        'a queue for {connections:d} connections with a hold time of '
+        '{hold_ms:d} ms'
+    )
+    def make_queue(context: Any, connections: int, hold_ms: int) -> None:
+        """Create an empty queue."""
+        context.queue = ConnectionQueue()
+        context.queue.mean_hold_s = hold_ms / 1000
         context.connections = connections
 
     @staticmethod
     @when(
         'work "{a}" of priority {pa:d}, "{b}" of priority {pb:d} and "{c}" '
-        'of priority {pc:d} waits'
+        'of priority {pc:d} is queued'
     )
-    def wait(
+    def enqueue_work(
         context: Any, a: str, pa: int, b: str, pb: int, c: str, pc: int
     ) -> None:
-        """Let three pieces of work wait."""
+        """Add three pieces of work to the queue."""
         for name, priority in ((a, pa), (b, pb), (c, pc)):
-            assert LineSteps._join(context, priority, 5.0, name)
+            assert QueueSteps._enqueue(context, priority, 5.0, name)
 
     @staticmethod
-    @then('the line serves "{names}"')
+    @then('the queue serves "{names}"')
     def check_order(context: Any, names: str) -> None:
-        """Check the order of service."""
+        """Check the order in which the queue hands out its work."""
         served = []
-        while (work := context.line.pop(NOW)) is not None:
+        while (work := context.queue.pop(NOW)) is not None:
             served.append(work.handle)
         assert served == names.split(), served
 
     @staticmethod
     @then(
-        'work of priority {priority:d} with {left:d} ms left is refused '
+        'work of priority {priority:d} with {left_ms:d} ms left is refused '
         'behind {count:d} others'
     )
     def check_refused(
-        context: Any, priority: int, left: int, count: int
+        context: Any, priority: int, left_ms: int, count: int
     ) -> None:
-        """Check that late work is turned away at once."""
+        """Check that work that would be served too late is not queued."""
         for number in range(count):
-            assert LineSteps._join(context, priority, 5.0, number)
-        assert not LineSteps._join(context, priority, left / 1000, 'late')
+            assert QueueSteps._enqueue(context, priority, 5.0, number)
+        assert not QueueSteps._enqueue(
+            context, priority, left_ms / 1000, 'late'
+        )
 
     @staticmethod
-    @then('work of priority {priority:d} with {left:d} ms left is taken')
-    def check_taken(context: Any, priority: int, left: int) -> None:
-        """Check that important work goes before the others."""
-        assert LineSteps._join(context, priority, left / 1000, 'next')
+    @then('work of priority {priority:d} with {left_ms:d} ms left is queued')
+    def check_queued(context: Any, priority: int, left_ms: int) -> None:
+        """Check that work of a higher priority is queued before the others."""
+        assert QueueSteps._enqueue(context, priority, left_ms / 1000, 'next')
 
     @staticmethod
-    def _join(context: Any, priority: int, left_s: float, name: Any) -> bool:
-        work = context.line.enqueue(
+    def _enqueue(
+        context: Any, priority: int, left_s: float, name: Any
+    ) -> bool:
+        work = context.queue.enqueue(
             priority,
             NOW + left_s,
             NOW,
             context.connections,
-            context.line.mean_hold_s,
+            context.queue.mean_hold_s,
             name,
         )
         return work is not None
 
 
 class ShareSteps:
-    """Steps on the shares of a member's connections."""
+    """Steps on the share of a host in a member's connections."""
 
     @staticmethod
     @given('a share of {limit:d} connections among {hosts:d} hosts')
     def make_share(context: Any, limit: int, hosts: int) -> None:
-        """Make the share of one host."""
+        """Create the share of one host."""
         context.share = ConnectionShare()
         context.share.update(limit, hosts)
 
     @staticmethod
     @when('the member refuses a connection')
-    def refuse(context: Any) -> None:
-        """Let the member be full."""
+    def refuse_connection(context: Any) -> None:
+        """Record that the member refused a connection."""
         context.share.on_refused(NOW)
 
     @staticmethod
-    @then('{most:d} connections may be open and {kept:d} is kept')
-    def check_share(context: Any, most: int, kept: int) -> None:
-        """Check both limits."""
-        assert context.share.limit(NOW) == most, context.share.limit(NOW)
-        assert context.share.min_idle == kept, context.share.min_idle
+    @then('{max_open:d} connections may be open and {idle:d} stays idle')
+    def check_share(context: Any, max_open: int, idle: int) -> None:
+        """Check the maximum of open connections and the kept idle ones."""
+        assert context.share.limit(NOW) == max_open, context.share.limit(NOW)
+        assert context.share.min_idle == idle, context.share.min_idle
 
 
 class IsolationSteps:
-    """Steps on a host that is cut off."""
+    """Steps on the detection of an isolated host."""
 
     @staticmethod
     @given(
-        'a host that reaches {hosts:d} of {all_hosts:d} hosts and misses '
+        'a host that reaches {hosts:d} of {all_hosts:d} hosts and has lost '
         '{lost:d} of {groups:d} primaries'
     )
-    def look(
+    def observe(
         context: Any, hosts: int, all_hosts: int, lost: int, groups: int
     ) -> None:
-        """Note what the host reaches."""
+        """Record the hosts and primaries that the host reaches."""
         context.isolation = IsolationDetector()
-        seen = Reachability(groups, lost, all_hosts, hosts)
-        context.isolation.update(seen, NOW)
+        reachability = Reachability(groups, lost, all_hosts, hosts)
+        context.isolation.update(reachability, NOW)
 
     @staticmethod
-    @then('after 1 s it {verdict} as cut off')
+    @then('after 1 s the host {verdict} as isolated')
     def check_isolated(context: Any, verdict: str) -> None:
-        """Check whether the host leaves the balancer."""
-        is_cut_off = context.isolation.duration_s(NOW + 1.0) > 0
-        assert is_cut_off is (verdict == 'counts')
+        """Check whether the host would be removed from the balancer."""
+        is_isolated = context.isolation.duration_s(NOW + 1.0) > 0
+        assert is_isolated is (verdict == 'counts')
 
 
 def _route(kind: str, age_s: float) -> Route:
