--- a/features/proxy_relay.feature
+++ b/features/proxy_relay.feature
@@ -1,11 +1,12 @@
-Feature: Statements through the connections of other hosts
+Feature: Requests that are relayed through other hosts
 
-  Load pattern: more hosts than a member takes connections. A few hosts of
-  its zone hold them, and the others send their statements there.
+  Load pattern: the deployment has more hosts than a member accepts
+  connections. A few hosts of the member's zone hold the connections, and the
+  other hosts relay their requests through these holders.
 
-  Scenario Outline: a crowd of hosts leaves the connections to a few
+  Scenario Outline: in a large deployment a few hosts hold the connections
     Given <hosts> hosts in 3 zones and members of <connections> connections
-    Then <holders> hosts of its zone hold the connections of a member
+    Then <holders> hosts of the member's zone hold the connections to it
 
     Examples:
       | hosts | connections | holders |
@@ -15,61 +16,61 @@
       | 30    | 3           | 1       |
       | 10    | 12          | 2       |
 
-  Scenario: each host holds its own where there are enough
+  Scenario: each host has its own connections if there are enough
     Given 8 hosts in 3 zones and members of 16 connections
-    Then every host holds connections of its own
+    Then every host has its own connections to a member
 
-  Scenario: other zones hold them where none is live in the member's
+  Scenario: hosts of other zones are holders if the member's zone has no host
     Given 75 hosts in 3 zones and members of 44 connections
-    When the hosts of the member's zone are gone
-    Then 8 hosts of other zones hold the connections of a member
+    When the hosts of the member's zone are removed
+    Then 8 hosts of other zones hold the connections to a member
 
-  Scenario: the hosts spread over the holders, also once one is gone
+  Scenario: the hosts are spread over the holders, also after a holder is lost
     Given 75 hosts in 3 zones and members of 44 connections
     Then each holder is the first choice of 2 to 20 hosts
-    And those of a holder that is gone choose 3 others or more
+    And the hosts of a lost holder choose at least 3 other holders
 
-  Scenario: a member that is replaced is held by the same hosts
+  Scenario: the holders stay the same when a member is replaced
     Given 75 hosts in 3 zones and members of 44 connections
-    Then the holders do not depend on the member
+    Then the holders depend on the group but not on the member
 
-  Scenario: a burst does not make every host dial the primary
+  Scenario: only the voters connect to a primary to detect its loss
     Given 75 hosts in 3 zones and members of 44 connections
     Then 12 hosts vote on a primary, 4 of each zone
-    And they hold connections to the group's members
-    And a host that does not vote acts after all of them
+    And the voters hold connections to the group's members
+    And a host that does not vote starts a failover after all voters
 
-  Scenario: a read that was answered elsewhere is never sent
-    Given a holder whose connections are all taken
-    When another host sends a read and gives it up
-    And a connection comes free
-    Then the member was sent nothing
+  Scenario: a relayed read that another member has answered is not sent
+    Given a holder without a free connection
+    When another host relays a read and ends its lease
+    And a connection is released
+    Then the member was sent no relayed request
 
-  Scenario: a paused holder reads a request and its end together
+  Scenario: a relayed read that is served after the end of its lease is not sent
     Given a holder with a free connection
-    When another host's read arrives behind its end
-    Then the member was sent nothing
+    When a relayed read is served after the end of its lease
+    Then the member was sent no relayed request
 
-  Scenario: a transaction whose host is gone is rolled back
+  Scenario: the transaction of a host that is lost is rolled back
     Given a holder with a free connection
-    When another host opens a transaction and its connection breaks
+    When another host opens a transaction and then loses its connection to the holder
     Then the connection to the member is closed
 
-  Scenario: a statement of a transaction that has ended runs nowhere
+  Scenario: a statement of a transaction that has ended is not run
     Given a holder with a free connection
-    When another host opens a transaction and its connection breaks
-    And the host sends a write of that transaction again
-    Then it is told that the transaction is lost
+    When another host opens a transaction and then loses its connection to the holder
+    And the host relays a write of that transaction
+    Then the host is told that the transaction is lost
     And the member was sent no write
 
-  Scenario: all who wait for a host that is dead wait once
+  Scenario: simultaneous requests to a host that is down share one dial
     Given a host that does not answer
-    When 20 requests for it come at the same time
-    Then it was dialled once and all are told that nothing was sent
+    When 20 requests to the host are made at the same time
+    Then the host was dialled once and each request is reported as not run
 
-  Scenario: a host that stops waits for the transactions of other hosts
-    Given a host without sessions on which another host has a transaction
-    When the host is told to stop and the transaction stays open
-    Then it waits until its grace is over
-    When the host is told to stop and the transaction has ended
-    Then it ends before its grace is over
+  Scenario: a draining host waits for the transactions of other hosts
+    Given a host without sessions that relays a transaction of another host
+    When the host is drained and the transaction stays open
+    Then the drain lasts until the end of its grace period
+    When the host is drained and the transaction has ended
+    Then the drain completes before the end of its grace period
--- a/features/proxy_relay_path.feature
+++ b/features/proxy_relay_path.feature
@@ -1,4 +1,4 @@
-Feature: Sessions on the connections of other hosts
+Feature: Sessions on relayed connections
 
   Background:
     Given an emulated deployment of 4 hosts with 3 connections a member
@@ -9,36 +9,36 @@
     And a caller of "filings" reads "a" as "one" through host 1
     And a caller of "filings" reads "a" as "one" through host 2
     And a caller of "filings" reads "a" as "one" through host 3
-    And one host alone has connected to each member
+    And only one host has connected to each member
 
-  Scenario: a transaction is whole, and mixes with none
+  Scenario: a relayed transaction is atomic and isolated
     Given a caller of "orders" at host 1
     When it says "BEGIN" and "WRITE x 1" and "WRITE y 2"
     Then a caller of "filings" reads "x" as "-" through host 2
     When it says "COMMIT"
     Then a caller of "filings" reads "x" as "1" through host 2
 
-  Scenario: a caller that leaves inside a transaction leaves nothing
+  Scenario: the open transaction of a caller that disconnects is rolled back
     Given a caller of "orders" at host 1
     When it says "BEGIN" and "WRITE x 1"
     And it closes its connection
     Then a caller of "filings" reads "x" as "-" through host 2
-    And no connection stays lent
+    And no lease stays active
 
-  Scenario: values and prepared statements hold on any connection
+  Scenario: session variables and prepared statements apply on any connection
     Given a caller of "orders" at host 1
     When it says "SET tz utc" and "PREPARE s1 WRITE shape" and "EXEC s1 k v"
     And other callers of "orders" use 8 connections of host 0
     Then its "READ k" answers "v" with the values "tz=utc"
 
-  Scenario: the primary crashes and another leads
+  Scenario: the primary crashes and a replica is promoted
     When a caller of "orders" writes "a" as "one" through host 1
     And the primary crashes
     Then a caller of "orders" can write "b" before long through host 1
     And a caller of "filings" reads "b" before long through host 2
     And one promotion was carried out
 
-  Scenario: a holder that stops cuts no statement of another host
-    Given a caller of "orders" at a host that holds no connection to the primary
-    When the holder of the primary is told to stop while the caller writes
+  Scenario: a draining holder interrupts no statement of another host
+    Given a caller of "orders" at a host that relays its requests to the primary
+    When the holder of the primary is drained while the caller writes
     Then every write of the caller was answered
--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -1,4 +1,4 @@
-"""Steps on statements through the connections of other hosts."""
+"""Steps on requests that are relayed through other hosts."""
 
 from __future__ import annotations
 
@@ -51,18 +51,18 @@
 ZONES = ('a', 'b', 'c')
 
 GROUPS = tuple(f'ledger-{i}' for i in range(20))
-"""Groups over which a property must hold."""
+"""Names of the groups for which each property is checked."""
 
 
 class HolderSteps:
-    """Steps on who holds connections."""
+    """Steps on the hosts that hold the connections to a member."""
 
     @staticmethod
     @given(
         '{hosts:d} hosts in 3 zones and members of {connections:d} connections'
     )
     def make_hosts(context: Any, hosts: int, connections: int) -> None:
-        """Spread hosts over the zones."""
+        """Distribute hosts evenly over the zones."""
         context.connections = connections
         context.live = {
             zone: tuple(
@@ -76,24 +76,24 @@
         }
 
     @staticmethod
-    @when("the hosts of the member's zone are gone")
+    @when("the hosts of the member's zone are removed")
     def remove_zone(context: Any) -> None:
-        """Take the hosts of one zone away."""
+        """Remove all hosts of the member's zone."""
         context.live = {**context.live, 'a': ()}
 
     @staticmethod
-    @then('{count:d} hosts of its zone hold the connections of a member')
-    def check_near(context: Any, count: int) -> None:
-        """Check the holders of each group."""
+    @then("{count:d} hosts of the member's zone hold the connections to it")
+    def check_holders_in_zone(context: Any, count: int) -> None:
+        """Check that the holders of each group are in the member's zone."""
         for group in GROUPS:
             found = HolderSteps._choose(context, group)
             assert len(found.hosts) == found.sharing_hosts == count, found
             assert set(found.hosts) <= set(context.live['a']), found
 
     @staticmethod
-    @then('{count:d} hosts of other zones hold the connections of a member')
-    def check_far(context: Any, count: int) -> None:
-        """Check the holders of each group."""
+    @then('{count:d} hosts of other zones hold the connections to a member')
+    def check_holders_elsewhere(context: Any, count: int) -> None:
+        """Check that the holders of each group are in other zones."""
         others = {*context.live['b'], *context.live['c']}
         for group in GROUPS:
             found = HolderSteps._choose(context, group)
@@ -101,17 +101,20 @@
             assert set(found.hosts) <= others, found
 
     @staticmethod
-    @then('every host holds connections of its own')
-    def check_own(context: Any) -> None:
-        """Check that nobody relays."""
+    @then('every host has its own connections to a member')
+    def check_own_connections(context: Any) -> None:
+        """Check that no host relays its requests."""
         found = HolderSteps._choose(context, 'ledger')
         assert found.hosts == (), found
         assert found.sharing_hosts == len(context.registered), found
 
     @staticmethod
-    @then('each holder is the first choice of {least:d} to {most:d} hosts')
-    def check_spread(context: Any, least: int, most: int) -> None:
-        """Count the first choices for each group."""
+    @then(
+        'each holder is the first choice of {min_hosts:d} to {max_hosts:d} '
+        'hosts'
+    )
+    def check_spread(context: Any, min_hosts: int, max_hosts: int) -> None:
+        """Check how many hosts rank each holder first, for each group."""
         for group in GROUPS:
             holders = HolderSteps._choose(context, group)
             counts = Counter(
@@ -119,27 +122,27 @@
                 for host in context.registered
             )
             assert set(counts) == set(holders.hosts), counts
-            assert least <= min(counts.values()), counts
-            assert max(counts.values()) <= most, counts
+            assert min_hosts <= min(counts.values()), counts
+            assert max(counts.values()) <= max_hosts, counts
 
     @staticmethod
-    @then('those of a holder that is gone choose {count:d} others or more')
+    @then('the hosts of a lost holder choose at least {count:d} other holders')
     def check_successors(context: Any, count: int) -> None:
-        """Check the second choices of the hosts of one holder."""
+        """Check the second choices of the hosts of the busiest holder."""
         for group in GROUPS:
             holders = HolderSteps._choose(context, group)
             orders = [
                 rank_holders(group, host, holders)
                 for host in context.registered
             ]
-            gone = Counter(o[0] for o in orders).most_common(1)[0][0]
-            others = {o[1] for o in orders if o[0] == gone}
+            lost = Counter(o[0] for o in orders).most_common(1)[0][0]
+            others = {o[1] for o in orders if o[0] == lost}
             assert len(others) >= count, others
 
     @staticmethod
-    @then('the holders do not depend on the member')
-    def check_member(context: Any) -> None:
-        """Check that only group and zone decide."""
+    @then('the holders depend on the group but not on the member')
+    def check_group_only(context: Any) -> None:
+        """Check that the group and the zone determine the holders."""
         one = HolderSteps._choose(context, 'ledger')
         assert one == HolderSteps._choose(context, 'ledger')
         other = HolderSteps._choose(context, 'other')
@@ -147,17 +150,17 @@
 
     @staticmethod
     @then('{count:d} hosts vote on a primary, {each:d} of each zone')
-    def check_jury(context: Any, count: int, each: int) -> None:
-        """Check the jury of each group."""
+    def check_voters(context: Any, count: int, each: int) -> None:
+        """Check the voters of each group."""
         for group in GROUPS:
-            jury = choose_voters(group, context.registered)
-            assert len(jury) == count, jury
-            assert set(Counter(jury.values()).values()) == {each}, jury
+            voters = choose_voters(group, context.registered)
+            assert len(voters) == count, voters
+            assert set(Counter(voters.values()).values()) == {each}, voters
 
     @staticmethod
-    @then("they hold connections to the group's members")
-    def check_jury_holds(context: Any) -> None:
-        """Check that each juror uses a member all the time."""
+    @then("the voters hold connections to the group's members")
+    def check_voters_hold(context: Any) -> None:
+        """Check that each voter is a holder of the members in its zone."""
         for group in GROUPS:
             for host, zone in choose_voters(group, context.registered).items():
                 holders = choose_holders(
@@ -166,18 +169,21 @@
                 assert host in holders.hosts, (host, holders)
 
     @staticmethod
-    @then('a host that does not vote acts after all of them')
-    def check_order(context: Any) -> None:
-        """Check the head starts."""
+    @then('a host that does not vote starts a failover after all voters')
+    def check_failover_order(context: Any) -> None:
+        """Check that the voters have the shortest failover delays.
+
+        The delays of all hosts must differ.
+        """
         registered = context.registered
         for group in GROUPS:
-            jury = choose_voters(group, registered)
+            voters = choose_voters(group, registered)
             delays = {
                 h: failover_delay_s(group, h, registered, False)
                 for h in registered
             }
-            last = max(delays[h] for h in jury)
-            others = [delays[h] for h in registered if h not in jury]
+            last = max(delays[h] for h in voters)
+            others = [delays[h] for h in registered if h not in voters]
             assert last < min(others), delays
             assert len(set(delays.values())) == len(registered), delays
 
@@ -187,7 +193,7 @@
 
 
 class RelayedPathSteps:
-    """Steps on a deployment whose members take few connections."""
+    """Steps on a deployment whose members accept few connections."""
 
     @staticmethod
     @given(
@@ -195,7 +201,7 @@
         'connections a member'
     )
     def make(context: Any, hosts: int, connections: int) -> None:
-        """Start a deployment and wait until it serves."""
+        """Start a deployment and wait until every host serves a read."""
         context.deployment = EmulatedDeployment(hosts, connections)
         context.cleanups.append(context.deployment.stop)
         context.deployment.start()
@@ -214,32 +220,32 @@
 
     @staticmethod
     def _is_settled(directory: Any, hosts: int) -> bool:
-        """Return whether a host knows every other one."""
+        """Return whether a host knows all hosts and all members."""
         group = directory.groups.get('ledger')
         live = sum(len(z) for z in directory.live_hosts.values())
         return live == hosts and group is not None and len(group.accesses) == 3
 
     @staticmethod
-    @then('one host alone has connected to each member')
+    @then('only one host has connected to each member')
     def check_holders(context: Any) -> None:
-        """Check who has opened connections since all hosts are known."""
+        """Check which hosts connected after all hosts knew each other."""
         for server in context.deployment.group.servers.values():
             assert len(set(server.callers)) <= 1, server.callers
 
     @staticmethod
-    @then('no connection stays lent')
-    def check_returned(context: Any) -> None:
-        """Wait until every lease has ended."""
+    @then('no lease stays active')
+    def check_no_leases(context: Any) -> None:
+        """Wait until every host has ended its leases."""
         for host in context.deployment.hosts:
             until(lambda host=host: host.proxy.relay_server.leases == 0)
 
     @staticmethod
     @given(
-        'a caller of "{database}" at a host that holds no connection to the '
+        'a caller of "{database}" at a host that relays its requests to the '
         'primary'
     )
     def connect(context: Any, database: str) -> None:
-        """Open a session at a host that relays."""
+        """Open a session at a host that is not a holder of the primary."""
         primary = context.deployment.group.primary.state.member
         for host in context.deployment.hosts:
             access = host.proxy.directory.groups['ledger'].accesses[primary]
@@ -249,9 +255,9 @@
         context.cleanups.append(context.caller.close)
 
     @staticmethod
-    @when('the holder of the primary is told to stop while the caller writes')
-    def stop_holder(context: Any) -> None:
-        """Drain the holder under a caller that never rests."""
+    @when('the holder of the primary is drained while the caller writes')
+    def drain_holder(context: Any) -> None:
+        """Drain the holder while the caller writes without a pause."""
         deployment = context.deployment
         number = int(context.holder.rpartition('-')[2])
         drain = gevent.spawn(deployment.hosts[number].proxy.drain)
@@ -264,13 +270,13 @@
     @staticmethod
     @then('every write of the caller was answered')
     def check_answers(context: Any) -> None:
-        """Check that none was cut or refused."""
+        """Check that no write was interrupted or refused."""
         codes = Counter(a.code for a in context.answers)
         assert set(codes) == {'DONE'}, codes
 
 
-class _Upstream(UpstreamSession):
-    """Connection that answers at once and notes what it was sent."""
+class _RecordingUpstream(UpstreamSession):
+    """Connection that records the requests and answers them at once."""
 
     def __init__(self) -> None:
         self.sent: list[Call] = []
@@ -284,19 +290,19 @@
         self, calls: Sequence[Call], timeout_s: float
     ) -> Result[tuple[Reply, ...], Failure]:
         self.sent.extend(calls)
-        is_begun = isinstance(calls[-1], OpenTransaction)
-        state = TransactionState.OPEN if is_begun else TransactionState.IDLE
+        is_opening = isinstance(calls[-1], OpenTransaction)
+        state = TransactionState.OPEN if is_opening else TransactionState.IDLE
         return Success(tuple(Reply(state=state) for _ in calls))
 
     def close(self) -> None:
         self.is_open = False
 
 
-class _OneConnection(UpstreamDialer):
-    """Opens the one connection there is."""
+class _SingleConnectionDialer(UpstreamDialer):
+    """Returns the same connection at each dial."""
 
     def __init__(self) -> None:
-        self.upstream = _Upstream()
+        self.upstream = _RecordingUpstream()
 
     def dial(
         self, member: MemberRecord, timeout_s: float
@@ -304,15 +310,15 @@
         return Success(self.upstream)
 
 
-class LenderSteps:
-    """Steps on one holder and what reaches the member."""
+class RelayServerSteps:
+    """Steps on a holder and the requests that it sends to the member."""
 
-    BORROWER = PeerIdentity('host-b', 'b', 1, 7)
+    PEER = PeerIdentity('host-b', 'b', 1, 7)
 
     @staticmethod
     @given('a holder with a free connection')
     def make_holder(context: Any) -> None:
-        """Make a holder of one connection to one member."""
+        """Create a holder of one connection to one member."""
         clock = context.clock = BoottimeClock()
         context.group = Group('ledger')
         context.group.state.update(
@@ -322,11 +328,12 @@
                 )
             ]
         )
-        context.dialer = _OneConnection()
+        context.dialer = _SingleConnectionDialer()
         context.pool = MemberPool(
             context.group.state.members['m'], context.dialer, clock
         )
-        # An equal share of one connection, and no growth above it.
+        # The host's share is one connection. The refusal keeps the host from
+        # opening more connections than its share.
         context.pool.share.update(1, 1)
         context.pool.share.on_refused(clock.now() + 3600)
         context.group.accesses['m'] = MemberAccess(context.pool)
@@ -337,94 +344,105 @@
         )
 
     @staticmethod
-    @given('a holder whose connections are all taken')
-    def make_busy_holder(context: Any) -> None:
-        """Lend the only connection."""
-        LenderSteps.make_holder(context)
+    @given('a holder without a free connection')
+    def make_holder_without_connection(context: Any) -> None:
+        """Create a holder and acquire its only connection."""
+        RelayServerSteps.make_holder(context)
         deadline = context.clock.now() + 60
-        lent = context.pool.acquire(0, deadline, SessionState())
-        context.taken = lent.unwrap()
+        result = context.pool.acquire(0, deadline, SessionState())
+        context.acquired = result.unwrap()
 
     @staticmethod
-    @when('another host sends a read and gives it up')
-    def send_and_give_up(context: Any) -> None:
-        """Send a read, then its end, while no connection is free."""
-        asked = gevent.spawn(
-            context.relay_server.on_calls, _read(), LenderSteps.BORROWER
+    @when('another host relays a read and ends its lease')
+    def relay_and_end(context: Any) -> None:
+        """Relay a read and end its lease while no connection is free."""
+        relayed = gevent.spawn(
+            context.relay_server.on_calls,
+            _relayed_read(),
+            RelayServerSteps.PEER,
         )
         until(lambda: context.pool.waiting == 1)
-        context.relay_server.on_end(EndLease(1), LenderSteps.BORROWER)
-        context.asked = asked
+        context.relay_server.on_end(EndLease(1), RelayServerSteps.PEER)
+        context.relayed = relayed
 
     @staticmethod
-    @when('a connection comes free')
-    def free(context: Any) -> None:
-        """Give the connection back."""
-        context.pool.release(context.taken)
-        assert isinstance(context.asked.get(), RelayRefused)
+    @when('a connection is released')
+    def release(context: Any) -> None:
+        """Release the connection and check that the read is refused."""
+        context.pool.release(context.acquired)
+        assert isinstance(context.relayed.get(), RelayRefused)
 
     @staticmethod
-    @when("another host's read arrives behind its end")
-    def send_behind_end(context: Any) -> None:
-        """Serve the end first, as a connection's reader does."""
-        context.relay_server.on_end(EndLease(1), LenderSteps.BORROWER)
-        answer = context.relay_server.on_calls(_read(), LenderSteps.BORROWER)
+    @when('a relayed read is served after the end of its lease')
+    def relay_after_end(context: Any) -> None:
+        """Serve the end of the lease first.
+
+        A host that was paused reads both messages together. The reader of a
+        connection handles the end at once, before the read is served.
+        """
+        context.relay_server.on_end(EndLease(1), RelayServerSteps.PEER)
+        answer = context.relay_server.on_calls(
+            _relayed_read(), RelayServerSteps.PEER
+        )
         assert isinstance(answer, RelayRefused), answer
 
     @staticmethod
-    @then('the member was sent nothing')
+    @then('the member was sent no relayed request')
     def check_unsent(context: Any) -> None:
-        """Check the connection."""
+        """Check that no request was sent and no lease is left."""
         assert context.dialer.upstream.sent == []
         assert context.relay_server.leases == 0
 
     @staticmethod
-    @when('another host opens a transaction and its connection breaks')
-    def open_and_break(context: Any) -> None:
-        """Open a transaction, then lose the borrower."""
-        opening = _calls(OpenTransaction(is_read_only=False))
-        context.relay_server.on_calls(opening, LenderSteps.BORROWER)
+    @when(
+        'another host opens a transaction and then loses its connection to '
+        'the holder'
+    )
+    def open_and_disconnect(context: Any) -> None:
+        """Open a relayed transaction, then close the peer's connection."""
+        opening = _relayed_calls(OpenTransaction(is_read_only=False))
+        context.relay_server.on_calls(opening, RelayServerSteps.PEER)
         assert context.relay_server.leases == 1
-        context.relay_server.on_peer_closed(LenderSteps.BORROWER)
+        context.relay_server.on_peer_closed(RelayServerSteps.PEER)
 
     @staticmethod
     @then('the connection to the member is closed')
     def check_closed(context: Any) -> None:
-        """Check that the member rolls back."""
+        """Check the close, at which the member rolls back."""
         assert not context.dialer.upstream.is_open
         assert context.relay_server.leases == 0
 
     @staticmethod
-    @when('the host sends a write of that transaction again')
-    def send_late(context: Any) -> None:
-        """Go on where nothing is open any more."""
-        write = _calls(RunStatement('q2', 'WRITE a 1'), is_pinned=True)
+    @when('the host relays a write of that transaction')
+    def relay_late_write(context: Any) -> None:
+        """Relay a write that requires the lost transaction."""
+        write = _relayed_calls(RunStatement('q2', 'WRITE a 1'), is_pinned=True)
         context.answer = context.relay_server.on_calls(
-            write, LenderSteps.BORROWER
+            write, RelayServerSteps.PEER
         )
 
     @staticmethod
-    @then('it is told that the transaction is lost')
+    @then('the host is told that the transaction is lost')
     def check_lost(context: Any) -> None:
-        """Check the answer."""
+        """Check the reply to the write."""
         assert isinstance(context.answer, PooledFailure), context.answer
         assert context.answer.code == 'transaction-lost', context.answer
 
     @staticmethod
     @then('the member was sent no write')
     def check_no_write(context: Any) -> None:
-        """Check the connection."""
+        """Check that no statement was sent on the connection."""
         sent = context.dialer.upstream.sent
         assert not any(isinstance(c, RunStatement) for c in sent), sent
 
 
-class DeadHostSteps:
-    """Steps on a host that is dead."""
+class HostDownSteps:
+    """Steps on requests to a host that is down."""
 
     @staticmethod
     @given('a host that does not answer')
     def make(context: Any) -> None:
-        """Count the dials; each fails after a moment."""
+        """Create peers whose dials are counted and fail after 10 ms."""
         context.dials = 0
 
         def find_endpoint(host: str) -> None:
@@ -436,73 +454,73 @@
         )
 
     @staticmethod
-    @when('{count:d} requests for it come at the same time')
-    def ask(context: Any, count: int) -> None:
-        """Ask from many greenlets."""
-        asked = [
+    @when('{count:d} requests to the host are made at the same time')
+    def call(context: Any, count: int) -> None:
+        """Call the host from many greenlets."""
+        greenlets = [
             gevent.spawn(context.peers.call_host, 'other', EndLease(1), 1.0)
             for _ in range(count)
         ]
-        gevent.joinall(asked)
-        context.failures = [g.value.failure() for g in asked]
+        gevent.joinall(greenlets)
+        context.failures = [g.value.failure() for g in greenlets]
 
     @staticmethod
-    @then('it was dialled once and all are told that nothing was sent')
+    @then('the host was dialled once and each request is reported as not run')
     def check(context: Any) -> None:
-        """Check the dials and the answers."""
+        """Check the number of dials and the failures."""
         assert context.dials == 1, context.dials
         states = {f.run_state for f in context.failures}
         assert states == {RunState.NOT_RUN}, context.failures
 
 
-class StoppingSteps:
-    """Steps on a host that is told to stop."""
+class DrainSteps:
+    """Steps on the drain of a host."""
 
     GRACE_S = 3.0
 
     @staticmethod
-    @given('a host without sessions on which another host has a transaction')
+    @given('a host without sessions that relays a transaction of another host')
     def make(context: Any) -> None:
-        """Make the registry of a host."""
+        """Create the clock of the host."""
         context.clock = BoottimeClock()
 
     @staticmethod
-    @when('the host is told to stop and the transaction stays open')
-    def stop_busy(context: Any) -> None:
-        """Drain while a lease stays."""
-        StoppingSteps._drain(context, leases=1)
+    @when('the host is drained and the transaction stays open')
+    def drain_with_lease(context: Any) -> None:
+        """Drain while a lease stays active."""
+        DrainSteps._drain(context, leases=1)
 
     @staticmethod
-    @when('the host is told to stop and the transaction has ended')
-    def stop_idle(context: Any) -> None:
-        """Drain without a lease."""
-        StoppingSteps._drain(context, leases=0)
+    @when('the host is drained and the transaction has ended')
+    def drain_without_lease(context: Any) -> None:
+        """Drain without an active lease."""
+        DrainSteps._drain(context, leases=0)
 
     @staticmethod
-    @then('it waits until its grace is over')
-    def check_waited(context: Any) -> None:
-        """Check that the drain did not end by itself."""
+    @then('the drain lasts until the end of its grace period')
+    def check_incomplete(context: Any) -> None:
+        """Check that the drain did not complete."""
         assert not context.is_complete
 
     @staticmethod
-    @then('it ends before its grace is over')
-    def check_ended(context: Any) -> None:
-        """Check that the drain ended by itself."""
+    @then('the drain completes before the end of its grace period')
+    def check_complete(context: Any) -> None:
+        """Check that the drain completed."""
         assert context.is_complete
 
     @staticmethod
     def _drain(context: Any, leases: int) -> None:
         registry = SessionRegistry(context.clock)
         context.is_complete = registry.drain(
-            StoppingSteps.GRACE_S, lambda: leases
+            DrainSteps.GRACE_S, lambda: leases
         )
 
 
-def _read() -> RelayedCalls:
-    return _calls(RunStatement('q1', 'READ a'))
+def _relayed_read() -> RelayedCalls:
+    return _relayed_calls(RunStatement('q1', 'READ a'))
 
 
-def _calls(call: Call, is_pinned: bool = False) -> RelayedCalls:
+def _relayed_calls(call: Call, is_pinned: bool = False) -> RelayedCalls:
     return RelayedCalls(
         'ledger',
         'm',
