--- a/features/proxy_succession.feature
+++ b/features/proxy_succession.feature
@@ -1,39 +1,39 @@
-Feature: Who changes a primary
+Feature: Failover decisions
 
-  Scenario: one host alone that misses the primary changes nothing
+  Scenario: a primary that only one host has lost is kept
     Given hosts "a1 a2 a3 b1 b2 b3 c1 c2" by zone
-    When a host misses a member of zone "a" and "a2 a3 b1 b2 b3 c2" reach it
-    Then the member does not count as lost
+    When a host has lost a member of zone "a" and "a2 a3 b1 b2 b3 c2" reach it
+    Then there is no loss quorum for the member
 
-  Scenario: most hosts miss the primary
+  Scenario: a primary that most hosts have lost is replaced
     Given hosts "a1 a2 a3 b1 b2 b3 c1 c2" by zone
-    When a host misses a member of zone "a" with "b1 b2 b3 c2" and "a2" reaches it
-    Then the member counts as lost
+    When a host has lost a member of zone "a" with "b1 b2 b3 c2" and "a2" reaches it
+    Then there is a loss quorum for the member
 
-  Scenario: a zone is cut off with its primary while another host restarts
+  Scenario: a zone is partitioned with its primary while another host restarts
     Given hosts "a1 a2 a3 b1 b2 b3 c1 c2" by zone
-    When a host misses a member of zone "b" with "a2 a3 c2" and nobody else answers
-    Then the member counts as lost
+    When a host has lost a member of zone "b" with "a2 a3 c2" and no other host answers
+    Then there is a loss quorum for the member
 
-  Scenario: the zone that is cut off never acts while the service is out
+  Scenario: a partitioned zone does not act while the service is unavailable
     Given hosts "a1 a2 a3 b1 b2 b3 c1 c2" by zone
-    And no claim can be made
-    When a host misses a member of zone "c" with "b2 b3" and nobody else answers
-    Then the member does not count as lost
+    And claims are not possible
+    When a host has lost a member of zone "c" with "b2 b3" and no other host answers
+    Then there is no loss quorum for the member
 
-  Scenario: the larger side acts while the service is out
+  Scenario: the majority side acts while the service is unavailable
     Given hosts "a1 a2 a3 b1 b2 b3 c1 c2" by zone
-    And no claim can be made
-    When a host misses a member of zone "b" with "a2 a3 c1 c2" and nobody else answers
-    Then the member counts as lost
+    And claims are not possible
+    When a host has lost a member of zone "b" with "a2 a3 c1 c2" and no other host answers
+    Then there is a loss quorum for the member
 
-  Scenario: a side that sees one member of three may not choose
+  Scenario: a side with a minority of the members chooses only if it has every host
     Given hosts "a1 b1 c1" by zone
     Then a side with 1 of 3 members and answers of "b1" may not choose
     And a side with 2 of 3 members and answers of "" may choose
     And a side with 1 of 3 members and answers of "b1 c1" may choose
 
-  Scenario: the log that goes furthest leads, a leaving member last
+  Scenario: the member with the longest log is promoted, a leaving one last
     Given a group of "x y z"
     When "y" has received 3.40 and "z" has received 3.41
     Then "z" is chosen
@@ -42,18 +42,18 @@
 
   Scenario: a round that was used without the service is not claimed again
     Given two hosts that know round 1 of a group
-    When the first changes the group alone and publishes its round
-    Then the second can't claim round 2 with what it knew
+    When the first host uses round 2 without the service and then publishes it
+    Then the second host cannot claim round 2 after round 1
 
-  Scenario: a claim that came while a host decided stops its own
+  Scenario: a host whose decision a newer claim overtakes cannot claim
     Given two hosts that know round 1 of a group
-    When the second decides after round 1 and then sees the first's claim
-    Then the second's claim is refused
+    When the second host decides after round 1 and then learns of the first host's claim
+    Then the second host's claim is refused
 
-  Scenario: no two holders share a fencing token
-    Then tokens of 200 rounds and 50 holders are all different and rise
+  Scenario: fencing tokens are unique and increase with the round
+    Then the tokens of 200 rounds and 50 holders are unique and increase
 
-  Scenario Outline: a commit that replicas confirmed is in the next log
+  Scenario Outline: the answering replicas include one with every commit
     Then with <sync> of 2 replicas confirming, <answering> that answer <verdict>
 
     Examples:
--- a/features/steps/proxy_succession_steps.py
+++ b/features/steps/proxy_succession_steps.py
@@ -1,4 +1,4 @@
-"""Steps on who changes a primary."""
+"""Steps on failover decisions."""
 
 from __future__ import annotations
 
@@ -28,65 +28,67 @@
 from trefoilpulley_node.proxy.claims import read_claim
 
 
-def _reports(missing: str, reaching: str = '') -> tuple[ReachReport, ...]:
+def _reports(losing: str, reaching: str = '') -> tuple[ReachReport, ...]:
     return (
-        *(ReachReport(h, False) for h in missing.split()),
+        *(ReachReport(h, False) for h in losing.split()),
         *(ReachReport(h, True) for h in reaching.split()),
     )
 
 
-class SuccessionSteps:
-    """Steps on votes, targets and claims."""
+class LossQuorumSteps:
+    """Steps on the votes of hosts about a lost member."""
 
     @staticmethod
     @given('hosts "{names}" by zone')
     def make_hosts(context: Any, names: str) -> None:
-        """Register hosts whose zone is their first letter."""
+        """Register hosts whose zone is the first letter of their name."""
         context.registered = {n: n[0] for n in names.split()}
         context.is_claimed = True
 
     @staticmethod
-    @given("no claim can be made")
-    def lose_service(context: Any) -> None:
-        """Let nobody claim a change."""
+    @given('claims are not possible')
+    def disable_claims(context: Any) -> None:
+        """Let the following steps judge without a claim."""
         context.is_claimed = False
 
     @staticmethod
-    @when('a host misses a member of zone "{zone}" and "{reaching}" reach it')
-    def miss_alone(context: Any, zone: str, reaching: str) -> None:
-        """Let one host miss the member."""
-        SuccessionSteps._judge(context, zone, _reports('', reaching))
+    @when(
+        'a host has lost a member of zone "{zone}" and "{reaching}" reach it'
+    )
+    def judge_single_loss(context: Any, zone: str, reaching: str) -> None:
+        """Judge a loss that only one host has detected."""
+        LossQuorumSteps._judge(context, zone, _reports('', reaching))
 
     @staticmethod
     @when(
-        'a host misses a member of zone "{zone}" with "{missing}" and '
+        'a host has lost a member of zone "{zone}" with "{losing}" and '
         '"{reaching}" reaches it'
     )
-    def miss_with(
-        context: Any, zone: str, missing: str, reaching: str
+    def judge_shared_loss(
+        context: Any, zone: str, losing: str, reaching: str
     ) -> None:
-        """Let several hosts miss the member."""
-        SuccessionSteps._judge(context, zone, _reports(missing, reaching))
+        """Judge a loss that several hosts have detected."""
+        LossQuorumSteps._judge(context, zone, _reports(losing, reaching))
 
     @staticmethod
     @when(
-        'a host misses a member of zone "{zone}" with "{missing}" and '
-        'nobody else answers'
+        'a host has lost a member of zone "{zone}" with "{losing}" and no '
+        'other host answers'
     )
-    def miss_in_cut(context: Any, zone: str, missing: str) -> None:
-        """Let several hosts miss the member and the rest be silent."""
-        SuccessionSteps._judge(context, zone, _reports(missing))
+    def judge_partition(context: Any, zone: str, losing: str) -> None:
+        """Judge a loss while the remaining hosts do not answer."""
+        LossQuorumSteps._judge(context, zone, _reports(losing))
 
     @staticmethod
-    @then('the member counts as lost')
+    @then('there is a loss quorum for the member')
     def check_lost(context: Any) -> None:
-        """Check that the change goes on."""
+        """Check that the failover may continue."""
         assert context.is_lost
 
     @staticmethod
-    @then('the member does not count as lost')
-    def check_kept(context: Any) -> None:
-        """Check that nothing changes."""
+    @then('there is no loss quorum for the member')
+    def check_not_lost(context: Any) -> None:
+        """Check that the primary is kept."""
         assert not context.is_lost
 
     @staticmethod
@@ -97,7 +99,7 @@
     def check_side(
         context: Any, answering: int, members: int, hosts: str, verdict: str
     ) -> None:
-        """Check whether a side may choose."""
+        """Check whether one side of a partition may choose a target."""
         found = can_choose_target(
             members, answering, _reports(hosts), context.registered
         )
@@ -108,11 +110,11 @@
         'a side with {answering:d} of {members:d} members and answers of '
         '"" {verdict} choose'
     )
-    def check_lone_side(
+    def check_side_without_answers(
         context: Any, answering: int, members: int, verdict: str
     ) -> None:
-        """Check whether a side without other hosts may choose."""
-        SuccessionSteps.check_side(context, answering, members, '', verdict)
+        """Check a side of the partition on which no other host answers."""
+        LossQuorumSteps.check_side(context, answering, members, '', verdict)
 
     @staticmethod
     def _judge(
@@ -123,18 +125,18 @@
         )
 
 
-class ConfirmedSteps:
-    """Steps on commits that replicas confirmed."""
+class ConfirmedCommitSteps:
+    """Steps on commits that replicas have confirmed."""
 
     @staticmethod
     @then(
         'with {sync:d} of {replicas:d} replicas confirming, {answering:d} '
         'that answer {verdict}'
     )
-    def check_enough(
+    def check_has_every_commit(
         context: Any, sync: int, replicas: int, answering: int, verdict: str
     ) -> None:
-        """Check whether one of them has every commit."""
+        """Check whether an answering replica is sure to have every commit."""
         found = has_every_commit(replicas, answering, sync)
         assert found is (verdict == 'are enough'), found
 
@@ -145,19 +147,19 @@
     @staticmethod
     @given('a group of "{names}"')
     def make_group(context: Any, names: str) -> None:
-        """Make a group that is led by its first member."""
+        """Create a group whose first member is the primary."""
         context.group = GroupState('ledger')
         context.names = names.split()
-        TargetSteps._list(context, '')
+        TargetSteps._update_members(context, '')
 
     @staticmethod
     @when('"{one}" has received {first} and "{other}" has received {second}')
-    def receive(
+    def choose_target_by_logs(
         context: Any, one: str, first: str, other: str, second: str
     ) -> None:
-        """Tell how far two logs go."""
+        """Choose a target between two members with the given log ends."""
         is_leaving = second.endswith(' but leaves')
-        TargetSteps._list(context, other if is_leaving else '')
+        TargetSteps._update_members(context, other if is_leaving else '')
         context.target = choose_target(
             context.group,
             {
@@ -169,11 +171,11 @@
     @staticmethod
     @then('"{name}" is chosen')
     def check_target(context: Any, name: str) -> None:
-        """Check who is to lead."""
+        """Check the member to promote."""
         assert context.target == name, context.target
 
     @staticmethod
-    def _list(context: Any, leaving: str) -> None:
+    def _update_members(context: Any, leaving: str) -> None:
         context.group.update(
             MemberRecord(
                 name,
@@ -188,47 +190,52 @@
 
 
 class ClaimSteps:
-    """Steps on claims through the platform's service."""
+    """Steps on claims in the platform's service."""
 
     @staticmethod
     @given('two hosts that know round 1 of a group')
-    def make_books(context: Any) -> None:
-        """Store a claim and let two hosts learn it."""
+    def make_stores(context: Any) -> None:
+        """Store a claim that both hosts have recorded."""
         context.kv = FakePlatform()
         context.first = ClaimStore('first', context.kv)
         context.second = ClaimStore('second', context.kv)
         assert context.first.try_claim('ledger', 0, 'x') == Success(1)
-        ClaimSteps._learn(context.second, context.kv)
+        ClaimSteps._record_stored_claim(context.second, context.kv)
 
     @staticmethod
-    @when('the first changes the group alone and publishes its round')
-    def change_alone(context: Any) -> None:
-        """Use a round without the service, then publish it."""
+    @when(
+        'the first host uses round 2 without the service and then publishes it'
+    )
+    def use_round_without_service(context: Any) -> None:
+        """Advance the round without the service, then publish it."""
         context.first.advance_round('ledger', 2)
         context.first.publish()
 
     @staticmethod
-    @when("the second decides after round 1 and then sees the first's claim")
-    def see_claim(context: Any) -> None:
-        """Let the claim arrive between decision and claim."""
+    @when(
+        'the second host decides after round 1 and then learns of the first '
+        "host's claim"
+    )
+    def record_newer_claim(context: Any) -> None:
+        """Let the first host claim after the second host's decision."""
         assert context.first.try_claim('ledger', 1, 'y') == Success(2)
-        ClaimSteps._learn(context.second, context.kv)
+        ClaimSteps._record_stored_claim(context.second, context.kv)
 
     @staticmethod
-    @then("the second can't claim round 2 with what it knew")
-    @then("the second's claim is refused")
+    @then('the second host cannot claim round 2 after round 1')
+    @then("the second host's claim is refused")
     def check_refused(context: Any) -> None:
-        """Check that the claim after round 1 is refused."""
-        done = context.second.try_claim('ledger', 1, 'z')
-        assert isinstance(done.failure(), RevisionConflict), done
+        """Check that a claim after round 1 conflicts with the stored claim."""
+        result = context.second.try_claim('ledger', 1, 'z')
+        assert isinstance(result.failure(), RevisionConflict), result
 
     @staticmethod
     @then(
-        'tokens of {rounds:d} rounds and {holders:d} holders are all '
-        'different and rise'
+        'the tokens of {rounds:d} rounds and {holders:d} holders are unique '
+        'and increase'
     )
     def check_tokens(context: Any, rounds: int, holders: int) -> None:
-        """Check that tokens are unique and rise with the round."""
+        """Check that the tokens are unique and increase with the round."""
         tokens = [
             [fencing_token(r, 70_000 + 13 * h) for h in range(holders)]
             for r in range(rounds)
@@ -239,10 +246,10 @@
             assert max(row) < min(later)
 
     @staticmethod
-    def _learn(book: ClaimStore, kv: FakePlatform) -> None:
+    def _record_stored_claim(store: ClaimStore, kv: FakePlatform) -> None:
         entry = kv.get(claim_key('ledger')).unwrap()
         claim: Claim = read_claim(entry).unwrap()
-        book.record_claim('ledger', claim, entry.mod_revision)
+        store.record_claim('ledger', claim, entry.mod_revision)
 
 
 def _status(received: str) -> LogStatus:
