--- a/features/fakes/membership_faults.py
+++ b/features/fakes/membership_faults.py
@@ -1,4 +1,4 @@
-"""Deliberate faults in the rules of membership."""
+"""Memberships with one deliberately broken rule each."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class NeverRefutes(Membership):
-    """A host that lets a wrong verdict on itself stand."""
+    """Host that does not refute a wrong record of itself."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -17,39 +17,39 @@
 
 
 class NoRingProbes(Membership):
-    """A host that probes at random only."""
+    """Host that probes random hosts but not its successor on the ring."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self._detector._probe_successor = lambda: None
 
 
-class NoWordOnLeaving(Membership):
-    """A host that leaves without a word."""
+class LeavesSilently(Membership):
+    """Host that does not announce that it leaves."""
 
     def on_leave(self) -> None:
-        """Say nothing."""
+        """Announce nothing."""
 
 
-class SilenceIsVerdict(Membership):
-    """A host that asks no helper before a verdict on a zone."""
+class NoIndirectZoneProbes(Membership):
+    """Host that declares a zone lost without indirect probes."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        watch = self._zone_watch
-        watch._choose_indirect_probers = lambda subject: []
+        zone_watch = self._zone_watch
+        zone_watch._choose_indirect_probers = lambda subject: []
 
 
-class BelievesOldDeaths(Membership):
-    """A host that asks no accused."""
+class NoVerification(Membership):
+    """Host that accepts reports of dead hosts without verification."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self._verifier.learn = self._dissemination.learn
 
 
-class ListBeforeRecords(Membership):
-    """A host that takes every listed host for live."""
+class ListOverridesRecords(Membership):
+    """Host that treats every listed host as live."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -57,7 +57,7 @@
         table._takes_work = lambda record: record.entry.name in table._listed
 
     def on_tick(self, now: float) -> None:
-        """Read the list again before each tick."""
+        """Handle a tick, then restore the dead hosts that are listed."""
         super().on_tick(now)
         for name, entry in self._table._listed.items():
             record = self._table.find_host(name)
@@ -66,8 +66,8 @@
                 self.on_host_list(self._table._listed.values())
 
 
-class PauseIsEvidence(Membership):
-    """A host that counts the answers it slept through as silence."""
+class PauseCountsAsFailure(Membership):
+    """Host that counts probes that timed out during its own pause."""
 
     def _note_time(self, now: float) -> None:
         self._ticked_at = now
@@ -76,10 +76,10 @@
 FAULTS: dict[str, type[Membership]] = {
     'never refutes': NeverRefutes,
     'no ring probes': NoRingProbes,
-    'no word on leaving': NoWordOnLeaving,
-    'silence is a verdict': SilenceIsVerdict,
-    'believes old deaths': BelievesOldDeaths,
-    'list before records': ListBeforeRecords,
-    'pause is evidence': PauseIsEvidence,
+    'no word on leaving': LeavesSilently,
+    'silence is a verdict': NoIndirectZoneProbes,
+    'believes old deaths': NoVerification,
+    'list before records': ListOverridesRecords,
+    'pause is evidence': PauseCountsAsFailure,
 }
-"""Broken rules by name."""
+"""Memberships by the name of their fault."""
--- a/features/fakes/membership_schedule.py
+++ b/features/fakes/membership_schedule.py
@@ -1,4 +1,4 @@
-"""Generated schedules of faults against a small fleet."""
+"""Generated schedules of faults in a small fleet."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     from hypothesis.strategies import SearchStrategy
 
 ZONES = 3
-"""Zones of the fleet."""
+"""Number of zones of the fleet."""
 
 HOSTS = 3
-"""Hosts of each zone."""
+"""Number of hosts in each zone."""
 
-SETTLE_S = 20.0
-"""Time given to the fleet after the last fault, in seconds."""
+CONVERGENCE_TIMEOUT_S = 20.0
+"""Time in which the hosts must converge after the last fault, in seconds."""
 
 
 class FaultKind(StrEnum):
@@ -46,22 +46,22 @@
     """One fault of a schedule."""
 
     wait_s: float
-    """Time since the fault before, in seconds."""
+    """Time since the previous fault, in seconds."""
 
     kind: StrEnum
-    """What happens."""
+    """Kind of the fault."""
 
     zone: int
-    """Zone to which it happens."""
+    """Number of the affected zone."""
 
     host: int
-    """Host of the zone to which it happens."""
+    """Number of the affected host within the zone."""
 
 
 def make_schedules(
     kinds: Sequence[StrEnum], count: int
 ) -> SearchStrategy[list[TimedFault]]:
-    """Return the schedules of some faults."""
+    """Return a strategy for schedules of ``count`` faults."""
     fault = strategies.builds(
         TimedFault,
         strategies.sampled_from((0.0, 0.15, 0.5, 1.3, 4.0)),
@@ -73,14 +73,14 @@
 
 
 class MembershipSchedule:
-    """Runs one schedule and checks what must always hold.
+    """Runs one schedule and checks the invariants of membership.
 
     Parameters
     ----------
     seed : int
         Seed of the fleet.
     make_membership : Callable[..., Membership]
-        Makes the decisions of a host.
+        Creates the membership of a host.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         return Fleet(seed, make_membership=make_membership)
 
     def run(self, faults: Sequence[TimedFault]) -> None:
-        """Run the faults, mend the links and check the end."""
+        """Run the faults, heal the links and check that the hosts agree."""
         for entry in self._entries:
             self._start(entry.name, entry.zone)
         self._run(5.0)
@@ -108,7 +108,7 @@
             getattr(self, f'_{fault.kind.replace("-", "_")}')(name)
         self._run(5.0)
         self._mend()
-        self._run(SETTLE_S)
+        self._run(CONVERGENCE_TIMEOUT_S)
         self._check_agreement()
 
     def _mend(self) -> None:
@@ -130,8 +130,8 @@
             assert own.state is not HostState.DEAD, name
             assert own.incarnation >= self._incarnations.get(name, 0), name
             self._incarnations[name] = own.incarnation
-            held = host.membership.find_host(name)
-            assert held == own, name
+            record = host.membership.find_host(name)
+            assert record == own, name
 
     def _check_agreement(self) -> None:
         expected = {
@@ -141,12 +141,13 @@
         }
         for name, host in self._fleet.hosts.items():
             if host.is_up and host.live != expected:
-                self._check_last_resort(name, host.live, expected)
+                self._check_leaving_zones(name, host.live, expected)
 
-    def _check_last_resort(
+    def _check_leaving_zones(
         self, name: str, live: frozenset[str], expected: set[str]
     ) -> None:
-        # The leaving hosts of a zone go on where no other host is live.
+        # Leaving hosts stay in the view of the live hosts while their zone
+        # has no other live host.
         leaving = {
             other
             for other, host in self._fleet.hosts.items()
--- a/features/fakes/membership_trace.py
+++ b/features/fakes/membership_trace.py
@@ -1,4 +1,4 @@
-"""Recorded traces of membership, replayed on the virtual clock."""
+"""Replay of recorded membership traces on the virtual clock."""
 
 from __future__ import annotations
 
@@ -28,39 +28,39 @@
     """Virtual time in seconds."""
 
     event: str
-    """What happens."""
+    """Name of the event."""
 
     parties: tuple[str, ...]
-    """Hosts or zones to which it happens."""
+    """Affected hosts or zones."""
 
     seconds: float = 0.0
-    """How long a pause lasts."""
+    """Duration of a pause, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """One line of the outcomes stated beside a trace."""
+    """Expected outcome of a trace at one time."""
 
     time: float
     """Virtual time in seconds."""
 
     at: str
-    """Zone or host that must see it; ``*`` for every running host."""
+    """Zone or host that must see the outcome; ``*`` for all running hosts."""
 
     outcome: str
     """``live``, ``not-live``, ``lost``, ``kept`` or ``never-accused``."""
 
     parties: tuple[str, ...]
-    """Hosts or zones."""
+    """Hosts or zones that the outcome is about."""
 
 
 class MembershipReplay(TraceReplay):
-    """Replays a trace of membership.
+    """Replays a membership trace.
 
     Parameters
     ----------
     make_membership : Callable[..., Membership]
-        Makes the decisions of a host.
+        Creates the membership of a host.
     """
 
     def __init__(
@@ -68,25 +68,26 @@
     ) -> None:
         fleet = Fleet(seed=5, make_membership=make_membership)
         super().__init__('membership', TraceEvent, Outcome, fleet)
-        self._started: dict[str, int] = {}
+        self._first_incarnations: dict[str, int] = {}
         self._listed: tuple[Any, ...] = ()
         self._seeds: tuple[str, ...] = ()
 
     def holds(self, outcome: Outcome) -> bool:
-        """Return whether every observer sees what is stated."""
-        check = self._was_spared
+        """Return whether every observer sees the outcome."""
+        check = self._was_never_accused
         if outcome.outcome != 'never-accused':
             check = _sees
         return all(check(h, outcome) for h in self._observers(outcome.at))
 
-    def _was_spared(self, host: FleetHost, outcome: Outcome) -> bool:
+    def _was_never_accused(self, host: FleetHost, outcome: Outcome) -> bool:
         return not any(self._was_accused(host, p) for p in outcome.parties)
 
     def _was_accused(self, host: FleetHost, party: str) -> bool:
-        # A refutation raises what a host or a zone began with.
+        # A host that refutes a report increments its incarnation. A zone
+        # has a record only once it was reported lost.
         record = host.membership.find_host(party)
         if record is not None:
-            return record.incarnation != self._started[party]
+            return record.incarnation != self._first_incarnations[party]
         zones = host.membership.records().zones
         return any(z.zone == party for z in zones)
 
@@ -127,7 +128,7 @@
                 self._listed,
                 self._seeds,
             )
-            self._started[name] = host.membership.own.incarnation
+            self._first_incarnations[name] = host.membership.own.incarnation
 
     def _on_stop(self, step: TraceEvent) -> None:
         for name in step.parties:
@@ -153,11 +154,11 @@
 
 def _sees(host: FleetHost, outcome: Outcome) -> bool:
     if outcome.outcome in ('live', 'not-live'):
-        wanted = outcome.outcome == 'live'
-        return all((p in host.live) is wanted for p in outcome.parties)
-    wanted = outcome.outcome == 'lost'
+        is_expected = outcome.outcome == 'live'
+        return all((p in host.live) is is_expected for p in outcome.parties)
+    is_expected = outcome.outcome == 'lost'
     zones = {z.zone: z for z in host.membership.live_hosts.zones}
-    return all(zones[p].is_lost is wanted for p in outcome.parties)
+    return all(zones[p].is_lost is is_expected for p in outcome.parties)
 
 
 def _zone_of(host: str) -> str:
--- a/features/fakes/trace_replay.py
+++ b/features/fakes/trace_replay.py
@@ -1,4 +1,4 @@
-"""Replay of recorded traces with the outcomes stated beside them."""
+"""Replay of recorded traces with their expected outcomes."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     from trefoilpulley_standins.membership_fleet import Fleet
 
 TRACES = Path(__file__).parents[1] / 'traces'
-"""Folder of the traces."""
+"""Directory of the traces."""
 
 
 class TraceReplay(abc.ABC):
-    """Replays one trace and checks its outcomes in passing.
+    """Replays one trace and checks its outcomes at their times.
 
     Parameters
     ----------
     folder : str
-        Folder of the traces.
+        Name of the directory of the traces.
     event_type : type
-        Data class of the events; each runs the method ``_on_`` and its
-        name.
+        Data class of the events. The method ``_on_<event>`` handles an
+        event, with underscores for hyphens.
     outcome_type : type
         Data class of the outcomes.
     fleet : Fleet
@@ -43,17 +43,17 @@
         """Hosts on the virtual clock."""
 
         self.wrong: list[Any] = []
-        """Outcomes that did not hold."""
+        """Outcomes that did not hold at their time."""
 
         self.checked = 0
-        """Outcomes that were looked at."""
+        """Number of outcomes that were checked."""
 
     @abc.abstractmethod
     def holds(self, outcome: Any) -> bool:
-        """Return whether an outcome holds now."""
+        """Return whether an outcome holds at the current time."""
 
     def replay(self, name: str) -> None:
-        """Replay a trace by its name."""
+        """Replay the trace with the given name."""
         trace = self._load(f'{name}.jsonl', self._event_type)
         outcomes = self._load(f'{name}.outcomes.jsonl', self._outcome_type)
         for step in sorted((*trace, *outcomes), key=lambda s: s.time):
@@ -64,7 +64,7 @@
                 getattr(self, f'_on_{step.event.replace("-", "_")}')(step)
 
     def check_outcomes(self) -> None:
-        """Expect no wrong outcome, and some outcome."""
+        """Check that there are outcomes and that all of them hold."""
         assert self.checked
         assert not self.wrong, self.wrong
 
--- a/features/membership_hosts.feature
+++ b/features/membership_hosts.feature
@@ -1,24 +1,24 @@
-Feature: Membership and documents over real connections
+Feature: Membership and configuration documents over TCP
 
   Background:
     Given small hosts in 3 zones with 2 hosts each
 
-  Scenario: Hosts agree on who is live and on the documents
+  Scenario: Hosts agree on the live hosts and the documents
     Then all small hosts see each other live
     When a small change is applied
     Then all small hosts hold the change
 
-  Scenario: A host that is killed is left out
+  Scenario: A killed host is removed from the live hosts
     Given all small hosts see each other live
     When the small host "z1-h0" is killed
     Then all small hosts see each other live
 
-  Scenario: A host that leaves is left out while it still runs
+  Scenario: A leaving host is removed from the live hosts while it runs
     Given all small hosts see each other live
     When the small host "z1-h0" leaves
     Then the other small hosts see "z1-h0" no more
 
-  Scenario: A host starts while the service is out
+  Scenario: A host starts while the service is unavailable
     Given all small hosts see each other live
     And a small change is applied
     And all small hosts hold the change
--- a/features/membership_rules.feature
+++ b/features/membership_rules.feature
@@ -1,14 +1,14 @@
-Feature: Rules of membership that always hold
+Feature: Invariants of membership
 
-  Scenario: Records merge in any order and number
-    Then membership records merge alike in any order and number
+  Scenario: The merge of records does not depend on order and repetition
+    Then membership records merge equally in any order and number
 
-  Scenario: The hosts agree again after any two faults
-    Then after any 2 membership faults the hosts agree again
+  Scenario: The hosts converge after any two faults
+    Then after any 2 membership faults the hosts converge
 
-  Scenario: The hosts agree again after any three faults
-    Then after any 3 membership faults the hosts agree again
+  Scenario: The hosts converge after any three faults
+    Then after any 3 membership faults the hosts converge
 
-  Scenario: A host that never refutes is noticed
+  Scenario: The schedules detect a host that never refutes
     Given membership with the fault "never refutes"
-    Then some 2 membership faults leave the hosts divided
+    Then after some 2 membership faults the hosts do not converge
--- a/features/membership_traces.feature
+++ b/features/membership_traces.feature
@@ -1,11 +1,11 @@
-Feature: Membership by recorded traces
+Feature: Membership in recorded traces
 
-  Each trace is replayed on a virtual clock; beside it stands what each
-  host must see, and by when.
+  Each trace is replayed on a virtual clock. A file of outcomes next to the
+  trace states which hosts each host must see as live, and at which time.
 
-  Scenario Outline: The outcomes stated beside a trace hold
+  Scenario Outline: The outcomes of a trace hold
     When the membership trace "<trace>" is replayed
-    Then every outcome stated beside the membership trace holds
+    Then every outcome of the membership trace holds
 
     Examples:
       | trace             |
@@ -26,10 +26,10 @@
       | frozen-zone       |
       | stuttering-zone   |
 
-  Scenario Outline: A fault in a rule of membership is noticed
+  Scenario Outline: The outcomes of a trace detect a broken rule
     Given membership with the fault "<fault>"
     When the membership trace "<trace>" is replayed
-    Then an outcome stated beside the membership trace fails
+    Then an outcome of the membership trace fails
 
     Examples:
       | fault                | trace        |
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on membership."""
+"""Steps on membership and on the choice of poolers."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 from trefoilpulley_standins.membership_fleet import make_entry
 
 MERGE_EXAMPLES = 200
-"""Generated orders of records."""
+"""Number of generated lists of records."""
 
 SCHEDULE_EXAMPLES = 25
-"""Generated schedules of faults."""
+"""Number of generated schedules of faults."""
 
-KEYS = 4000
-"""Members whose poolers are picked."""
+MEMBER_COUNT = 4000
+"""Number of members for which a pooler is chosen."""
 
-SEEDS = strategies.integers(0, 1000)
-"""Seeds of fleets and orders."""
+SEED_STRATEGY = strategies.integers(0, 1000)
+"""Seeds of the fleets and of the shuffled lists."""
 
-RECORDS = strategies.builds(
+RECORD_STRATEGY = strategies.builds(
     lambda name, incarnation, state: HostRecord(
         make_entry(name, 'a'), incarnation, state
     ),
@@ -49,96 +49,96 @@
     strategies.integers(0, 3),
     strategies.sampled_from(HostState),
 )
-"""Any record of three hosts."""
+"""Generated records of three hosts."""
 
 
 class MembershipSteps:
-    """Steps that replay traces and generated schedules."""
+    """Steps on traces, generated schedules and poolers."""
 
     @staticmethod
     @given('membership with the fault "{fault}"')
     def choose_fault(context: Any, fault: str) -> None:
-        """Break one rule for this scenario."""
+        """Select a membership with one broken rule."""
         context.make_membership = FAULTS[fault]
 
     @staticmethod
     @when('the membership trace "{trace}" is replayed')
     def replay_trace(context: Any, trace: str) -> None:
-        """Replay a trace against the rules."""
+        """Replay a trace with the selected membership."""
         make = getattr(context, 'make_membership', Membership)
         context.replay = MembershipReplay(make)
         context.replay.replay(trace)
 
     @staticmethod
-    @then('every outcome stated beside the membership trace holds')
+    @then('every outcome of the membership trace holds')
     def check_outcomes(context: Any) -> None:
-        """Expect no wrong outcome, and some outcome."""
+        """Check that there are outcomes and that all of them hold."""
         context.replay.check_outcomes()
 
     @staticmethod
-    @then('an outcome stated beside the membership trace fails')
-    def check_bite(context: Any) -> None:
-        """Expect the broken rule to be noticed."""
+    @then('an outcome of the membership trace fails')
+    def check_outcome_fails(context: Any) -> None:
+        """Check that the outcomes detect the broken rule."""
         assert context.replay.wrong
 
     @staticmethod
-    @then('membership records merge alike in any order and number')
+    @then('membership records merge equally in any order and number')
     def check_merge(context: Any) -> None:
-        """Merge generated records in two orders."""
+        """Merge generated records once, and twice in another order."""
 
         def merge(records: list[HostRecord], seed: int) -> None:
             shuffled = records * 2
             random.Random(seed).shuffle(shuffled)
             assert _merge(records) == _merge(shuffled)
 
-        lists = strategies.lists(RECORDS)
-        violation = find_violation(merge, MERGE_EXAMPLES, lists, SEEDS)
+        lists = strategies.lists(RECORD_STRATEGY)
+        violation = find_violation(merge, MERGE_EXAMPLES, lists, SEED_STRATEGY)
         assert violation is None, violation
 
     @staticmethod
-    @then('after any {count:d} membership faults the hosts agree again')
+    @then('after any {count:d} membership faults the hosts converge')
     def check_schedules(context: Any, count: int) -> None:
-        """Run generated schedules of faults."""
+        """Check that no generated schedule violates an invariant."""
         violation = _run_schedules(count, Membership)
         assert violation is None, violation
 
     @staticmethod
-    @then('some {count:d} membership faults leave the hosts divided')
-    def check_schedules_bite(context: Any, count: int) -> None:
-        """Expect the broken rule to be noticed."""
+    @then('after some {count:d} membership faults the hosts do not converge')
+    def check_schedules_fail(context: Any, count: int) -> None:
+        """Check that a generated schedule detects the broken rule."""
         assert _run_schedules(count, context.make_membership) is not None
 
     @staticmethod
     @given('{count:d} live hosts in each of the zones {zones}')
     def make_live(context: Any, count: int, zones: str) -> None:
-        """Build a view of equal zones of one region."""
-        names = zones.split(', ')
-        context.live = LiveHosts('r', 1, tuple(map(_zone(count), names)))
+        """Create a view of zones of equal size in one region."""
+        zone_names = zones.split(', ')
+        context.live = LiveHosts('r', 1, tuple(map(_zone(count), zone_names)))
 
     @staticmethod
-    @when('the host that pools the most members of zone {zone} goes')
-    def remove_busiest(context: Any, zone: str) -> None:
+    @when('the host that pools the most members of zone {zone} is removed')
+    def remove_most_loaded(context: Any, zone: str) -> None:
         """Remove the host with the most members."""
         context.before = _poolers(context.live, zone)
         hosts = context.live.hosts_of(zone)
-        busiest = max(hosts, key=context.before.count)
-        context.gone = {busiest}
-        context.live = _without(context.live, context.gone)
+        most_loaded = max(hosts, key=context.before.count)
+        context.removed = {most_loaded}
+        context.live = _without(context.live, context.removed)
         context.after = _poolers(context.live, zone)
 
     @staticmethod
-    @when('every host of zone {zone} goes')
+    @when('every host of zone {zone} is removed')
     def remove_zone(context: Any, zone: str) -> None:
         """Remove all hosts of a zone."""
         context.before = _poolers(context.live, zone)
-        context.gone = set(context.live.hosts_of(zone))
-        context.live = _without(context.live, context.gone)
+        context.removed = set(context.live.hosts_of(zone))
+        context.live = _without(context.live, context.removed)
         context.after = _poolers(context.live, zone)
 
     @staticmethod
-    @when('a live host of zone a refutes a verdict that nobody has seen')
+    @when('a live host of zone a refutes a suspicion that no other host knows')
     def refute(context: Any) -> None:
-        """Raise an incarnation in a table of these hosts."""
+        """Merge a record with a higher incarnation into a table."""
         table = MembershipTable('r')
         entries = [
             make_entry(host, zone.zone)
@@ -146,45 +146,45 @@
             for host in zone.hosts
         ]
         table.apply_list(entries)
-        context.seen = table.live_hosts
+        context.view = table.live_hosts
         assert table.merge(HostRecord(entries[0], 9, HostState.ALIVE))
         context.live = table.live_hosts
 
     @staticmethod
-    @then('the view of the live hosts is the same one as before')
-    def check_same_view(context: Any) -> None:
-        """Compare the views."""
-        assert context.live is context.seen
+    @then('the view of the live hosts is the same object as before')
+    def check_view_unchanged(context: Any) -> None:
+        """Check that no new view was created."""
+        assert context.live is context.view
 
     @staticmethod
-    @then('only the members of the hosts that went have moved')
+    @then('only the members of the removed hosts have another pooler')
     def check_moved(context: Any) -> None:
-        """Compare the poolers before and after."""
+        """Compare the poolers before and after the removal."""
         for before, after in zip(context.before, context.after, strict=True):
-            assert (before != after) is (before in context.gone)
+            assert (before != after) is (before in context.removed)
 
     @staticmethod
     @then('the members of zone {zone} are pooled in the zones {zones}')
     def check_zones(context: Any, zone: str, zones: str) -> None:
-        """Compare the zones of the poolers."""
+        """Check the zones of the poolers of a zone's members."""
         found = {p.split('-')[0] for p in _poolers(context.live, zone)}
         assert found == set(zones.split(', ')), found
 
     @staticmethod
     @then('no host of zone {zone} pools more than {share:g} times its share')
     def check_balance(context: Any, zone: str, share: float) -> None:
-        """Compare the busiest host with an equal share."""
+        """Compare the most loaded host with an equal share."""
         poolers = _poolers(context.live, zone)
         hosts = context.live.hosts_of(zone)
-        busiest = max(map(poolers.count, hosts))
-        assert busiest <= share * KEYS / len(hosts), busiest
+        most_loaded = max(map(poolers.count, hosts))
+        assert most_loaded <= share * MEMBER_COUNT / len(hosts), most_loaded
 
     @staticmethod
-    @then('the owner of a key is the first of its ranked hosts')
+    @then('the owner of a key is the host that is ranked first')
     def check_owner(context: Any) -> None:
-        """Compare both forms of the same choice."""
+        """Check that ``pick_host`` and ``rank_hosts`` agree."""
         hosts = context.live.hosts_of('a')
-        for number in range(KEYS):
+        for number in range(MEMBER_COUNT):
             ranked = rank_hosts(f'm{number}', hosts)
             assert sorted(ranked) == sorted(hosts)
             assert ranked[0] == pick_host(f'm{number}', hosts[::-1])
@@ -197,7 +197,7 @@
         MembershipSchedule(seed, make).run(faults)
 
     schedules = make_schedules(tuple(FaultKind), count)
-    return find_violation(run, SCHEDULE_EXAMPLES, schedules, SEEDS)
+    return find_violation(run, SCHEDULE_EXAMPLES, schedules, SEED_STRATEGY)
 
 
 def _merge(records: list[HostRecord]) -> tuple[Any, ...]:
@@ -212,13 +212,15 @@
 
 
 def _make_zone(count: int, zone: str) -> ZoneHosts:
-    names = tuple(f'{zone}-{number}' for number in range(count))
-    return ZoneHosts(zone, 'r', names)
+    host_names = tuple(f'{zone}-{number}' for number in range(count))
+    return ZoneHosts(zone, 'r', host_names)
 
 
-def _without(live: LiveHosts, gone: set[str]) -> LiveHosts:
+def _without(live: LiveHosts, removed: set[str]) -> LiveHosts:
     zones = tuple(
-        ZoneHosts(z.zone, z.region, tuple(h for h in z.hosts if h not in gone))
+        ZoneHosts(
+            z.zone, z.region, tuple(h for h in z.hosts if h not in removed)
+        )
         for z in live.zones
     )
     return LiveHosts(live.region, live.version + 1, zones)
@@ -228,5 +230,5 @@
     endpoint = Endpoint('10.0.0.9', 1)
     return [
         live.pooler_of(MemberEntry(f'm{n}', zone, endpoint, 2, 16))
-        for n in range(KEYS)
+        for n in range(MEMBER_COUNT)
     ]
