--- a/features/fakes/configuration_schedule.py
+++ b/features/fakes/configuration_schedule.py
@@ -68,13 +68,13 @@
             self._fleet.publish(make_configuration(self._revision))
         super()._run(duration_s)
 
-    def _mend(self) -> None:
-        super()._mend()
+    def _heal(self) -> None:
+        super()._heal()
         self._fleet.service.cut_zones.clear()
         self._fleet.bring_service_up()
 
-    def _check_always(self) -> None:
-        super()._check_always()
+    def _check_invariants(self) -> None:
+        super()._check_invariants()
         for name, state in self._fleet.documents.items():
             revision = state.holder.configuration.revision
             assert revision == state.holder.versions.configuration, name
@@ -109,4 +109,4 @@
         if host.is_up:
             document = make_configuration(max(1, self._revision - 1))
             self._fleet.act(host, lambda: spread.on_push(document))
-            self._check_always()
+            self._check_invariants()
--- a/features/fakes/membership_schedule.py
+++ b/features/fakes/membership_schedule.py
@@ -107,11 +107,11 @@
             name = f'z{fault.zone}-h{fault.host}'
             getattr(self, f'_{fault.kind.replace("-", "_")}')(name)
         self._run(5.0)
-        self._mend()
+        self._heal()
         self._run(CONVERGENCE_TIMEOUT_S)
         self._check_agreement()
 
-    def _mend(self) -> None:
+    def _heal(self) -> None:
         self._fleet.heal()
 
     def _start(self, name: str, zone: str) -> None:
@@ -122,9 +122,9 @@
         end = self._fleet.now + duration_s
         while self._fleet.now < end:
             self._fleet.run(min(0.5, end - self._fleet.now))
-            self._check_always()
+            self._check_invariants()
 
-    def _check_always(self) -> None:
+    def _check_invariants(self) -> None:
         for name, host in self._fleet.hosts.items():
             own = host.membership.own
             assert own.state is not HostState.DEAD, name
--- a/features/fakes/trace_replay.py
+++ b/features/fakes/trace_replay.py
@@ -42,10 +42,10 @@
         self.fleet = fleet
         """Hosts on the virtual clock."""
 
-        self.wrong: list[Any] = []
+        self.failed_outcomes: list[Any] = []
         """Outcomes that did not hold at their time."""
 
-        self.checked = 0
+        self.checked_count = 0
         """Number of outcomes that were checked."""
 
     @abc.abstractmethod
@@ -65,13 +65,13 @@
 
     def check_outcomes(self) -> None:
         """Check that there are outcomes and that all of them hold."""
-        assert self.checked
-        assert not self.wrong, self.wrong
+        assert self.checked_count
+        assert not self.failed_outcomes, self.failed_outcomes
 
     def _check(self, outcome: Any) -> None:
-        self.checked += 1
+        self.checked_count += 1
         if not self.holds(outcome):
-            self.wrong.append(outcome)
+            self.failed_outcomes.append(outcome)
 
     def _load(self, name: str, kind: type) -> tuple[Any, ...]:
         lines = (self._folder / name).read_text(encoding='utf-8').splitlines()
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -242,7 +242,7 @@
     @then('an outcome stated beside the configuration trace fails')
     def check_bite(context: Any) -> None:
         """Expect the broken rule to be noticed."""
-        assert context.replay.wrong
+        assert context.replay.failed_outcomes
 
     @staticmethod
     @then(
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -79,7 +79,7 @@
     @then('an outcome of the membership trace fails')
     def check_outcome_fails(context: Any) -> None:
         """Check that the outcomes detect the broken rule."""
-        assert context.replay.wrong
+        assert context.replay.failed_outcomes
 
     @staticmethod
     @then('membership records merge equally in any order and number')
