--- a/features/fakes/routing_trace.py
+++ b/features/fakes/routing_trace.py
@@ -1,4 +1,4 @@
-"""Replay of recorded routing traces against the core."""
+"""Replay of recorded routing and age traces."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     from returns.result import Result
 
 TRACES = Path(__file__).parent.parent / 'traces' / 'routing'
-"""Directory of the traces and of the outcomes stated beside them."""
+"""Directory of the traces and their expected outcomes."""
 
 
 def make_class(
@@ -38,7 +38,7 @@
     within_ms: int,
     share: float,
 ) -> WorkClass:
-    """Return a class of work; only its reads may be repeated."""
+    """Return a class of work; a read may be retried, a write may not."""
     return WorkClass(
         name,
         work,
@@ -49,7 +49,7 @@
 
 
 PRESENT = Freshness(FreshnessKind.PRESENT)
-"""What the primary holds at arrival."""
+"""Freshness of a read that only the primary may serve."""
 
 CLASSES = (
     make_class('filing', WorkKind.WRITE, PRESENT, 2000, 0.99),
@@ -61,29 +61,29 @@
         'lookup', WorkKind.READ, Freshness(FreshnessKind.AGE, 2000), 250, 0.95
     ),
 )
-"""Classes of work of the scenarios."""
+"""Classes of work in the scenarios."""
 
 
 def find_class(name: str) -> WorkClass:
-    """Return a class of the scenarios by its name."""
+    """Return the class of work with the given name."""
     return next(c for c in CLASSES if c.name == name)
 
 
 def make_targets() -> ClassTargets:
-    """Return the targets of the scenarios' classes."""
+    """Return targets with the declared classes of the scenarios."""
     targets = ClassTargets()
     targets.declare(CLASSES)
     return targets
 
 
 def read_lines(name: str) -> list[dict[str, Any]]:
-    """Return the lines of a trace or of its outcome."""
+    """Return the decoded lines of a file of traces or outcomes."""
     text = (TRACES / name).read_text()
     return [json.loads(line) for line in text.splitlines()]
 
 
 class RoutingReplay:
-    """Replays one trace of digests and requests.
+    """Replays a trace of digests and requests with the target policy.
 
     Parameters
     ----------
@@ -97,10 +97,10 @@
         self._policy = TargetRouting(self._targets)
         self._members: dict[str, MemberView] = {}
         self.routes: dict[str, Result] = {}
-        """Route or refusal of each request."""
+        """Route or failure of each request, by the request's name."""
 
     def run(self) -> None:
-        """Replay every line in order."""
+        """Replay the lines of the trace in order."""
         for line in read_lines(f'{self._name}.jsonl'):
             handler = getattr(self, '_on_' + line['event'].replace('-', '_'))
             handler(line)
@@ -157,24 +157,24 @@
 
 
 class AgeReplay:
-    """Replays one trace of probes and statuses.
+    """Replays a trace of probes and statuses with an age tracker.
 
     Parameters
     ----------
     name : str
         Name of the trace.
     tracker : AgeTracker
-        Tracker to replay it against.
+        Tracker that receives the probes and statuses.
     """
 
     def __init__(self, name: str, tracker: AgeTracker) -> None:
         self._name = name
         self._tracker = tracker
         self.ages: dict[str, int | None] = {}
-        """Answer to each question."""
+        """Age at each question of the trace, in milliseconds."""
 
     def run(self) -> None:
-        """Replay every line in order."""
+        """Replay the lines of the trace in order."""
         for line in read_lines(f'{self._name}.jsonl'):
             getattr(self, '_on_' + line['event'])(line)
 
--- a/features/routing_stale.feature
+++ b/features/routing_stale.feature
@@ -1,10 +1,11 @@
-Feature: Routing by digests that no answer has refreshed
-  A host whose callers use hundreds of databases hears of each member
-  seldom; the member's pooler dates its data, so the read goes there.
+Feature: Routing by stale digests
+  A host whose callers use hundreds of databases rarely gets a new digest of
+  each member. The member's pooler reports the age of the member's data, so
+  that the read is sent there.
 
-  Scenario Outline: the age in a digest counts while the digest is young
+  Scenario Outline: the age in a digest is used only while the digest is recent
     Given a primary and a replica whose digest of <seen> s ago states an age of <age>
-    When a read of at most 2000 ms is routed by old digests
+    When a read of at most 2000 ms is routed by these digests
     Then the read goes to the <role>
 
     Examples:
--- a/features/routing_traces.feature
+++ b/features/routing_traces.feature
@@ -1,8 +1,8 @@
-Feature: Routing and freshness by recorded traces
+Feature: Routing and freshness in recorded traces
 
-  Scenario Outline: every request of a trace gets its stated member
+  Scenario Outline: every request of a trace is routed to the expected member
     When the routing trace "<trace>" is replayed
-    Then each request is routed as stated beside it
+    Then each request is routed as the outcome of the trace states
 
     Examples:
       | trace         |
@@ -13,9 +13,9 @@
       | without-token |
       | waiting       |
 
-  Scenario Outline: every age of a trace is as stated
+  Scenario Outline: every age of a trace is the expected age
     When the age trace "<trace>" is replayed
-    Then each age is as stated beside it
+    Then each age is as the outcome of the trace states
 
     Examples:
       | trace         |
@@ -23,14 +23,14 @@
       | age-partition |
       | age-rebuilt   |
 
-  Scenario: a tracker that ignores fences states a false age
-    When the age trace "age-partition" is replayed without fences
-    Then an age differs from the stated one
+  Scenario: the trace detects a tracker that ignores fenced terms
+    When the age trace "age-partition" is replayed with a tracker that ignores fenced terms
+    Then an age differs from the outcome of the trace
 
-  Scenario Outline: a replica's lag is known to within the probes
+  Scenario Outline: the measured lag of a replica is accurate to the probe interval
     When a replica follows <lag> ms behind <rate> writes a second
-    Then its lag is known to within <error> ms
-    And no age is below the true one
+    Then the measured lag differs from the true lag by at most <error> ms
+    And no age is below the true age
 
     Examples:
       | lag | rate | error |
--- a/features/steps/routing_share_steps.py
+++ b/features/steps/routing_share_steps.py
@@ -1,4 +1,4 @@
-"""Steps on whole replays and on generated requests."""
+"""Steps on replayed traffic and on generated requests."""
 
 from __future__ import annotations
 
@@ -37,20 +37,20 @@
 SEED = 7
 """Seed of the replays."""
 
-EXAMPLES = 300
-"""Generated requests."""
+REQUEST_EXAMPLES = 300
+"""Number of generated requests."""
 
-EARLY_S = 0.1
-"""Longest median time to an early refusal, in seconds."""
+MAX_EARLY_REFUSAL_S = 0.1
+"""Maximum median time until a refusal that counts as early, in seconds."""
 
 
 class _TermlessRouting(TargetRouting):
-    """Deliberate fault: compares indexes alone."""
+    """Policy with a deliberate fault: it ignores the terms of positions."""
 
     def choose(
         self, view: DatabaseView, req: RouteRequest, now: float
     ) -> Result[Route, Failure]:
-        """Choose with every floor in the first term."""
+        """Choose a member with every floor moved to term 1."""
         floor = req.floor and Position(1, req.floor.index)
         termless = RouteRequest(
             req.work_class, floor, req.zone, req.deadline, req.excluded
@@ -58,129 +58,131 @@
         return super().choose(view, termless, now)
 
 
-WAYS = {
+POLICIES = {
     'by the targets': TargetRouting,
     'by the thin policy': NearestRouting,
     'by a policy without terms': _TermlessRouting,
 }
-"""Policies by the names that the scenarios give them."""
+"""Policies by their names in the scenarios."""
 
 
 class RoutingShareSteps:
-    """Steps that replay traffic on a virtual clock."""
+    """Steps that replay the traffic of a deployment on a virtual clock."""
 
     @staticmethod
     @when('{name} is replayed at a lag of {lag_ms:d} ms')
     def replay_lag(context: Any, name: str, lag_ms: int) -> None:
-        """Replay ordinary traffic."""
+        """Replay normal traffic."""
         _run(context, name, Load(20, 150, lag_ms / 1000, 4.0))
 
     @staticmethod
     @when('{name} is replayed at twice the load of its slots')
     def replay_overload(context: Any, name: str) -> None:
-        """Replay twice the work that the slots carry."""
+        """Replay twice the load for which the deployment has slots."""
         deployment = _find_deployment(name)
         _run(context, name, overload_of(deployment, 1.5))
 
     @staticmethod
     @when('{name} is replayed with a tenant that floods')
     def replay_flood(context: Any, name: str) -> None:
-        """Replay the flood of one tenant beside another's traffic."""
+        """Replay the flood of one tenant and the normal traffic of another."""
         load = Load(20, 200, 0.05, 1.5, flood_per_s=3000)
         _run(context, name, load)
 
     @staticmethod
     @then('at least {share:f} of the aged reads are served by replicas')
     def check_aged(context: Any, share: float) -> None:
-        """Compare with the target of the users."""
-        found = context.tally[context.deployment.aged_read.name]
-        assert found.answered > 100
-        assert found.replica_share >= share, found.replica_share
+        """Compare the share of the aged reads at replicas with the target."""
+        class_tally = context.tally[context.deployment.aged_read.name]
+        assert class_tally.answered > 100
+        assert class_tally.replica_share >= share, class_tally.replica_share
 
     @staticmethod
     @then(
         'at least {share:f} of the reads just after a write are served by '
         'replicas'
     )
-    def check_written(context: Any, share: float) -> None:
-        """Compare with the target of the users."""
-        found = context.tally[JUST_WRITTEN]
-        assert found.answered > 30
-        assert found.replica_share >= share, found.replica_share
+    def check_reads_after_write(context: Any, share: float) -> None:
+        """Compare the share of the reads after writes with the target."""
+        class_tally = context.tally[JUST_WRITTEN]
+        assert class_tally.answered > 30
+        assert class_tally.replica_share >= share, class_tally.replica_share
 
     @staticmethod
-    @then('no read stated a false age')
-    def check_true(context: Any) -> None:
-        """Expect every age on the careful side."""
+    @then('no read reported an age below the true age')
+    def check_ages(context: Any) -> None:
+        """Check that no reported age was below the true age."""
         assert context.run.false_ages == 0
 
     @staticmethod
-    @then('every class keeps its target')
+    @then('every class meets its target')
     def check_targets(context: Any) -> None:
         """Compare every class with its promptness target."""
         for work_class in context.deployment.classes:
             _check_target(context, work_class.name, work_class)
 
     @staticmethod
-    @then('the writes keep their target')
+    @then('the writes meet their target')
     def check_writes(context: Any) -> None:
-        """Compare filings or bookings with their target."""
+        """Compare the deployment's writes with their target."""
         work_class = context.deployment.write
         _check_target(context, work_class.name, work_class)
 
     @staticmethod
-    @then('the session reads keep their target')
+    @then('the session reads meet their target')
     def check_session_reads(context: Any) -> None:
-        """Compare reads of a session's own writes with their target."""
+        """Compare the reads of a session's own writes with their target."""
         work_class = context.deployment.session_read
         _check_target(context, work_class.name, work_class)
 
     @staticmethod
-    @then('the aged reads of the other tenant keep their target')
-    def check_steady(context: Any) -> None:
-        """Compare the tenant within its share with the target."""
+    @then('the aged reads of the other tenant meet their target')
+    def check_other_tenant(context: Any) -> None:
+        """Compare the reads of the tenant that does not flood."""
         work_class = context.deployment.aged_read
         _check_target(context, f'steady/{work_class.name}', work_class)
 
     @staticmethod
     @then('aged reads are refused early')
-    def check_early(context: Any) -> None:
-        """Expect refusals long before the deadline."""
-        found = context.tally[context.deployment.aged_read.name]
-        assert found.refused_share > 0.3
-        assert found.median_refusal_s <= EARLY_S, found.median_refusal_s
+    def check_early_refusals(context: Any) -> None:
+        """Check that refusals come long before the deadline."""
+        class_tally = context.tally[context.deployment.aged_read.name]
+        assert class_tally.refused_share > 0.3
+        assert class_tally.median_refusal_s <= MAX_EARLY_REFUSAL_S, (
+            class_tally.median_refusal_s
+        )
 
     @staticmethod
-    @then('no more work was run than answered')
-    def check_refusals(context: Any) -> None:
-        """Expect that nothing refused has run."""
+    @then('no refused request was run')
+    def check_refused_not_run(context: Any) -> None:
+        """Check that as many requests were run as were answered."""
         names = [c.name for c in context.deployment.classes]
         answered = sum(context.tally[n].answered for n in names)
         assert context.run.served == answered
 
     @staticmethod
     @when('generated requests are routed {way}')
-    def generate(context: Any, way: str) -> None:
-        """Route generated requests with digests that are right."""
+    def route_generated(context: Any, way: str) -> None:
+        """Route generated requests with digests that are up to date."""
 
-        def check(group: list[LogHistory], asked: int) -> None:
-            _check_floor(WAYS[way](), group, asked)
+        def check(group: list[LogHistory], floor_member: int) -> None:
+            _check_floor(POLICIES[way](), group, floor_member)
 
-        context.broken = find_violation(
-            check, EXAMPLES, _groups(), strategies.integers(0, 2)
+        context.violation = find_violation(
+            check, REQUEST_EXAMPLES, _groups(), strategies.integers(0, 2)
         )
 
     @staticmethod
     @then('no route is below its floor')
     def check_floors(context: Any) -> None:
-        """Expect no broken rule."""
-        assert context.broken is None, context.broken
+        """Check that every route respects the floor."""
+        assert context.violation is None, context.violation
 
     @staticmethod
     @then('a route is below its floor')
-    def check_fault(context: Any) -> None:
-        """Expect the deliberate fault to show."""
-        assert context.broken is not None
+    def check_floor_violated(context: Any) -> None:
+        """Check that the generated requests detect the faulty policy."""
+        assert context.violation is not None
 
 
 def _find_deployment(name: str) -> Deployment:
@@ -194,26 +196,26 @@
 
 
 def _check_target(context: Any, name: str, work_class: Any) -> None:
-    found = context.tally[name]
-    assert found.total > 20, name
-    assert found.in_time_share >= work_class.promptness.share, (
+    class_tally = context.tally[name]
+    assert class_tally.total > 20, name
+    assert class_tally.in_time_share >= work_class.promptness.share, (
         name,
-        found.in_time_share,
+        class_tally.in_time_share,
     )
 
 
 @strategies.composite
 def _groups(draw: Any) -> list[LogHistory]:
-    """Return the logs of a primary and two replicas with prefixes."""
+    """Return the logs of a primary and of replicas with prefixes of it."""
     starts = [TermStart(1, 1)]
     index = draw(strategies.integers(1, 8))
     for term in range(2, draw(strategies.integers(1, 3)) + 1):
         starts.append(TermStart(term, index + 1))
         index += draw(strategies.integers(1, 8))
-    found = [_cut(starts, index)]
+    logs = [_cut(starts, index)]
     for _ in range(MEMBERS - 1):
-        found.append(_cut(starts, draw(strategies.integers(1, index))))
-    return found
+        logs.append(_cut(starts, draw(strategies.integers(1, index))))
+    return logs
 
 
 def _cut(starts: list[TermStart], index: int) -> LogHistory:
@@ -221,13 +223,15 @@
     return LogHistory(kept, Position(kept[-1].term, index))
 
 
-def _check_floor(policy: Any, group: list[LogHistory], asked: int) -> None:
-    """Check a read whose floor is the end of one member's log."""
+def _check_floor(
+    policy: Any, group: list[LogHistory], floor_member: int
+) -> None:
+    """Check the route of a read whose floor is the end of a member's log."""
     members = tuple(
         MemberView(f'm/{i}', f'{i}', _digest(i, log), 0.0, 1.0 + i, False)
         for i, log in enumerate(group)
     )
-    floor = group[asked].last
+    floor = group[floor_member].last
     req = RouteRequest(find_class('status'), floor, '2', 0.4)
     result = policy.choose(DatabaseView('m', members), req, 0.0)
     assert is_successful(result)
--- a/features/steps/routing_stale_steps.py
+++ b/features/steps/routing_stale_steps.py
@@ -1,4 +1,4 @@
-"""Steps on routing by old digests."""
+"""Steps on routing by stale digests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from trefoilpulley_core.routing_targets import TargetRouting
 
 NOW = 100.0
-LOOKUP = WorkClass(
+LOOKUP_CLASS = WorkClass(
     'lookup',
     WorkKind.READ,
     Freshness(FreshnessKind.AGE, 2000),
@@ -33,42 +33,42 @@
 
 
 def _view(
-    name: str, is_primary: bool, age_ms: int | None, seen_s: float
+    name: str, is_primary: bool, age_ms: int | None, digest_age_s: float
 ) -> MemberView:
     digest = MemberDigest(
         name, is_primary, 1, Position(1, 9), 1, age_ms, 5, 0, True
     )
-    return MemberView(name, name, digest, NOW - seen_s, 2.0, False)
+    return MemberView(name, name, digest, NOW - digest_age_s, 2.0, False)
 
 
 class StaleRoutingSteps:
-    """Routes one read between a primary and a replica."""
+    """Steps on a read that a primary or a replica may serve."""
 
     @staticmethod
     @given(
-        'a primary and a replica whose digest of {seen:g} s ago states'
+        'a primary and a replica whose digest of {digest_age_s:g} s ago states'
         ' an age of {age}'
     )
-    def make_view(context: Any, seen: float, age: str) -> None:
-        """Build the view of a database."""
+    def make_view(context: Any, digest_age_s: float, age: str) -> None:
+        """Create the view of a database with two members."""
         age_ms = None if age == 'unknown' else int(age.split()[0])
         context.view = DatabaseView(
             'ledger/0',
             (
-                _view('primary', True, 0, seen),
-                _view('replica', False, age_ms, seen),
+                _view('primary', True, 0, digest_age_s),
+                _view('replica', False, age_ms, digest_age_s),
             ),
         )
 
     @staticmethod
-    @when('a read of at most 2000 ms is routed by old digests')
+    @when('a read of at most 2000 ms is routed by these digests')
     def route(context: Any) -> None:
-        """Choose a member."""
-        req = RouteRequest(LOOKUP, BEGINNING, 'replica', NOW + 1)
+        """Choose the member for the read."""
+        req = RouteRequest(LOOKUP_CLASS, BEGINNING, 'replica', NOW + 1)
         context.route = TargetRouting().choose(context.view, req, NOW)
 
     @staticmethod
     @then('the read goes to the {role:w}')
     def check_route(context: Any, role: str) -> None:
-        """Compare the member."""
+        """Check the chosen member."""
         assert context.route.unwrap().member == role, context.route
--- a/features/steps/routing_trace_steps.py
+++ b/features/steps/routing_trace_steps.py
@@ -18,28 +18,28 @@
 from trefoilpulley_standins.policy_loop import VirtualLoop
 
 
-class _FencelessTracker(AgeTracker):
-    """Deliberate fault: counts probes of a replaced primary."""
+class _UnfencedTracker(AgeTracker):
+    """Tracker with a deliberate fault: it keeps fenced samples."""
 
     def _drop_fenced(self, fenced_term: int) -> None:
         return
 
 
 class RoutingTraceSteps:
-    """Steps that replay traces of digests, requests and probes."""
+    """Steps on traces of digests, requests and probes."""
 
     @staticmethod
     @when('the routing trace "{name}" is replayed')
     def replay_routes(context: Any, name: str) -> None:
-        """Replay the requests of a trace."""
+        """Replay the digests and requests of a trace."""
         context.outcomes = read_lines(f'{name}.outcome.jsonl')
         context.replay = RoutingReplay(name)
         context.replay.run()
 
     @staticmethod
-    @then('each request is routed as stated beside it')
+    @then('each request is routed as the outcome of the trace states')
     def check_routes(context: Any) -> None:
-        """Compare every route with its outcome."""
+        """Compare every route with the expected outcome."""
         routes = context.replay.routes
         assert set(routes) == {o['request'] for o in context.outcomes}
         for outcome in context.outcomes:
@@ -48,35 +48,38 @@
     @staticmethod
     @when('the age trace "{name}" is replayed')
     def replay_ages(context: Any, name: str) -> None:
-        """Replay the probes of a trace."""
+        """Replay the probes and statuses of a trace."""
         context.outcomes = read_lines(f'{name}.outcome.jsonl')
         context.replay = AgeReplay(name, AgeTracker())
         context.replay.run()
 
     @staticmethod
-    @when('the age trace "{name}" is replayed without fences')
-    def replay_fenceless(context: Any, name: str) -> None:
-        """Replay the probes against the deliberate fault."""
+    @when(
+        'the age trace "{name}" is replayed with a tracker that ignores '
+        'fenced terms'
+    )
+    def replay_ages_with_faulty_tracker(context: Any, name: str) -> None:
+        """Replay the probes with the faulty tracker."""
         context.outcomes = read_lines(f'{name}.outcome.jsonl')
-        context.replay = AgeReplay(name, _FencelessTracker())
+        context.replay = AgeReplay(name, _UnfencedTracker())
         context.replay.run()
 
     @staticmethod
-    @then('each age is as stated beside it')
+    @then('each age is as the outcome of the trace states')
     def check_ages(context: Any) -> None:
-        """Compare every age with its outcome."""
-        assert context.replay.ages == _stated_ages(context)
+        """Compare every age with the expected outcome."""
+        assert context.replay.ages == _expected_ages(context)
 
     @staticmethod
-    @then('an age differs from the stated one')
-    def check_fault(context: Any) -> None:
-        """Expect the fault to show."""
-        assert context.replay.ages != _stated_ages(context)
+    @then('an age differs from the outcome of the trace')
+    def check_ages_differ(context: Any) -> None:
+        """Check that the outcome detects the faulty tracker."""
+        assert context.replay.ages != _expected_ages(context)
 
     @staticmethod
     @when('a replica follows {lag_ms:d} ms behind {rate:d} writes a second')
     def follow(context: Any, lag_ms: int, rate: int) -> None:
-        """Probe a fake group ten times a second."""
+        """Probe a simulated group ten times a second for 20 s."""
         loop = VirtualLoop()
         rng = random.Random(3)
         group = FakeGroup(loop, rng, lag_ms / 1000, 0.003)
@@ -105,22 +108,24 @@
         loop.run_until(20.0)
 
     @staticmethod
-    @then('its lag is known to within {error_ms:d} ms')
+    @then(
+        'the measured lag differs from the true lag by at most {error_ms:d} ms'
+    )
     def check_lag(context: Any, error_ms: int) -> None:
-        """Compare the lag with the group's."""
-        found = context.tracker.lag_ms()
+        """Compare the measured lag with the lag of the simulated group."""
+        measured_ms = context.tracker.lag_ms()
         true_ms = 1000 * context.group.true_lag_s(1)
-        assert abs(found - true_ms) <= error_ms, (found, true_ms)
+        assert abs(measured_ms - true_ms) <= error_ms, (measured_ms, true_ms)
 
     @staticmethod
-    @then('no age is below the true one')
+    @then('no age is below the true age')
     def check_true_ages(context: Any) -> None:
-        """Expect every age on the careful side."""
+        """Check that no age was below the true age."""
         assert context.false_ages == 0
         assert context.tracker.age_ms(20.0) is not None
 
 
-def _stated_ages(context: Any) -> dict[str, int | None]:
+def _expected_ages(context: Any) -> dict[str, int | None]:
     return {o['question']: o['age_ms'] for o in context.outcomes}
 
 
@@ -130,12 +135,15 @@
         assert result.failure().code == outcome['refusal'], outcome
         return
     route = result.unwrap()
-    stated = outcome['member']
-    allowed = stated if isinstance(stated, list) else [stated]
+    expected = outcome['member']
+    allowed = expected if isinstance(expected, list) else [expected]
     assert route.member in allowed, (outcome, route)
     if 'floor' in outcome:
         floor = outcome['floor']
         assert route.floor == (floor and Position(*floor)), (outcome, route)
     assert route.wait_ms >= outcome.get('least_wait_ms', 0), (outcome, route)
-    most_ms = outcome.get('most_wait_ms')
-    assert most_ms is None or route.wait_ms <= most_ms, (outcome, route)
+    max_wait_ms = outcome.get('most_wait_ms')
+    assert max_wait_ms is None or route.wait_ms <= max_wait_ms, (
+        outcome,
+        route,
+    )
