--- a/features/events_page.feature
+++ b/features/events_page.feature
@@ -1,14 +1,14 @@
 Feature: Catalogue of the log events
-  Operators look each numbered event up in the documentation.
+  Operators look up each event by its number in docs/EVENTS.md.
 
-  Scenario: the page of events lists each event of the code and no other
+  Scenario: the page of events lists exactly the events of the code
     When the page of events is compared with the code
-    Then both hold the same numbers and names
+    Then both list the same numbers and names
 
-  Scenario: an event that the page lacks is noticed
+  Scenario: the comparison detects an event that the page lacks
     When the page of events without its last row is compared with the code
     Then the events "1901" are missing from the page
 
-  Scenario: each event of the code is logged somewhere
+  Scenario: the node logs each event of the code
     When the sources of the node are searched for the events
-    Then none is unused
+    Then no event is unused
--- a/features/explain.feature
+++ b/features/explain.feature
@@ -1,6 +1,6 @@
-Feature: The story of a failed request
+Feature: Explanation of a failed request, the log and the metrics
 
-  Scenario: a refusal while a primary changed
+  Scenario: a refusal during a change of primary is explained
     Given the log lines
       """
       {"event":"primary-proved","host":"a-1","group":"g","member":"m1","timestamp":10.0}
@@ -12,9 +12,9 @@
       {"event":"change-over","host":"b-1","group":"g","member":"m2","timestamp":20.9}
       """
     When request "r1" is explained
-    Then the story is "primary-missed, statement-refused, change-over"
+    Then the command shows the events "primary-missed, statement-refused, change-over"
 
-  Scenario: a request that tried two hosts is told in order
+  Scenario: the events of a request at two hosts are shown in order
     Given the log lines
       """
         20.4 b-1 {"event":"statement-retried","host":"b-1","request":"r1","group":"g","failure":"replica-behind","timestamp":20.4}
@@ -23,31 +23,31 @@
       {"broken": true
       """
     When request "r1" is explained
-    Then the story is "statement-refused, statement-retried"
+    Then the command shows the events "statement-refused, statement-retried"
 
-  Scenario: an unknown request is said to be unknown
+  Scenario: an unknown request is reported
     Given the log lines
       """
       {"event":"host-started","host":"a-1","timestamp":1.0}
       """
     When request "r9" is explained
-    Then the command has failed with "no line names the request r9"
+    Then the command fails with "no line names the request r9"
 
-  Scenario: a reader that stops reading holds nobody up
-    Given a log that nobody reads
+  Scenario: a log that is not read does not block the host
+    Given a log sink on a pipe that is not read
     When 5000 lines of one event and 1 line of another are logged
-    Then logging never waited and the queue is bounded
+    Then logging does not block and the queue is bounded
     And the dropped lines are counted by event
-    When the reader reads again and a line is logged
-    Then the reader is told how many lines were dropped
+    When the pipe is read and a line is logged
+    Then the log states how many lines were dropped
 
-  Scenario: the metrics page lists each metric and no other
+  Scenario: the page of metrics lists exactly the metrics of the proxy
     When the page of metrics is compared with the proxy's metrics
-    Then both hold the same metrics
+    Then both list the same metrics
 
-  Scenario: the metrics render as text
+  Scenario: the metrics are rendered as text
     Given metrics with a request of 30 ms and 2 dropped lines
-    Then the text holds
+    Then the text contains the lines
       """
       trefoilpulley_requests_total{kind="session",outcome="done"} 1.0
       trefoilpulley_request_seconds_bucket{kind="session",le="0.05"} 1.0
--- a/features/steps/events_page_steps.py
+++ b/features/steps/events_page_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the page of events."""
+"""Steps on the page of events, ``docs/EVENTS.md``."""
 
 from __future__ import annotations
 
@@ -26,40 +26,40 @@
 
 
 class EventsPageSteps:
-    """Compares docs/EVENTS.md with the code."""
+    """Steps that compare the page of events with the code."""
 
     @staticmethod
     @when('the page of events is compared with the code')
     def compare_page(context: Any) -> None:
-        """Read both."""
+        """Collect the events of the page and of the code."""
         context.page = _page_events(PAGE.read_text(encoding='utf-8'))
         context.code = _code_events()
 
     @staticmethod
     @when('the page of events without its last row is compared with the code')
     def compare_short_page(context: Any) -> None:
-        """Read both, the page without its last row."""
+        """Collect the events of the code and of all rows but the last."""
         text = PAGE.read_text(encoding='utf-8').rstrip()
         context.page = _page_events(text.rpartition('\n')[0])
         context.code = _code_events()
 
     @staticmethod
-    @then('both hold the same numbers and names')
+    @then('both list the same numbers and names')
     def check_equal(context: Any) -> None:
-        """Expect no difference."""
+        """Check that the events are equal."""
         assert context.page == context.code, (context.page, context.code)
 
     @staticmethod
     @then('the events "{numbers}" are missing from the page')
     def check_missing(context: Any, numbers: str) -> None:
-        """Expect a difference."""
+        """Check the numbers of the missing events."""
         missing = sorted(context.code.keys() - context.page.keys())
         assert missing == [int(n) for n in numbers.split(',')], missing
 
     @staticmethod
     @when('the sources of the node are searched for the events')
     def search_sources(context: Any) -> None:
-        """Find where each event is logged."""
+        """Collect the events that no module of the node uses."""
         text = '\n'.join(
             path.read_text(encoding='utf-8')
             for path in SOURCES.rglob('*.py')
@@ -72,7 +72,7 @@
         ]
 
     @staticmethod
-    @then('none is unused')
+    @then('no event is unused')
     def check_used(context: Any) -> None:
-        """Expect each event to be logged."""
+        """Check that a module of the node uses each event."""
         assert not context.unused, context.unused
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the story of a request, the log and the metrics."""
+"""Steps on the explanation of a request, the log and the metrics."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 METRICS_PAGE = Path('docs/METRICS.md')
 
 
-class StorySteps:
+class ExplainSteps:
     """Steps on ``trefoilpulley explain``."""
 
     @staticmethod
     @given('the log lines')
     def write_log(context: Any) -> None:
-        """Write the lines to a file."""
+        """Write the lines to a log file."""
         folder = tempfile.TemporaryDirectory()
         context.cleanups.append(folder.cleanup)
         context.log_file = Path(folder.name) / 'host.log'
@@ -42,45 +42,45 @@
     @staticmethod
     @when('request "{request}" is explained')
     def explain(context: Any, request: str) -> None:
-        """Run the command."""
+        """Run ``trefoilpulley explain`` on the log file."""
         context.result = CliRunner().invoke(
             main, ['explain', request, str(context.log_file)]
         )
 
     @staticmethod
-    @then('the story is "{names}"')
-    def check_story(context: Any, names: str) -> None:
-        """Check the events and their order."""
+    @then('the command shows the events "{names}"')
+    def check_events(context: Any, names: str) -> None:
+        """Check the events and their order in the output."""
         assert context.result.exit_code == 0, context.result.output
         lines = context.result.output.splitlines()
         found = [line[2:].split(' ')[2] for line in lines]
         assert found == names.split(', '), lines
 
     @staticmethod
-    @then('the command has failed with "{text}"')
+    @then('the command fails with "{text}"')
     def check_failed(context: Any, text: str) -> None:
-        """Check exit code and message."""
+        """Check the exit code and the message."""
         assert context.result.exit_code == 1
         assert text in context.result.output
 
 
-class _StillClock(Clock):
-    """Time that stands still."""
+class _StoppedClock(Clock):
+    """Clock whose time does not advance."""
 
     def now(self) -> float:
         return 5.0
 
 
-class LogSteps:
-    """Steps on the bounded log."""
+class LogSinkSteps:
+    """Steps on the log sink with a bounded queue."""
 
     @staticmethod
-    @given('a log that nobody reads')
+    @given('a log sink on a pipe that is not read')
     def make_log(context: Any) -> None:
-        """Make a log on a pipe."""
+        """Start a log sink that writes to a pipe."""
         context.reader, writer = os.pipe()
         context.cleanups.append(lambda: os.close(context.reader))
-        context.sink = LogSink(writer, _StillClock())
+        context.sink = LogSink(writer, _StoppedClock())
         context.sink.start()
 
     @staticmethod
@@ -88,7 +88,7 @@
         '{count:d} lines of one event and {other:d} line of another are logged'
     )
     def log(context: Any, count: int, other: int) -> None:
-        """Log without giving way to any reader."""
+        """Log all lines before any other greenlet runs."""
         for number in range(count):
             context.sink({'event': 'flood', 'n': number, 'text': 'x' * 2000})
         for _ in range(other):
@@ -96,33 +96,33 @@
         gevent.sleep(0)
 
     @staticmethod
-    @then('logging never waited and the queue is bounded')
+    @then('logging does not block and the queue is bounded')
     def check_bounded(context: Any) -> None:
-        """Check what waits for the reader."""
-        waiting = context.sink.queued_bytes
-        assert 0 < waiting <= MAX_QUEUED_BYTES, waiting
+        """Check the size of the queued lines."""
+        queued_bytes = context.sink.queued_bytes
+        assert 0 < queued_bytes <= MAX_QUEUED_BYTES, queued_bytes
 
     @staticmethod
     @then('the dropped lines are counted by event')
-    def check_counted(context: Any) -> None:
-        """Check the counts."""
+    def check_drops_counted(context: Any) -> None:
+        """Check the number of dropped lines of each event."""
         assert context.sink.dropped['flood'] > 4000
         assert context.sink.dropped['rare'] == 0
 
     @staticmethod
-    @when('the reader reads again and a line is logged')
+    @when('the pipe is read and a line is logged')
     def read(context: Any) -> None:
-        """Read everything, then log a line."""
+        """Read the pipe, log a line, and read the pipe again."""
         os.set_blocking(context.reader, False)
         context.read = b''
-        LogSteps._read_all(context)
+        LogSinkSteps._read_all(context)
         context.sink({'event': 'after'})
-        LogSteps._read_all(context)
+        LogSinkSteps._read_all(context)
 
     @staticmethod
-    @then('the reader is told how many lines were dropped')
-    def check_told(context: Any) -> None:
-        """Check the line that counts the dropped ones."""
+    @then('the log states how many lines were dropped')
+    def check_drops_reported(context: Any) -> None:
+        """Check the line that reports the dropped lines."""
         text = context.read.decode()
         assert '"event": "log-dropped"' in text
         found = sum(int(n) for n in re.findall(r'"flood": (\d+)}', text))
@@ -141,12 +141,12 @@
 
 
 class MetricsSteps:
-    """Steps on the metrics of a proxy."""
+    """Steps on the metrics of the proxy."""
 
     @staticmethod
     @when("the page of metrics is compared with the proxy's metrics")
     def compare(context: Any) -> None:
-        """Read both."""
+        """Collect the names of the metrics from the page and the code."""
         text = METRICS_PAGE.read_text(encoding='utf-8')
         context.page = set(re.findall(rf'^\| `({PREFIX}\w+)` ', text, re.M))
         names = [*COUNTERS, *HISTOGRAMS, *GAUGES, 'log_dropped']
@@ -157,25 +157,30 @@
         }
 
     @staticmethod
-    @then('both hold the same metrics')
+    @then('both list the same metrics')
     def check_equal(context: Any) -> None:
-        """Expect no difference."""
+        """Check that the names are equal."""
         assert context.page == context.code, context.page ^ context.code
 
     @staticmethod
-    @given('metrics with a request of {took:d} ms and {count:d} dropped lines')
-    def make_metrics(context: Any, took: int, count: int) -> None:
-        """Count one request and some dropped lines."""
+    @given(
+        'metrics with a request of {duration_ms:d} ms and {count:d} dropped '
+        'lines'
+    )
+    def make_metrics(context: Any, duration_ms: int, count: int) -> None:
+        """Create metrics with one request and some dropped lines."""
         context.metrics = ProxyMetrics()
         context.metrics.count('requests', 'session', 'done')
-        context.metrics.observe('request_seconds', took / 1000, 'session')
+        context.metrics.observe(
+            'request_seconds', duration_ms / 1000, 'session'
+        )
         context.metrics.register_gauge('sessions', lambda: 4)
         context.metrics.register_dropped(lambda: {'statement-refused': count})
 
     @staticmethod
-    @then('the text holds')
+    @then('the text contains the lines')
     def check_text(context: Any) -> None:
-        """Check each line."""
+        """Check that the rendered metrics contain each line."""
         found = context.metrics.render().decode().splitlines()
         for line in context.text.splitlines():
             assert line in found, (line, found)
