--- a/features/proxy_overload.feature
+++ b/features/proxy_overload.feature
@@ -4,7 +4,7 @@
   to a primary with three slots. The statements wait at the hosts instead of
   at the member.
 
-  Scenario: the limit stays at its maximum while the member serves everything
+  Scenario: the limit stays at its maximum while the member serves every statement
     Given a limit of the statements in flight at a member of 10 connections
     When the member serves 50 statements
     Then the limit is 10 statements in flight
@@ -20,7 +20,7 @@
     When the member refuses 1 statements 200 ms later
     Then the limit is 1 statements in flight
 
-  Scenario: the limit increases again once the member serves everything
+  Scenario: the limit increases again once the member serves every statement
     Given a limit of the statements in flight at a member of 10 connections
     When the member refuses 8 statements at the same moment
     And the member serves 100 statements
--- a/features/proxy_reads.feature
+++ b/features/proxy_reads.feature
@@ -72,9 +72,9 @@
 
   Scenario: a host exceeds its connection share only while the member has room
     Given a share of 16 connections among 8 hosts
-    Then 4 connections may be open and 1 stays idle
+    Then 4 connections may be open and 1 stays open when idle
     When the member refuses a connection
-    Then 2 connections may be open and 1 stays idle
+    Then 2 connections may be open and 1 stays open when idle
 
   Scenario Outline: only an isolated host is removed from the balancer
     Given a host that reaches <hosts> of 8 hosts and has lost <lost> of 3 primaries
--- a/features/proxy_relay.feature
+++ b/features/proxy_relay.feature
@@ -34,7 +34,7 @@
     Given 75 hosts in 3 zones and members of 44 connections
     Then the holders depend on the group but not on the member
 
-  Scenario: only the voters connect to a primary to detect its loss
+  Scenario: only some hosts vote on a primary, so that not every host dials it
     Given 75 hosts in 3 zones and members of 44 connections
     Then 12 hosts vote on a primary, 4 of each zone
     And the voters hold connections to the group's members
--- a/features/proxy_succession.feature
+++ b/features/proxy_succession.feature
@@ -27,7 +27,7 @@
     When a host has lost a member of zone "b" with "a2 a3 c1 c2" and no other host answers
     Then there is a loss quorum for the member
 
-  Scenario: a side with a minority of the members chooses only if it has every host
+  Scenario: a side with a minority of the members may choose only if every host answers
     Given hosts "a1 b1 c1" by zone
     Then a side with 1 of 3 members and answers of "b1" may not choose
     And a side with 2 of 3 members and answers of "" may choose
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -65,8 +65,8 @@
     @when('the membership trace "{trace}" is replayed')
     def replay_trace(context: Any, trace: str) -> None:
         """Replay a trace with the selected membership."""
-        make = getattr(context, 'make_membership', Membership)
-        context.replay = MembershipReplay(make)
+        make_membership = getattr(context, 'make_membership', Membership)
+        context.replay = MembershipReplay(make_membership)
         context.replay.replay(trace)
 
     @staticmethod
@@ -89,7 +89,7 @@
         def merge(records: list[HostRecord], seed: int) -> None:
             shuffled = records * 2
             random.Random(seed).shuffle(shuffled)
-            assert _merge(records) == _merge(shuffled)
+            assert _merged_state(records) == _merged_state(shuffled)
 
         lists = strategies.lists(RECORD_STRATEGY)
         violation = find_violation(merge, MERGE_EXAMPLES, lists, SEED_STRATEGY)
@@ -113,7 +113,9 @@
     def make_live(context: Any, count: int, zones: str) -> None:
         """Create a view of zones of equal size in one region."""
         zone_names = zones.split(', ')
-        context.live = LiveHosts('r', 1, tuple(map(_zone(count), zone_names)))
+        context.live = LiveHosts(
+            'r', 1, tuple(map(_zone_factory(count), zone_names))
+        )
 
     @staticmethod
     @when('the host that pools the most members of zone {zone} is removed')
@@ -191,23 +193,23 @@
 
 
 def _run_schedules(
-    count: int, make: type[Membership]
+    count: int, make_membership: type[Membership]
 ) -> AssertionError | None:
     def run(faults: list[Any], seed: int) -> None:
-        MembershipSchedule(seed, make).run(faults)
+        MembershipSchedule(seed, make_membership).run(faults)
 
     schedules = make_schedules(tuple(FaultKind), count)
     return find_violation(run, SCHEDULE_EXAMPLES, schedules, SEED_STRATEGY)
 
 
-def _merge(records: list[HostRecord]) -> tuple[Any, ...]:
+def _merged_state(records: list[HostRecord]) -> tuple[Any, ...]:
     table = MembershipTable('r')
     for record in records:
         table.merge(record)
     return table.digest, sorted(map(repr, table.records_of(()).hosts))
 
 
-def _zone(count: int) -> Any:
+def _zone_factory(count: int) -> Any:
     return partial(_make_zone, count)
 
 
--- a/features/steps/proxy_hedge_steps.py
+++ b/features/steps/proxy_hedge_steps.py
@@ -62,7 +62,7 @@
 
 
 class _GatedDialer(UpstreamDialer):
-    """Opens connections to a member once the test permits it."""
+    """Opens connections to a member once the test opens its gate."""
 
     def __init__(self) -> None:
         self.gates: dict[str, Event] = {}
--- a/features/steps/proxy_overload_steps.py
+++ b/features/steps/proxy_overload_steps.py
@@ -108,7 +108,7 @@
 
 
 class _GatedUpstream(UpstreamSession):
-    """Connection whose statements finish when the test permits it."""
+    """Connection whose statements finish when the test opens their gate."""
 
     def __init__(self, context: Any) -> None:
         self._context = context
@@ -128,7 +128,7 @@
 
 
 class _GatedDialer(UpstreamDialer):
-    """Opens any number of connections."""
+    """Opens any number of gated connections."""
 
     def __init__(self, context: Any) -> None:
         self._context = context
--- a/features/steps/proxy_reads_steps.py
+++ b/features/steps/proxy_reads_steps.py
@@ -160,7 +160,7 @@
     @then('a bounded read goes to "{name}"')
     def check_place(context: Any, name: str) -> None:
         """Check the member that is chosen for the read."""
-        placement = PlacementSteps._place(context)
+        placement = PlacementSteps._find_placement(context)
         assert placement is not None
         assert placement.member == name, placement
 
@@ -168,10 +168,10 @@
     @then('a bounded read goes to no member')
     def check_no_member(context: Any) -> None:
         """Check that no member is chosen for the read."""
-        assert PlacementSteps._place(context) is None
+        assert PlacementSteps._find_placement(context) is None
 
     @staticmethod
-    def _place(context: Any) -> Any:
+    def _find_placement(context: Any) -> Any:
         now = getattr(context, 'now', NOW)
         floor = Evidence(now - 1.0, Position(1, 10))
         refused = getattr(context, 'refused', frozenset())
@@ -280,11 +280,14 @@
         context.share.on_refused(NOW)
 
     @staticmethod
-    @then('{max_open:d} connections may be open and {idle:d} stays idle')
-    def check_share(context: Any, max_open: int, idle: int) -> None:
-        """Check the maximum of open connections and the kept idle ones."""
+    @then(
+        '{max_open:d} connections may be open and {min_idle:d} stays open '
+        'when idle'
+    )
+    def check_share(context: Any, max_open: int, min_idle: int) -> None:
+        """Check the maximum of open and the minimum of idle connections."""
         assert context.share.limit(NOW) == max_open, context.share.limit(NOW)
-        assert context.share.min_idle == idle, context.share.min_idle
+        assert context.share.min_idle == min_idle, context.share.min_idle
 
 
 class IsolationSteps:
--- a/features/steps/routing_share_steps.py
+++ b/features/steps/routing_share_steps.py
@@ -169,7 +169,7 @@
             _check_floor(POLICIES[way](), group, floor_member)
 
         context.violation = find_violation(
-            check, REQUEST_EXAMPLES, _groups(), strategies.integers(0, 2)
+            check, REQUEST_EXAMPLES, _group_logs(), strategies.integers(0, 2)
         )
 
     @staticmethod
@@ -205,20 +205,22 @@
 
 
 @strategies.composite
-def _groups(draw: Any) -> list[LogHistory]:
+def _group_logs(draw: Any) -> list[LogHistory]:
     """Return the logs of a primary and of replicas with prefixes of it."""
     starts = [TermStart(1, 1)]
     index = draw(strategies.integers(1, 8))
     for term in range(2, draw(strategies.integers(1, 3)) + 1):
         starts.append(TermStart(term, index + 1))
         index += draw(strategies.integers(1, 8))
-    logs = [_cut(starts, index)]
+    logs = [_truncated_log(starts, index)]
     for _ in range(MEMBERS - 1):
-        logs.append(_cut(starts, draw(strategies.integers(1, index))))
+        logs.append(
+            _truncated_log(starts, draw(strategies.integers(1, index)))
+        )
     return logs
 
 
-def _cut(starts: list[TermStart], index: int) -> LogHistory:
+def _truncated_log(starts: list[TermStart], index: int) -> LogHistory:
     kept = tuple(s for s in starts if s.index <= index)
     return LogHistory(kept, Position(kept[-1].term, index))
 
