--- a/features/proxy_succession.feature
+++ b/features/proxy_succession.feature
@@ -10,20 +10,20 @@
     When a host has lost a member of zone "a" with "b1 b2 b3 c2" and "a2" reaches it
     Then there is a loss quorum for the member
 
-  Scenario: a zone is partitioned with its primary while another host restarts
+  Scenario: a primary in a partitioned zone is replaced while another host restarts
     Given hosts "a1 a2 a3 b1 b2 b3 c1 c2" by zone
     When a host has lost a member of zone "b" with "a2 a3 c2" and no other host answers
     Then there is a loss quorum for the member
 
   Scenario: a partitioned zone does not act while the service is unavailable
     Given hosts "a1 a2 a3 b1 b2 b3 c1 c2" by zone
-    And claims are not possible
+    And the platform's service is unavailable
     When a host has lost a member of zone "c" with "b2 b3" and no other host answers
     Then there is no loss quorum for the member
 
   Scenario: the majority side acts while the service is unavailable
     Given hosts "a1 a2 a3 b1 b2 b3 c1 c2" by zone
-    And claims are not possible
+    And the platform's service is unavailable
     When a host has lost a member of zone "b" with "a2 a3 c1 c2" and no other host answers
     Then there is a loss quorum for the member
 
@@ -45,7 +45,7 @@
     When the first host uses round 2 without the service and then publishes it
     Then the second host cannot claim round 2 after round 1
 
-  Scenario: a host whose decision a newer claim overtakes cannot claim
+  Scenario: a host cannot claim if another host has claimed since its decision
     Given two hosts that know round 1 of a group
     When the second host decides after round 1 and then learns of the first host's claim
     Then the second host's claim is refused
--- a/features/routing_stale.feature
+++ b/features/routing_stale.feature
@@ -1,7 +1,7 @@
 Feature: Routing by stale digests
   A host whose callers use hundreds of databases rarely gets a new digest of
-  each member. The member's pooler reports the age of the member's data, so
-  that the read is sent there.
+  each member. The member's pooler knows the current age of the member's data,
+  so that a read is routed to the member if the digest is old.
 
   Scenario Outline: the age in a digest is used only while the digest is recent
     Given a primary and a replica whose digest of <seen> s ago states an age of <age>
--- a/features/steps/proxy_succession_steps.py
+++ b/features/steps/proxy_succession_steps.py
@@ -43,13 +43,13 @@
     def make_hosts(context: Any, names: str) -> None:
         """Register hosts whose zone is the first letter of their name."""
         context.registered = {n: n[0] for n in names.split()}
-        context.is_claimed = True
+        context.is_service_available = True
 
     @staticmethod
-    @given('claims are not possible')
-    def disable_claims(context: Any) -> None:
-        """Let the following steps judge without a claim."""
-        context.is_claimed = False
+    @given("the platform's service is unavailable")
+    def stop_service(context: Any) -> None:
+        """Let the following steps judge without the service."""
+        context.is_service_available = False
 
     @staticmethod
     @when(
@@ -121,7 +121,7 @@
         context: Any, zone: str, reports: tuple[ReachReport, ...]
     ) -> None:
         context.is_lost = has_loss_quorum(
-            reports, context.registered, zone, context.is_claimed
+            reports, context.registered, zone, context.is_service_available
         )
 
 
