--- a/features/steps/limits_connections_steps.py
+++ b/features/steps/limits_connections_steps.py
@@ -134,7 +134,9 @@
                 limit, slots, CONNECT_S, count, budgets[way], seed
             )
             run.run()
-            context.over_s = max(context.over_s, run.door.longest_over_s)
+            context.over_s = max(
+                context.over_s, run.member_connections.max_excess_s
+            )
 
     @staticmethod
     @then('the limit is passed for at most {over_ms:d} ms')
--- a/features/steps/routing_share_steps.py
+++ b/features/steps/routing_share_steps.py
@@ -24,12 +24,12 @@
 from trefoilpulley_core.routing import RouteRequest
 from trefoilpulley_core.routing_targets import TargetRouting
 from trefoilpulley_core.routing_thin import NearestRouting
-from trefoilpulley_standins.policy_cases import MEMBERS
-from trefoilpulley_standins.policy_cases import overload_of
+from trefoilpulley_standins.policy_cases import make_overload
+from trefoilpulley_standins.policy_cases import MEMBER_COUNT
 from trefoilpulley_standins.policy_deployment import DEPLOYMENTS
-from trefoilpulley_standins.policy_run import JUST_WRITTEN
 from trefoilpulley_standins.policy_run import Load
 from trefoilpulley_standins.policy_run import PolicyRun
+from trefoilpulley_standins.policy_run import READ_AFTER_WRITE
 
 if TYPE_CHECKING:
     from trefoilpulley_standins.policy_deployment import Deployment
@@ -80,7 +80,7 @@
     def replay_overload(context: Any, name: str) -> None:
         """Replay twice the work that the slots carry."""
         deployment = _find_deployment(name)
-        _run(context, name, overload_of(deployment, 1.5))
+        _run(context, name, make_overload(deployment, 1.5))
 
     @staticmethod
     @when('{name} is replayed with a tenant that floods')
@@ -104,7 +104,7 @@
     )
     def check_written(context: Any, share: float) -> None:
         """Compare with the target of the users."""
-        found = context.tally[JUST_WRITTEN]
+        found = context.tally[READ_AFTER_WRITE]
         assert found.answered > 30
         assert found.replica_share >= share, found.replica_share
 
@@ -112,7 +112,7 @@
     @then('no read stated a false age')
     def check_true(context: Any) -> None:
         """Expect every age on the careful side."""
-        assert context.run.false_ages == 0
+        assert context.run.understated_ages == 0
 
     @staticmethod
     @then('every class keeps its target')
@@ -211,7 +211,7 @@
         starts.append(TermStart(term, index + 1))
         index += draw(strategies.integers(1, 8))
     found = [_cut(starts, index)]
-    for _ in range(MEMBERS - 1):
+    for _ in range(MEMBER_COUNT - 1):
         found.append(_cut(starts, draw(strategies.integers(1, index))))
     return found
 
--- a/packages/standins/src/trefoilpulley_standins/explore_gaps.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_gaps.py
@@ -41,7 +41,7 @@
     zones: tuple[str, ...]
     """Availability zones."""
 
-    one_way_s: float
+    one_way_delay_s: float
     """Delay between two zones."""
 
     host_count: int
@@ -115,7 +115,10 @@
 def measure(deployment: Deployment, case: Case, seed: int) -> Gap:
     """Return the gap of one case for one seed."""
     stage = Stage(
-        deployment.zones, deployment.one_way_s, seed, deployment.host_count
+        deployment.zones,
+        deployment.one_way_delay_s,
+        seed,
+        deployment.host_count,
     )
     at = FAULT_S + SPREAD_S * random.Random(seed).random()
     if case.is_service_out:
@@ -129,7 +132,10 @@
 def measure_return(deployment: Deployment, seed: int) -> Gap:
     """Return the gap of the return after a failover."""
     stage = Stage(
-        deployment.zones, deployment.one_way_s, seed, deployment.host_count
+        deployment.zones,
+        deployment.one_way_delay_s,
+        seed,
+        deployment.host_count,
     )
     at = FAULT_S + SPREAD_S * random.Random(seed).random()
     stage.plan(Step(FAULT_S - 4.0, 'member-down', ('ledger/0/a',)))
--- a/packages/standins/src/trefoilpulley_standins/explore_script.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_script.py
@@ -41,7 +41,7 @@
     ----------
     zones : tuple[str, ...]
         Availability zones.
-    one_way_s : float
+    one_way_delay_s : float
         Delay between two zones.
     seed : int
         Seed of the delays.
@@ -56,7 +56,7 @@
     def __init__(
         self,
         zones: tuple[str, ...],
-        one_way_s: float,
+        one_way_delay_s: float,
         seed: int,
         host_count: int = 7,
         lag_s: float = 0.0,
@@ -66,7 +66,7 @@
         self.zones = zones
         """Availability zones."""
 
-        self.world = World(zones, one_way_s, rng, lag_s, write_every_s)
+        self.world = World(zones, one_way_delay_s, rng, lag_s, write_every_s)
         """Members, service and links."""
 
         self.hosts = [
--- a/packages/standins/src/trefoilpulley_standins/explore_world.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_world.py
@@ -71,7 +71,7 @@
     ----------
     zones : tuple[str, ...]
         Availability zones; the first three have a member each.
-    one_way_s : float
+    one_way_delay_s : float
         Delay between two zones.
     rng : random.Random
         Source of the delays' jitter.
@@ -84,14 +84,14 @@
     def __init__(
         self,
         zones: tuple[str, ...],
-        one_way_s: float,
+        one_way_delay_s: float,
         rng: random.Random,
         lag_s: float = 0.0,
         write_every_s: float = 0.01,
     ) -> None:
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._one_way_s = one_way_s
+        self._one_way_delay_s = one_way_delay_s
         self._rng = rng
         self._lag_s = lag_s
         self._write_every_s = write_every_s
@@ -161,7 +161,7 @@
 
     def delay_s(self, one: str, other: str) -> float:
         """Return the delay of one message between two zones."""
-        base_s = MEMBER_DELAY_S if one == other else self._one_way_s
+        base_s = MEMBER_DELAY_S if one == other else self._one_way_delay_s
         return base_s * (1 + 0.3 * self._rng.random())
 
     def call_member(
--- a/packages/standins/src/trefoilpulley_standins/policy_cases.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_cases.py
@@ -10,10 +10,10 @@
 from trefoilpulley_standins.policy_deployment import DEPLOYMENTS
 from trefoilpulley_standins.policy_deployment import READ_SERVICE_S
 from trefoilpulley_standins.policy_deployment import WRITE_SERVICE_S
-from trefoilpulley_standins.policy_run import JUST_WRITTEN
 from trefoilpulley_standins.policy_run import Load
 from trefoilpulley_standins.policy_run import PolicyRun
-from trefoilpulley_standins.policy_run import SESSION_READS
+from trefoilpulley_standins.policy_run import READ_AFTER_WRITE
+from trefoilpulley_standins.policy_run import READS_PER_SESSION
 from trefoilpulley_standins.policy_shares import FixedShareRun
 from trefoilpulley_standins.policy_shares import PooledRun
 
@@ -21,7 +21,7 @@
     from collections.abc import Iterator
 
     from trefoilpulley_standins.policy_deployment import Deployment
-    from trefoilpulley_standins.policy_shares import ShareRun
+    from trefoilpulley_standins.policy_shares import SharedMemberRun
 
 POLICIES = ('thin', 'plain', 'targets')
 """The thin version's policy, the plain one and the product's."""
@@ -29,11 +29,11 @@
 LAGS_S = (0.005, 0.05, 0.5)
 """Replication lags of the read cases, in seconds."""
 
-MEMBERS = 3
+MEMBER_COUNT = 3
 """Members of a database group."""
 
 _SESSIONS_PER_S = 100.0
-_OVERLOAD = 2.0
+_OVERLOAD_FACTOR = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,27 +52,27 @@
     value: float
     """Value."""
 
-    is_worst_high: bool = False
+    is_higher_worse: bool = False
     """Whether the highest value is the worst."""
 
 
 def measure_seed(seed: int) -> tuple[Figure, ...]:
     """Return the figures of every case at one seed."""
-    found: list[Figure] = []
+    figures: list[Figure] = []
     for deployment in DEPLOYMENTS:
         for policy in POLICIES:
-            found += _measure_reads(deployment, policy, seed)
-            found += _measure_overload(deployment, policy, seed)
-            found += _measure_fairness(deployment, policy, seed)
-        found += _measure_shares(deployment, seed)
-        found += _measure_connections(deployment, seed)
-    return tuple(found)
+            figures += _measure_reads(deployment, policy, seed)
+            figures += _measure_overload(deployment, policy, seed)
+            figures += _measure_fairness(deployment, policy, seed)
+        figures += _measure_shares(deployment, seed)
+        figures += _measure_connections(deployment, seed)
+    return tuple(figures)
 
 
-def overload_of(deployment: Deployment, seconds: float) -> Load:
+def make_overload(deployment: Deployment, seconds: float) -> Load:
     """Return a load of twice the work that a group's slots carry."""
-    session_s = WRITE_SERVICE_S + (SESSION_READS + 1) * READ_SERVICE_S
-    capacity = MEMBERS * deployment.slots * _OVERLOAD
+    session_s = WRITE_SERVICE_S + (READS_PER_SESSION + 1) * READ_SERVICE_S
+    capacity = MEMBER_COUNT * deployment.slots * _OVERLOAD_FACTOR
     lookups = (capacity - _SESSIONS_PER_S * session_s) / READ_SERVICE_S
     return Load(_SESSIONS_PER_S, lookups, 0.05, seconds)
 
@@ -85,7 +85,7 @@
         tally = run.run()
         case = f'{deployment.name}, lag {round(1000 * lag_s)} ms'
         aged = tally[deployment.aged_read.name]
-        written = tally[JUST_WRITTEN]
+        written = tally[READ_AFTER_WRITE]
         yield Figure(case, policy, 'aged at replicas', aged.replica_share)
         name = 'just written at replicas'
         yield Figure(case, policy, name, written.replica_share)
@@ -94,13 +94,13 @@
         for work_class in deployment.classes:
             share = tally[work_class.name].in_time_share
             yield Figure(case, policy, f'{work_class.name} in time', share)
-        yield Figure(case, policy, 'false ages', run.false_ages, True)
+        yield Figure(case, policy, 'false ages', run.understated_ages, True)
 
 
 def _measure_overload(
     deployment: Deployment, policy: str, seed: int
 ) -> Iterator[Figure]:
-    load = overload_of(deployment, 3.0)
+    load = make_overload(deployment, 3.0)
     tally = PolicyRun(deployment, policy, load, seed).run()
     case = f'{deployment.name}, twice the load'
     for work_class in deployment.classes:
@@ -127,18 +127,22 @@
 
 
 def _measure_shares(deployment: Deployment, seed: int) -> Iterator[Figure]:
-    ways: tuple[tuple[str, type[ShareRun]], ...] = (
+    policies: tuple[tuple[str, type[SharedMemberRun]], ...] = (
         ('pooled', PooledRun),
         ('fixed shares', FixedShareRun),
     )
-    for load, is_uneven in ((0.5, False), (0.8, True), (_OVERLOAD, False)):
+    for load, is_uneven in (
+        (0.5, False),
+        (0.8, True),
+        (_OVERLOAD_FACTOR, False),
+    ):
         kind = 'uneven' if is_uneven else 'even'
         case = f'{deployment.name}, 8 hosts, load {load}, {kind}'
-        for way, run in ways:
+        for policy, run in policies:
             tally = run(deployment, load, is_uneven, seed).run()
             for work_class in (deployment.write, deployment.aged_read):
                 share = tally[work_class.name].in_time_share
-                yield Figure(case, way, f'{work_class.name} in time', share)
+                yield Figure(case, policy, f'{work_class.name} in time', share)
 
 
 def _measure_connections(
@@ -147,14 +151,22 @@
     limit = deployment.connections
     for slots in (deployment.slots, limit - 6):
         for budget in (ConnectionBudget, None):
-            way = 'budget' if budget else 'no budget'
+            policy = 'budget' if budget else 'no budget'
             case = f'{deployment.name}, {slots} slots, death and two views'
             run = ConnectionRun(
                 limit, slots, deployment.connect_s, 3, budget, seed
             )
             run.run()
-            over_ms = 1000 * run.door.longest_over_s
-            yield Figure(case, way, 'peak connections', run.door.peak, True)
-            yield Figure(case, way, 'over the limit ms', over_ms, True)
-            warm_s = max(p.warm_after_s or 60.0 for p in run.poolers[1:])
-            yield Figure(case, way, 'warm after ms', 1000 * warm_s, True)
+            excess_ms = 1000 * run.member_connections.max_excess_s
+            yield Figure(
+                case,
+                policy,
+                'peak connections',
+                run.member_connections.peak_count,
+                True,
+            )
+            yield Figure(case, policy, 'over the limit ms', excess_ms, True)
+            max_warm_up_s = max(p.warm_up_s or 60.0 for p in run.poolers[1:])
+            yield Figure(
+                case, policy, 'warm after ms', 1000 * max_warm_up_s, True
+            )
--- a/packages/standins/src/trefoilpulley_standins/policy_connections.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_connections.py
@@ -18,49 +18,49 @@
 STATUS_INTERVAL_S = 0.1
 """Time between two reports of the member, in seconds."""
 
-LINGER_S = 1.0
+DISCONNECT_DELAY_S = 1.0
 """Time for which the member keeps a dead host's connections, seconds."""
 
-DEATH_S = 4.0
+CRASH_TIME_S = 4.0
 """Time at which the first pooler's host dies, in seconds."""
 
-RUN_S = 12.0
+RUN_DURATION_S = 12.0
 """Virtual time of one replay, in seconds."""
 
 
-class FakeMemberDoor:
+class FakeMemberConnections:
     """Counts the connections open at one member over time."""
 
     def __init__(self, loop: VirtualLoop, limit: int) -> None:
         self._loop = loop
         self._limit = limit
-        self._over_since: float | None = None
-        self.open = 0
+        self._excess_since: float | None = None
+        self.open_count = 0
         """Connections open."""
 
-        self.peak = 0
+        self.peak_count = 0
         """Most connections open at once."""
 
-        self.longest_over_s = 0.0
+        self.max_excess_s = 0.0
         """Longest time over the limit, in seconds."""
 
     def add(self, count: int) -> None:
         """Open connections, or close them where negative."""
-        self.open += count
-        self.peak = max(self.peak, self.open)
-        is_over = self.open > self._limit
-        if is_over and self._over_since is None:
-            self._over_since = self._loop.now
-        if not is_over:
-            self.end()
-
-    def end(self) -> None:
+        self.open_count += count
+        self.peak_count = max(self.peak_count, self.open_count)
+        is_above_limit = self.open_count > self._limit
+        if is_above_limit and self._excess_since is None:
+            self._excess_since = self._loop.now
+        if not is_above_limit:
+            self.end_excess()
+
+    def end_excess(self) -> None:
         """Take the time over the limit as ended."""
-        if self._over_since is None:
+        if self._excess_since is None:
             return
-        over_s = self._loop.now - self._over_since
-        self.longest_over_s = max(self.longest_over_s, over_s)
-        self._over_since = None
+        excess_s = self._loop.now - self._excess_since
+        self.max_excess_s = max(self.max_excess_s, excess_s)
+        self._excess_since = None
 
 
 class FakePoolerConnections:
@@ -70,7 +70,7 @@
     ----------
     loop : VirtualLoop
         Virtual clock.
-    door : FakeMemberDoor
+    door : FakeMemberConnections
         Member to connect to.
     budget : ConnectionBudget | None
         Budget to replay; ``None`` opens all that is wanted.
@@ -85,26 +85,26 @@
     def __init__(
         self,
         loop: VirtualLoop,
-        door: FakeMemberDoor,
+        member_connections: FakeMemberConnections,
         budget: ConnectionBudget | None,
         rng: random.Random,
         slots: int,
         connect_s: float,
     ) -> None:
         self._loop = loop
-        self._door = door
+        self._member_connections = member_connections
         self._budget = budget
-        self._pacer = ConnectionRateLimiter(rng)
-        self._wanted = slots + 1
+        self._rate_limiter = ConnectionRateLimiter(rng)
+        self._max_work_connections = slots + 1
         self._connect_s = connect_s
         self._started_at = 0.0
-        self.open = 0
+        self.open_count = 0
         """Connections open or under way."""
 
         self.is_alive = True
         """Whether the host runs."""
 
-        self.warm_after_s: float | None = None
+        self.warm_up_s: float | None = None
         """Time from the start until the first three were open."""
 
     def run(self, start_s: float) -> Generator[Any, Any, None]:
@@ -112,10 +112,10 @@
         yield start_s
         self._started_at = self._loop.now
         yield from self._open()
-        self._loop.spawn(self._watch())
+        self._loop.spawn(self._poll_status())
         while self.is_alive:
             if self._may_open():
-                pause_s = self._pacer.try_open(self._loop.now)
+                pause_s = self._rate_limiter.try_open(self._loop.now)
                 if pause_s == 0:
                     self._loop.spawn(self._open_paced())
                     continue
@@ -123,45 +123,51 @@
             else:
                 yield STATUS_INTERVAL_S / 4
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Stop; the member notices later."""
         self.is_alive = False
-        left = self.open
-        at = self._loop.now + LINGER_S
-        self._loop.call_at(at, lambda: self._door.add(-left))
+        remaining = self.open_count
+        at = self._loop.now + DISCONNECT_DELAY_S
+        self._loop.call_at(
+            at, lambda: self._member_connections.add(-remaining)
+        )
 
     def _may_open(self) -> bool:
-        if self.open >= self._wanted + CONTROL_CONNECTIONS:
+        if self.open_count >= self._max_work_connections + CONTROL_CONNECTIONS:
             return False
         if self._budget is None:
             return True
-        return self._budget.may_open(self.open, self._loop.now)
+        return self._budget.may_open(self.open_count, self._loop.now)
 
-    def _watch(self) -> Generator[Any, Any, None]:
+    def _poll_status(self) -> Generator[Any, Any, None]:
         while self.is_alive:
             if self._budget is not None:
                 self._budget.on_status(
-                    self._door.open, self.open, self._loop.now
+                    self._member_connections.open_count,
+                    self.open_count,
+                    self._loop.now,
                 )
                 self._close_surplus()
             yield STATUS_INTERVAL_S
 
     def _close_surplus(self) -> None:
-        plan = self._budget.plan(self.open, self.open - 1, self._loop.now)
+        plan = self._budget.plan(
+            self.open_count, self.open_count - 1, self._loop.now
+        )
         if plan.surplus:
-            self.open -= plan.surplus
-            self._door.add(-plan.surplus)
+            self.open_count -= plan.surplus
+            self._member_connections.add(-plan.surplus)
 
     def _open_paced(self) -> Generator[Any, Any, None]:
         yield from self._open()
-        self._pacer.on_opened()
+        self._rate_limiter.on_opened()
 
     def _open(self) -> Generator[Any, Any, None]:
-        self.open += 1
-        self._door.add(1)
+        self.open_count += 1
+        self._member_connections.add(1)
         yield self._connect_s
-        if self.open >= 3 and self.warm_after_s is None:
-            self.warm_after_s = self._loop.now - self._started_at
+        if self.open_count >= 3 and self.warm_up_s is None:
+            self.warm_up_s = self._loop.now - self._started_at
 
 
 class ConnectionRun:
@@ -194,13 +200,13 @@
     ) -> None:
         self._rng = random.Random(seed)
         self._loop = VirtualLoop()
-        self.door = FakeMemberDoor(self._loop, limit)
+        self.member_connections = FakeMemberConnections(self._loop, limit)
         """Counts at the member."""
 
         self.poolers = tuple(
             FakePoolerConnections(
                 self._loop,
-                self.door,
+                self.member_connections,
                 budget(limit, slots) if budget else None,
                 self._rng,
                 slots,
@@ -215,8 +221,8 @@
         first, *others = self.poolers
         self._loop.spawn(first.run(0.0))
         for pooler in others:
-            start_s = DEATH_S + self._rng.uniform(-0.3, 0.3)
+            start_s = CRASH_TIME_S + self._rng.uniform(-0.3, 0.3)
             self._loop.spawn(pooler.run(start_s))
-        self._loop.call_at(DEATH_S, first.die)
-        self._loop.run_until(RUN_S)
-        self.door.end()
+        self._loop.call_at(CRASH_TIME_S, first.crash)
+        self._loop.run_until(RUN_DURATION_S)
+        self.member_connections.end_excess()
--- a/packages/standins/src/trefoilpulley_standins/policy_deployment.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_deployment.py
@@ -28,7 +28,7 @@
     zones: tuple[str, ...]
     """Availability zones with entry hosts."""
 
-    one_way_s: float
+    one_way_delay_s: float
     """Delay between two availability zones, in seconds."""
 
     classes: tuple[WorkClass, ...]
--- a/packages/standins/src/trefoilpulley_standins/policy_entry.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_entry.py
@@ -25,14 +25,14 @@
     from trefoilpulley_standins.policy_loop import VirtualLoop
     from trefoilpulley_standins.policy_pooler import FakePooler
 
-REFRESH_INTERVAL_S = 0.25
+DIGEST_INTERVAL_S = 0.25
 """Time between two questions for the digests, in seconds."""
 
-IN_ZONE_S = 0.0005
+INTRA_ZONE_DELAY_S = 0.0005
 """Delay between two hosts of one availability zone, in seconds."""
 
 
-class FakeEntry:
+class FakeEntryHost:
     """Entry host that routes by a policy and its own view.
 
     Parameters
@@ -49,7 +49,7 @@
         Availability zones of the members.
     poolers : tuple[FakePooler, ...]
         Poolers of the members.
-    one_way_s : float
+    one_way_delay_s : float
         Delay between two availability zones, in seconds.
     """
 
@@ -61,7 +61,7 @@
         names: tuple[str, ...],
         zones: tuple[str, ...],
         poolers: tuple[FakePooler, ...],
-        one_way_s: float,
+        one_way_delay_s: float,
     ) -> None:
         self._loop = loop
         self._policy = policy
@@ -71,7 +71,7 @@
         self._names = names
         self._poolers = dict(zip(names, poolers, strict=True))
         self._delays_s = {
-            name: IN_ZONE_S if z == zone else one_way_s
+            name: INTRA_ZONE_DELAY_S if z == zone else one_way_delay_s
             for name, z in zip(names, zones, strict=True)
         }
         self._views = {
@@ -81,25 +81,27 @@
             for name, z in zip(names, zones, strict=True)
         }
 
-    def refresh(self) -> Generator[Any, Any, None]:
+    def poll_digests(self) -> Generator[Any, Any, None]:
         """Ask for the digests, as a process."""
         while True:
             for name in self._names:
-                self._loop.spawn(self._ask_digest(name))
-            yield REFRESH_INTERVAL_S
+                self._loop.spawn(self._fetch_digest(name))
+            yield DIGEST_INTERVAL_S
 
     def read(
         self, req: RouteRequest, tenant: str, service_s: float
     ) -> Generator[Any, Any, Result[Route, Failure]]:
         """Run a read; try another member where one is behind."""
         while self._loop.now < req.deadline:
-            chosen = self._policy.choose(self._view(), req, self._loop.now)
-            if not isinstance(chosen, Success):
-                return chosen
-            route = chosen.unwrap()
-            result = yield from self._attempt(req, route, tenant, service_s)
+            routed = self._policy.choose(self._view(), req, self._loop.now)
+            if not isinstance(routed, Success):
+                return routed
+            route = routed.unwrap()
+            result = yield from self._read_at_member(
+                req, route, tenant, service_s
+            )
             if isinstance(result, Success):
-                return chosen
+                return routed
             if not isinstance(result.failure(), ReplicaBehind):
                 return result
             excluded = req.excluded | {route.member}
@@ -110,45 +112,47 @@
         self, req: RouteRequest, tenant: str, service_s: float
     ) -> Generator[Any, Any, Result[Any, Failure]]:
         """Run a write at the primary."""
-        chosen = self._policy.choose(self._view(), req, self._loop.now)
-        if not isinstance(chosen, Success):
-            return chosen
-        name = chosen.unwrap().member
+        routed = self._policy.choose(self._view(), req, self._loop.now)
+        if not isinstance(routed, Success):
+            return routed
+        name = routed.unwrap().member
         sent_at = self._loop.now
         yield self._delays_s[name]
         pooler = self._poolers[name]
-        due = self._due_at_pooler(req, name)
-        result = yield from pooler.write(due, tenant, service_s)
+        pooler_req = self._make_pooler_request(req, name)
+        result = yield from pooler.write(pooler_req, tenant, service_s)
         digest = pooler.digest()
         yield self._delays_s[name]
-        self._take_digest(digest, sent_at)
+        self._update_view(digest, sent_at)
         return result
 
-    def _attempt(
+    def _read_at_member(
         self, req: RouteRequest, route: Route, tenant: str, service_s: float
     ) -> Generator[Any, Any, Result[None, Failure]]:
         sent_at = self._loop.now
         yield self._delays_s[route.member]
         pooler = self._poolers[route.member]
-        due = self._due_at_pooler(req, route.member)
-        result = yield from pooler.read(due, route, tenant, service_s)
+        pooler_req = self._make_pooler_request(req, route.member)
+        result = yield from pooler.read(pooler_req, route, tenant, service_s)
         digest = pooler.digest()
         yield self._delays_s[route.member]
-        self._take_digest(digest, sent_at)
+        self._update_view(digest, sent_at)
         return result
 
-    def _due_at_pooler(self, req: RouteRequest, name: str) -> RouteRequest:
+    def _make_pooler_request(
+        self, req: RouteRequest, name: str
+    ) -> RouteRequest:
         """Leave the answer the time for its way back."""
         return replace(req, deadline=req.deadline - self._delays_s[name])
 
-    def _ask_digest(self, name: str) -> Generator[Any, Any, None]:
+    def _fetch_digest(self, name: str) -> Generator[Any, Any, None]:
         sent_at = self._loop.now
         yield self._delays_s[name]
         digest = self._poolers[name].digest()
         yield self._delays_s[name]
-        self._take_digest(digest, sent_at)
+        self._update_view(digest, sent_at)
 
-    def _take_digest(self, digest: Any, sent_at: float) -> None:
+    def _update_view(self, digest: Any, sent_at: float) -> None:
         known = self._views[digest.member]
         if known.digest is not None and sent_at < known.observed_at:
             return
--- a/packages/standins/src/trefoilpulley_standins/policy_group.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_group.py
@@ -16,10 +16,10 @@
 TERM = 1
 """Term of the group's primary throughout a replay."""
 
-LAG_SPREAD = 0.3
+LAG_SPREAD_FACTOR = 0.3
 """Largest part by which the lag of one record differs from the mean."""
 
-REPLICAS = 2
+REPLICA_COUNT = 2
 """Replicas of the group."""
 
 
@@ -34,7 +34,7 @@
         Source of the spread of the lags.
     lag_s : float
         Mean replication lag in seconds.
-    one_way_s : float
+    one_way_delay_s : float
         Delay between the members, in seconds.
     """
 
@@ -43,25 +43,31 @@
         loop: VirtualLoop,
         rng: random.Random,
         lag_s: float,
-        one_way_s: float,
+        one_way_delay_s: float,
     ) -> None:
         self._loop = loop
         self._rng = rng
         self._lag_s = lag_s
-        self._one_way_s = one_way_s
-        self._arrivals: list[list[float]] = [[] for _ in range(REPLICAS + 1)]
+        self._one_way_delay_s = one_way_delay_s
+        self._arrivals: list[list[float]] = [
+            [] for _ in range(REPLICA_COUNT + 1)
+        ]
 
     def append(self) -> tuple[Position, float]:
         """Write a record; return it and when its second copy is known."""
         now = self._loop.now
         self._arrivals[0].append(now)
         for arrivals in self._arrivals[1:]:
-            spread = self._rng.uniform(1 - LAG_SPREAD, 1 + LAG_SPREAD)
-            due = now + self._lag_s * spread
-            arrivals.append(max(due, arrivals[-1] if arrivals else due))
-        held_at = min(a[-1] for a in self._arrivals[1:])
+            spread = self._rng.uniform(
+                1 - LAG_SPREAD_FACTOR, 1 + LAG_SPREAD_FACTOR
+            )
+            arrives_at = now + self._lag_s * spread
+            arrivals.append(
+                max(arrives_at, arrivals[-1] if arrivals else arrives_at)
+            )
+        replicated_at = min(a[-1] for a in self._arrivals[1:])
         position = Position(TERM, len(self._arrivals[0]))
-        return position, held_at + self._one_way_s
+        return position, replicated_at + self._one_way_delay_s
 
     def position(self, member: int, at: float | None = None) -> Position:
         """Return the end of a member's log at a time."""
@@ -69,7 +75,7 @@
         count = bisect.bisect_right(self._arrivals[member], when)
         return Position(TERM, count)
 
-    def arrival_of(self, member: int, position: Position) -> float:
+    def arrival_time(self, member: int, position: Position) -> float:
         """Return when a member holds a record."""
         if position.index == 0:
             return 0.0
@@ -77,10 +83,10 @@
 
     def acknowledgements(self, names: tuple[str, ...]) -> tuple:
         """Return what the primary knows of its replicas."""
-        seen_at = self._loop.now - self._one_way_s
+        seen_at = self._loop.now - self._one_way_delay_s
         return tuple(
             Acknowledgement(names[i], self.position(i, seen_at))
-            for i in range(1, REPLICAS + 1)
+            for i in range(1, REPLICA_COUNT + 1)
         )
 
     def true_lag_s(self, member: int) -> float:
--- a/packages/standins/src/trefoilpulley_standins/policy_loop.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_loop.py
@@ -12,32 +12,32 @@
     from collections.abc import Generator
 
 
-class Signal:
+class Future:
     """Value that a process waits for; the first one set counts."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self._loop = loop
-        self._waiting: Generator[Any, Any, Any] | None = None
-        self.is_set = False
+        self._waiter: Generator[Any, Any, Any] | None = None
+        self.is_done = False
         """Whether the value is there."""
 
         self.value: Any = None
         """Value, once set."""
 
-    def set(self, value: Any = None) -> None:
+    def set_result(self, value: Any = None) -> None:
         """Set the value and wake the process."""
-        if self.is_set:
+        if self.is_done:
             return
-        self.is_set = True
+        self.is_done = True
         self.value = value
-        if self._waiting is not None:
-            self._loop.resume(self._waiting, value)
+        if self._waiter is not None:
+            self._loop.resume(self._waiter, value)
 
-    def add(self, process: Generator[Any, Any, Any]) -> None:
+    def add_waiter(self, process: Generator[Any, Any, Any]) -> None:
         """Wake a process once the value is there."""
-        if self.is_set:
+        if self.is_done:
             self._loop.resume(process, self.value)
-        self._waiting = process
+        self._waiter = process
 
 
 class VirtualLoop:
@@ -53,9 +53,9 @@
         self._order = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
-    def call_at(self, at: float, call: Callable[[], None]) -> None:
+    def call_at(self, at: float, callback: Callable[[], None]) -> None:
         """Call back at a time."""
-        entry = (max(at, self.now), next(self._order), call)
+        entry = (max(at, self.now), next(self._order), callback)
         heapq.heappush(self._events, entry)
 
     def spawn(self, process: Generator[Any, Any, Any]) -> None:
@@ -69,16 +69,16 @@
     def run_until(self, end: float) -> None:
         """Run everything that is due up to a time."""
         while self._events and self._events[0][0] <= end:
-            self.now, _, call = heapq.heappop(self._events)
-            call()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
         self.now = end
 
     def _step(self, process: Generator[Any, Any, Any], value: Any) -> None:
         try:
-            wanted = process.send(value)
+            awaited = process.send(value)
         except StopIteration:
             return
-        if isinstance(wanted, Signal):
-            wanted.add(process)
+        if isinstance(awaited, Future):
+            awaited.add_waiter(process)
             return
-        self.call_at(self.now + wanted, lambda: self._step(process, None))
+        self.call_at(self.now + awaited, lambda: self._step(process, None))
--- a/packages/standins/src/trefoilpulley_standins/policy_pooler.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_pooler.py
@@ -30,7 +30,7 @@
 PROBE_INTERVAL_S = 0.1
 """Time between two probes of the primary, in seconds."""
 
-LEAST_SERVICE_SHARE = 0.5
+MIN_SERVICE_TIME_FACTOR = 0.5
 """Part of the mean below which no service time falls."""
 
 
@@ -74,7 +74,7 @@
         self.age = AgeTracker()
         """Age of the member's data."""
 
-        self.false_ages = 0
+        self.understated_ages = 0
         """Reads whose stated age was below the true one."""
 
     @property
@@ -106,13 +106,13 @@
             copies=copies,
         )
 
-    def probe(self, one_way_s: float) -> Generator[Any, Any, None]:
+    def run_probes(self, one_way_delay_s: float) -> Generator[Any, Any, None]:
         """Date the replica by probes, as a process."""
         while True:
             sent_at = self._loop.now
-            yield one_way_s
+            yield one_way_delay_s
             position = self._group.position(0)
-            yield one_way_s
+            yield one_way_delay_s
             self.age.on_primary_probe(sent_at, position)
             held = self._group.position(self._number)
             self.age.on_replica_status(held, self._loop.now, TERM)
@@ -122,30 +122,32 @@
         self, req: RouteRequest, route: Route, tenant: str, service_s: float
     ) -> Generator[Any, Any, Result[None, Failure]]:
         """Run a read once the member holds the floor."""
-        held_at = self._group.arrival_of(self._number, route.floor)
-        missing_s = held_at - self._loop.now
-        if missing_s > 0 and missing_s * 1000 > route.wait_ms:
+        replicated_at = self._group.arrival_time(self._number, route.floor)
+        behind_s = replicated_at - self._loop.now
+        if behind_s > 0 and behind_s * 1000 > route.wait_ms:
             yield route.wait_ms / 1000
             return Failed(ReplicaBehind())
-        if missing_s > 0:
-            yield missing_s
-        if not self._is_young(req):
+        if behind_s > 0:
+            yield behind_s
+        if not self._is_age_allowed(req):
             return Failed(ReplicaBehind())
-        is_granted = yield from self._run(req, tenant, False, service_s)
+        is_granted = yield from self._run_in_slot(
+            req, tenant, False, service_s
+        )
         return Success(None) if is_granted else Failed(Overloaded())
 
     def write(
         self, req: RouteRequest, tenant: str, service_s: float
     ) -> Generator[Any, Any, Result[Any, Failure]]:
         """Run a write and wait for its second copy."""
-        is_granted = yield from self._run(req, tenant, True, service_s)
+        is_granted = yield from self._run_in_slot(req, tenant, True, service_s)
         if not is_granted:
             return Failed(Overloaded())
-        position, known_at = self._group.append()
-        yield max(0.0, known_at - self._loop.now)
+        position, confirmed_at = self._group.append()
+        yield max(0.0, confirmed_at - self._loop.now)
         return Success(position)
 
-    def _is_young(self, req: RouteRequest) -> bool:
+    def _is_age_allowed(self, req: RouteRequest) -> bool:
         limit_ms = req.work_class.freshness.max_age_ms
         if limit_ms is None or self.is_primary:
             return True
@@ -153,14 +155,14 @@
         if age_ms is None or age_ms > limit_ms:
             return False
         true_ms = 1000 * self._group.true_age_s(self._number)
-        self.false_ages += true_ms > age_ms
+        self.understated_ages += true_ms > age_ms
         return True
 
-    def _run(
+    def _run_in_slot(
         self, req: RouteRequest, tenant: str, is_write: bool, mean_s: float
     ) -> Generator[Any, Any, bool]:
         """Hold a slot for a random service time."""
-        least_s = LEAST_SERVICE_SHARE * mean_s
-        held_s = least_s + self._rng.expovariate(1 / (mean_s - least_s))
+        min_s = MIN_SERVICE_TIME_FACTOR * mean_s
+        service_s = min_s + self._rng.expovariate(1 / (mean_s - min_s))
         name = req.work_class.name
-        return self._slots.run(tenant, name, req.deadline, is_write, held_s)
+        return self._slots.run(tenant, name, req.deadline, is_write, service_s)
--- a/packages/standins/src/trefoilpulley_standins/policy_replay.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_replay.py
@@ -62,7 +62,7 @@
 def _summarize_one(group: list[Figure]) -> Summary:
     first = group[0]
     values = [figure.value for figure in group]
-    worst = max(values) if first.is_worst_high else min(values)
+    worst = max(values) if first.is_higher_worse else min(values)
     return Summary(
         first.case,
         first.policy,
@@ -75,13 +75,13 @@
 
 def _print(summaries: Iterable[Summary]) -> None:
     case = ''
-    for found in summaries:
-        if found.case != case:
-            case = found.case
+    for summary in summaries:
+        if summary.case != case:
+            case = summary.case
             click.echo(f'\n{case}')
-        median = f'{found.median:10.3f}'
-        worst = f'{found.worst:10.3f}'
-        click.echo(f'  {found.name:32}{found.policy:14}{median}{worst}')
+        median = f'{summary.median:10.3f}'
+        worst = f'{summary.worst:10.3f}'
+        click.echo(f'  {summary.name:32}{summary.policy:14}{median}{worst}')
 
 
 @click.command()
--- a/packages/standins/src/trefoilpulley_standins/policy_run.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_run.py
@@ -20,9 +20,9 @@
 from trefoilpulley_core.targets import ClassTargets
 from trefoilpulley_standins.policy_deployment import READ_SERVICE_S
 from trefoilpulley_standins.policy_deployment import WRITE_SERVICE_S
-from trefoilpulley_standins.policy_entry import FakeEntry
+from trefoilpulley_standins.policy_entry import FakeEntryHost
 from trefoilpulley_standins.policy_group import FakeGroup
-from trefoilpulley_standins.policy_group import REPLICAS
+from trefoilpulley_standins.policy_group import REPLICA_COUNT
 from trefoilpulley_standins.policy_loop import VirtualLoop
 from trefoilpulley_standins.policy_pooler import FakePooler
 from trefoilpulley_standins.policy_tally import Tally
@@ -35,16 +35,16 @@
     from trefoilpulley_core.slots import SlotQueue
     from trefoilpulley_standins.policy_deployment import Deployment
 
-THINK_TIME_S = 0.03
+MEAN_THINK_TIME_S = 0.03
 """Mean time between a session's answer and its next request."""
 
-SESSION_READS = 3
+READS_PER_SESSION = 3
 """Reads of its own write that a session makes."""
 
-CLIENT_S = 0.001
+CALLER_DELAY_S = 0.001
 """Delay between a caller and its entry host, in seconds."""
 
-JUST_WRITTEN = 'just-written'
+READ_AFTER_WRITE = 'just-written'
 """Name under which the first read after a write is counted."""
 
 
@@ -99,9 +99,9 @@
         self._entries = self._make_entries()
 
     @property
-    def false_ages(self) -> int:
+    def understated_ages(self) -> int:
         """Reads whose stated age was below the true one."""
-        return sum(p.false_ages for p in self._poolers)
+        return sum(p.understated_ages for p in self._poolers)
 
     @property
     def served(self) -> int:
@@ -112,13 +112,13 @@
         """Replay the traffic and let it drain."""
         load = self._load
         arrivals = (
-            (load.sessions_per_s, self._session),
-            (load.lookups_per_s, self._lookup),
-            (load.flood_per_s, self._flood),
+            (load.sessions_per_s, self._run_session),
+            (load.lookups_per_s, self._run_lookup),
+            (load.flood_per_s, self._run_flood_read),
         )
-        for rate, begin in arrivals:
+        for rate, start_request in arrivals:
             if rate:
-                self._loop.spawn(self._arrive(rate, begin))
+                self._loop.spawn(self._generate_arrivals(rate, start_request))
         drain_s = 2 * self._deployment.write.promptness.within_ms / 1000
         self._loop.run_until(1.0 + load.seconds + drain_s)
         return self.tally
@@ -146,7 +146,7 @@
     def _make_poolers(self) -> tuple[FakePooler, ...]:
         deployment = self._deployment
         group = FakeGroup(
-            self._loop, self._rng, self._load.lag_s, deployment.one_way_s
+            self._loop, self._rng, self._load.lag_s, deployment.one_way_delay_s
         )
         names = self._names
         poolers = tuple(
@@ -159,84 +159,90 @@
                 self._make_queue(),
                 deployment.slots,
             )
-            for number in range(REPLICAS + 1)
+            for number in range(REPLICA_COUNT + 1)
         )
         for pooler in poolers[1:]:
-            self._loop.spawn(pooler.probe(deployment.one_way_s))
+            self._loop.spawn(pooler.run_probes(deployment.one_way_delay_s))
         return poolers
 
-    def _make_entries(self) -> tuple[FakeEntry, ...]:
+    def _make_entries(self) -> tuple[FakeEntryHost, ...]:
         deployment = self._deployment
         policy = self._make_routing()
         entries = tuple(
-            FakeEntry(
+            FakeEntryHost(
                 self._loop,
                 policy,
                 zone,
                 self._names,
-                deployment.zones[: REPLICAS + 1],
+                deployment.zones[: REPLICA_COUNT + 1],
                 self._poolers,
-                deployment.one_way_s,
+                deployment.one_way_delay_s,
             )
             for zone in deployment.zones
         )
         for entry in entries:
-            self._loop.spawn(entry.refresh())
+            self._loop.spawn(entry.poll_digests())
         return entries
 
     @property
     def _names(self) -> tuple[str, ...]:
-        return tuple(f'member-{i}' for i in range(REPLICAS + 1))
+        return tuple(f'member-{i}' for i in range(REPLICA_COUNT + 1))
 
-    def _arrive(self, rate: float, begin: Any) -> Generator[Any, Any, None]:
+    def _generate_arrivals(
+        self, rate: float, start_request: Any
+    ) -> Generator[Any, Any, None]:
         yield 1.0
         while self._loop.now < 1.0 + self._load.seconds:
-            self._loop.spawn(begin())
+            self._loop.spawn(start_request())
             yield self._rng.expovariate(rate)
 
-    def _session(self) -> Generator[Any, Any, None]:
-        floor = yield from self._request(
+    def _run_session(self) -> Generator[Any, Any, None]:
+        floor = yield from self._run_request(
             self._deployment.write, BEGINNING, 'steady'
         )
         if floor is None:
             return
-        for turn in range(SESSION_READS):
-            yield self._rng.expovariate(1 / THINK_TIME_S)
-            also = () if turn else (JUST_WRITTEN,)
-            yield from self._request(
-                self._deployment.session_read, floor, 'steady', also
+        for turn in range(READS_PER_SESSION):
+            yield self._rng.expovariate(1 / MEAN_THINK_TIME_S)
+            extra_names = () if turn else (READ_AFTER_WRITE,)
+            yield from self._run_request(
+                self._deployment.session_read, floor, 'steady', extra_names
             )
-        yield from self._request(self._deployment.aged_read, floor, 'steady')
+        yield from self._run_request(
+            self._deployment.aged_read, floor, 'steady'
+        )
 
-    def _lookup(self) -> Generator[Any, Any, None]:
-        yield from self._request(
+    def _run_lookup(self) -> Generator[Any, Any, None]:
+        yield from self._run_request(
             self._deployment.aged_read, BEGINNING, 'steady'
         )
 
-    def _flood(self) -> Generator[Any, Any, None]:
-        yield from self._request(
+    def _run_flood_read(self) -> Generator[Any, Any, None]:
+        yield from self._run_request(
             self._deployment.aged_read, BEGINNING, 'flood'
         )
 
-    def _request(
+    def _run_request(
         self,
         work_class: WorkClass,
         floor: Position,
         tenant: str,
-        also: tuple[str, ...] = (),
+        extra_names: tuple[str, ...] = (),
     ) -> Generator[Any, Any, Position | None]:
         """Send one request through a random entry host."""
         started_at = self._loop.now
         deadline = started_at + work_class.promptness.within_ms / 1000
         entry = self._rng.choice(self._entries)
-        yield CLIENT_S
-        req = RouteRequest(work_class, floor, entry.zone, deadline - CLIENT_S)
+        yield CALLER_DELAY_S
+        req = RouteRequest(
+            work_class, floor, entry.zone, deadline - CALLER_DELAY_S
+        )
         if work_class is self._deployment.write:
             result = yield from entry.write(req, tenant, WRITE_SERVICE_S)
         else:
             result = yield from entry.read(req, tenant, READ_SERVICE_S)
-        yield CLIENT_S
-        names = (work_class.name, f'{tenant}/{work_class.name}', *also)
+        yield CALLER_DELAY_S
+        names = (work_class.name, f'{tenant}/{work_class.name}', *extra_names)
         if not isinstance(result, Success):
             self._count_refusal(names, started_at)
             return None
@@ -251,18 +257,20 @@
         elapsed_s = self._loop.now - started_at
         self._targets.record_refusal(names[0], self._loop.now)
         for name in names:
-            self.tally.refuse(name, elapsed_s)
+            self.tally.count_refusal(name, elapsed_s)
 
     def _count_answer(
         self,
         names: tuple[str, ...],
         started_at: float,
         deadline: float,
-        found: Any,
+        outcome: Any,
     ) -> None:
         elapsed_s = self._loop.now - started_at
         self._targets.record(names[0], elapsed_s, self._loop.now)
-        is_replica = not isinstance(found, Position) and not found.is_primary
+        is_replica = (
+            not isinstance(outcome, Position) and not outcome.is_primary
+        )
         is_in_time = self._loop.now <= deadline
         for name in names:
-            self.tally.answer(name, elapsed_s, is_in_time, is_replica)
+            self.tally.count_answer(name, elapsed_s, is_in_time, is_replica)
--- a/packages/standins/src/trefoilpulley_standins/policy_shares.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_shares.py
@@ -14,8 +14,8 @@
 from trefoilpulley_core.targets import ClassTargets
 from trefoilpulley_standins.policy_deployment import READ_SERVICE_S
 from trefoilpulley_standins.policy_deployment import WRITE_SERVICE_S
-from trefoilpulley_standins.policy_entry import IN_ZONE_S
-from trefoilpulley_standins.policy_loop import Signal
+from trefoilpulley_standins.policy_entry import INTRA_ZONE_DELAY_S
+from trefoilpulley_standins.policy_loop import Future
 from trefoilpulley_standins.policy_loop import VirtualLoop
 from trefoilpulley_standins.policy_slots import FakeSlots
 from trefoilpulley_standins.policy_tally import Tally
@@ -26,21 +26,21 @@
     from trefoilpulley_core.declarations import WorkClass
     from trefoilpulley_standins.policy_deployment import Deployment
 
-HOSTS = 8
+HOST_COUNT = 8
 """Entry hosts."""
 
-HOT_SHARE = 0.5
+HOT_HOST_SHARE = 0.5
 """Share of the callers on one host, where the traffic is uneven."""
 
 WRITE_SHARE = 0.2
 """Share of the requests that are writes."""
 
-RUN_S = 8.0
+RUN_DURATION_S = 8.0
 """Virtual time of the traffic, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class DueWork:
+class TimedRequest:
     """One request and the time that it will hold a slot."""
 
     work_class: WorkClass
@@ -56,7 +56,7 @@
     """Time that it holds a slot, in seconds."""
 
 
-class ShareRun(abc.ABC):
+class SharedMemberRun(abc.ABC):
     """Replays the requests of eight hosts to one member.
 
     Parameters
@@ -92,38 +92,44 @@
         mean_s = WRITE_SHARE * WRITE_SERVICE_S
         mean_s += (1 - WRITE_SHARE) * READ_SERVICE_S
         self._rate = load * deployment.slots / mean_s
-        self.prepare()
+        self.create_slots()
 
     @abc.abstractmethod
-    def prepare(self) -> None:
+    def create_slots(self) -> None:
         """Make the slots and connections, all idle."""
 
     def run(self) -> Tally:
         """Replay the traffic and let it drain."""
-        self.loop.spawn(self._arrive())
-        self.loop.run_until(RUN_S + 5.0)
+        self.loop.spawn(self._generate_arrivals())
+        self.loop.run_until(RUN_DURATION_S + 5.0)
         return self.tally
 
     @abc.abstractmethod
-    def serve(self, host: int, due: DueWork) -> Generator[Any, Any, bool]:
+    def serve_request(
+        self, host: int, req: TimedRequest
+    ) -> Generator[Any, Any, bool]:
         """Run one request; return whether it was answered."""
 
-    def one_way_s(self, host: int) -> float:
+    def one_way_delay_s(self, host: int) -> float:
         """Return the delay from a host to the member's zone."""
         zones = len(self.deployment.zones)
-        return self.deployment.one_way_s if host % zones else IN_ZONE_S
+        return (
+            self.deployment.one_way_delay_s
+            if host % zones
+            else INTRA_ZONE_DELAY_S
+        )
 
-    def _arrive(self) -> Generator[Any, Any, None]:
-        while self.loop.now < RUN_S:
-            self.loop.spawn(self._request())
+    def _generate_arrivals(self) -> Generator[Any, Any, None]:
+        while self.loop.now < RUN_DURATION_S:
+            self.loop.spawn(self._run_request())
             yield self._rng.expovariate(self._rate)
 
     def _pick_host(self) -> int:
-        if self._is_uneven and self._rng.random() < HOT_SHARE:
+        if self._is_uneven and self._rng.random() < HOT_HOST_SHARE:
             return 1
-        return self._rng.randrange(HOSTS)
+        return self._rng.randrange(HOST_COUNT)
 
-    def _request(self) -> Generator[Any, Any, None]:
+    def _run_request(self) -> Generator[Any, Any, None]:
         is_write = self._rng.random() < WRITE_SHARE
         deployment = self.deployment
         work_class = deployment.write if is_write else deployment.aged_read
@@ -131,20 +137,22 @@
         service_s = mean_s / 2 + self._rng.expovariate(2 / mean_s)
         started_at = self.loop.now
         deadline = started_at + work_class.promptness.within_ms / 1000
-        due = DueWork(work_class, is_write, deadline, service_s)
-        is_answered = yield from self.serve(self._pick_host(), due)
+        req = TimedRequest(work_class, is_write, deadline, service_s)
+        is_answered = yield from self.serve_request(self._pick_host(), req)
         if not is_answered:
-            self.tally.refuse(work_class.name, self.loop.now - started_at)
+            self.tally.count_refusal(
+                work_class.name, self.loop.now - started_at
+            )
             return
         elapsed_s = self.loop.now - started_at
         is_in_time = self.loop.now <= deadline
-        self.tally.answer(work_class.name, elapsed_s, is_in_time, False)
+        self.tally.count_answer(work_class.name, elapsed_s, is_in_time, False)
 
 
-class PooledRun(ShareRun):
+class PooledRun(SharedMemberRun):
     """One pooler in the member's zone holds the connections."""
 
-    def prepare(self) -> None:
+    def create_slots(self) -> None:
         """Make the slots of the one pooler."""
         targets = ClassTargets()
         targets.declare(self.deployment.classes)
@@ -152,59 +160,64 @@
         queue = DeadlineQueue(count, targets)
         self._slots = FakeSlots(self.loop, queue, count)
 
-    def serve(self, host: int, due: DueWork) -> Generator[Any, Any, bool]:
+    def serve_request(
+        self, host: int, req: TimedRequest
+    ) -> Generator[Any, Any, bool]:
         """Run one request through the pooler."""
-        way_s = self.one_way_s(host)
-        yield way_s
-        held_s = due.service_s + 2 * IN_ZONE_S
+        delay_s = self.one_way_delay_s(host)
+        yield delay_s
+        held_s = req.service_s + 2 * INTRA_ZONE_DELAY_S
         is_answered = yield from self._slots.run(
             'caller',
-            due.work_class.name,
-            due.deadline - way_s,
-            due.is_write,
+            req.work_class.name,
+            req.deadline - delay_s,
+            req.is_write,
             held_s,
         )
-        yield way_s
+        yield delay_s
         return is_answered
 
 
-class FixedShareRun(ShareRun):
+class FixedShareRun(SharedMemberRun):
     """Each host holds its own share of the connections."""
 
-    def prepare(self) -> None:
+    def create_slots(self) -> None:
         """Make each host's connections and the member's own slots."""
-        share = self.deployment.connections // HOSTS
+        share = self.deployment.connections // HOST_COUNT
         self._connections = [
-            FakeSlots(self.loop, FifoQueue(share), share) for _ in range(HOSTS)
+            FakeSlots(self.loop, FifoQueue(share), share)
+            for _ in range(HOST_COUNT)
         ]
         self._free = self.deployment.slots
-        self._waiting: deque[Signal] = deque()
+        self._waiting: deque[Future] = deque()
 
-    def serve(self, host: int, due: DueWork) -> Generator[Any, Any, bool]:
+    def serve_request(
+        self, host: int, req: TimedRequest
+    ) -> Generator[Any, Any, bool]:
         """Run one request over a connection of the host's own."""
-        way_s = self.one_way_s(host)
+        delay_s = self.one_way_delay_s(host)
         connections = self._connections[host]
         ticket = yield from connections.acquire(
-            due.work_class.name, due.deadline, due.is_write
+            req.work_class.name, req.deadline, req.is_write
         )
         if ticket is None:
             return False
-        taken_at = self.loop.now
-        yield way_s
-        yield from self._run_at_member(due.service_s)
-        yield way_s
-        connections.release(ticket, self.loop.now - taken_at)
+        acquired_at = self.loop.now
+        yield delay_s
+        yield from self._run_at_member(req.service_s)
+        yield delay_s
+        connections.release(ticket, self.loop.now - acquired_at)
         return True
 
     def _run_at_member(self, service_s: float) -> Generator[Any, Any, None]:
         if self._free:
             self._free -= 1
         else:
-            turn = Signal(self.loop)
-            self._waiting.append(turn)
-            yield turn
+            granted = Future(self.loop)
+            self._waiting.append(granted)
+            yield granted
         yield service_s
         if self._waiting:
-            self._waiting.popleft().set()
+            self._waiting.popleft().set_result()
         else:
             self._free += 1
--- a/packages/standins/src/trefoilpulley_standins/policy_slots.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_slots.py
@@ -9,7 +9,7 @@
 from returns.result import Success
 
 from trefoilpulley_core.slots import Ticket
-from trefoilpulley_standins.policy_loop import Signal
+from trefoilpulley_standins.policy_loop import Future
 
 if TYPE_CHECKING:
     from collections.abc import Generator
@@ -38,7 +38,7 @@
         self._queue = queue
         self._free = count
         self._ids = itertools.count(1)
-        self._granted: dict[int, Signal] = {}
+        self._grants: dict[int, Future] = {}
         self.served = 0
         """Pieces of work that have run."""
 
@@ -53,18 +53,18 @@
         work_class: str,
         deadline: float,
         is_write: bool,
-        held_s: float,
+        service_s: float,
     ) -> Generator[Any, Any, bool]:
         """Wait for a slot and hold it; return whether the work ran."""
         ticket = Ticket(
             next(self._ids), tenant, work_class, deadline, is_write
         )
-        is_granted = yield from self._acquire(ticket)
+        is_granted = yield from self._wait_for_slot(ticket)
         if not is_granted:
             return False
-        yield held_s
+        yield service_s
         self.served += 1
-        self.release(ticket, held_s)
+        self.release(ticket, service_s)
         return True
 
     def acquire(
@@ -74,21 +74,21 @@
         ticket = Ticket(
             next(self._ids), 'caller', work_class, deadline, is_write
         )
-        is_granted = yield from self._acquire(ticket)
+        is_granted = yield from self._wait_for_slot(ticket)
         return ticket if is_granted else None
 
-    def release(self, ticket: Ticket, held_s: float) -> None:
+    def release(self, ticket: Ticket, service_s: float) -> None:
         """Free the slot of a piece of work."""
         self._free += 1
         is_in_time = self._loop.now <= ticket.deadline
-        self._queue.record_service(ticket.work_class, held_s, is_in_time)
+        self._queue.record_service(ticket.work_class, service_s, is_in_time)
         self._dispatch()
 
-    def _acquire(self, ticket: Ticket) -> Generator[Any, Any, bool]:
+    def _wait_for_slot(self, ticket: Ticket) -> Generator[Any, Any, bool]:
         if not isinstance(self._queue.offer(ticket, self._loop.now), Success):
             return False
-        granted = Signal(self._loop)
-        self._granted[ticket.ticket_id] = granted
+        granted = Future(self._loop)
+        self._grants[ticket.ticket_id] = granted
         self._loop.call_at(ticket.deadline, self._dispatch)
         self._dispatch()
         return (yield granted)
@@ -96,10 +96,10 @@
     def _dispatch(self) -> None:
         now = self._loop.now
         for ticket in self._queue.expire(now):
-            self._granted.pop(ticket.ticket_id).set(False)
+            self._grants.pop(ticket.ticket_id).set_result(False)
         while self._free:
             ticket = self._queue.take(now, True)
             if ticket is None:
                 return
             self._free -= 1
-            self._granted.pop(ticket.ticket_id).set(True)
+            self._grants.pop(ticket.ticket_id).set_result(True)
--- a/packages/standins/src/trefoilpulley_standins/policy_tally.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_tally.py
@@ -20,16 +20,16 @@
     refused: int = 0
     """Requests that were refused."""
 
-    at_replica: int = 0
+    replica_answered: int = 0
     """Reads that a replica answered."""
 
     answered: int = 0
     """Requests answered, late ones included."""
 
-    answer_s: list[float] = field(default_factory=list)
+    answer_times_s: list[float] = field(default_factory=list)
     """Time to each answer, in seconds."""
 
-    refusal_s: list[float] = field(default_factory=list)
+    refusal_times_s: list[float] = field(default_factory=list)
     """Time to each refusal, in seconds."""
 
     @property
@@ -40,7 +40,7 @@
     @property
     def replica_share(self) -> float:
         """Share of the answered reads that a replica answered."""
-        return self.at_replica / self.answered if self.answered else 0.0
+        return self.replica_answered / self.answered if self.answered else 0.0
 
     @property
     def refused_share(self) -> float:
@@ -50,12 +50,12 @@
     @property
     def median_refusal_s(self) -> float:
         """Median time to a refusal, in seconds."""
-        return _quantile(self.refusal_s, 0.5)
+        return _quantile(self.refusal_times_s, 0.5)
 
     @property
     def p99_answer_s(self) -> float:
         """99th percentile of the time to an answer, in seconds."""
-        return _quantile(self.answer_s, 0.99)
+        return _quantile(self.answer_times_s, 0.99)
 
 
 def _quantile(times_s: list[float], share: float) -> float:
@@ -73,20 +73,20 @@
     def __getitem__(self, name: str) -> ClassTally:
         return self._by_name[name]
 
-    def answer(
+    def count_answer(
         self, name: str, elapsed_s: float, is_in_time: bool, is_replica: bool
     ) -> None:
         """Count an answer."""
         tally = self._by_name[name]
-        tally.answer_s.append(elapsed_s)
+        tally.answer_times_s.append(elapsed_s)
         tally.total += 1
         tally.answered += 1
         tally.in_time += is_in_time
-        tally.at_replica += is_replica
+        tally.replica_answered += is_replica
 
-    def refuse(self, name: str, elapsed_s: float) -> None:
+    def count_refusal(self, name: str, elapsed_s: float) -> None:
         """Count a refusal."""
         tally = self._by_name[name]
         tally.total += 1
         tally.refused += 1
-        tally.refusal_s.append(elapsed_s)
+        tally.refusal_times_s.append(elapsed_s)
--- a/packages/standins/src/trefoilpulley_standins/policy_timing.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_timing.py
@@ -26,10 +26,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-ROUNDS = 7
+ROUND_COUNT = 7
 """Rounds of each timing."""
 
-CALLS = 4000
+CALLS_PER_ROUND = 4000
 """Calls a round."""
 
 PRIMARY_INDEX = 100
@@ -63,22 +63,22 @@
     zone = KARAMANLIS.zones[1]
     req = RouteRequest(KARAMANLIS.aged_read, floor, zone, 0.25)
     started_at = time.process_time()
-    for _ in range(CALLS):
+    for _ in range(CALLS_PER_ROUND):
         policy.choose(view, req, 0.01)
     return time.process_time() - started_at
 
 
-def _fill(queue: DeadlineQueue) -> float:
+def _time_fill(queue: DeadlineQueue) -> float:
     classes = KARAMANLIS.classes
     tickets = [
         Ticket(
             number,
             f'tenant-{number % 7}',
             classes[number % len(classes)].name,
-            1000.0 + number / CALLS,
+            1000.0 + number / CALLS_PER_ROUND,
             number % len(classes) == 0,
         )
-        for number in range(CALLS)
+        for number in range(CALLS_PER_ROUND)
     ]
     started_at = time.process_time()
     for ticket in tickets:
@@ -87,15 +87,15 @@
 
 
 def _time_offer() -> float:
-    return _fill(DeadlineQueue(KARAMANLIS.slots, _make_targets()))
+    return _time_fill(DeadlineQueue(KARAMANLIS.slots, _make_targets()))
 
 
 def _time_take() -> float:
     queue = DeadlineQueue(KARAMANLIS.slots, _make_targets())
-    _fill(queue)
+    _time_fill(queue)
     name = KARAMANLIS.aged_read.name
     started_at = time.process_time()
-    for _ in range(CALLS):
+    for _ in range(CALLS_PER_ROUND):
         queue.take(0.001, True)
         queue.record_service(name, 0.004, True)
     return time.process_time() - started_at
@@ -111,9 +111,11 @@
         ('take and record_service', _time_take),
     )
     for name, run in timings:
-        found = [1e6 * run() / CALLS for _ in range(ROUNDS)]
-        median = statistics.median(found)
-        click.echo(f'{name:26}{min(found):8.1f}{median:8.1f} us')
+        timings_us = [
+            1e6 * run() / CALLS_PER_ROUND for _ in range(ROUND_COUNT)
+        ]
+        median = statistics.median(timings_us)
+        click.echo(f'{name:26}{min(timings_us):8.1f}{median:8.1f} us')
 
 
 if __name__ == '__main__':
