--- a/packages/standins/src/trefoilpulley_standins/policy_cases.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_cases.py
@@ -1,4 +1,4 @@
-"""Cases of the policy replay and the figures of one seed."""
+"""Simulation cases and the figures that they yield for one seed."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     from trefoilpulley_standins.policy_shares import SharedMemberRun
 
 POLICIES = ('thin', 'plain', 'targets')
-"""The thin version's policy, the plain one and the product's."""
+"""Nearest member, round robin, and routing by targets with deadlines."""
 
 LAGS_S = (0.005, 0.05, 0.5)
-"""Replication lags of the read cases, in seconds."""
+"""Mean replication lags of the read cases, in seconds."""
 
 MEMBER_COUNT = 3
-"""Members of a database group."""
+"""Number of members of a database group."""
 
 _SESSIONS_PER_S = 100.0
 _OVERLOAD_FACTOR = 2.0
@@ -38,22 +38,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One figure of one seed."""
+    """One measured value of one simulation with one seed."""
 
     case: str
-    """Deployment and load."""
+    """Deployment and kind of load."""
 
     policy: str
-    """Policy that was replayed."""
+    """Name of the simulated policy."""
 
     name: str
-    """What is measured."""
+    """Name of the measured quantity."""
 
     value: float
-    """Value."""
+    """Measured value."""
 
     is_higher_worse: bool = False
-    """Whether the highest value is the worst."""
+    """Whether a higher value is worse than a lower one."""
 
 
 def measure_seed(seed: int) -> tuple[Figure, ...]:
@@ -70,7 +70,7 @@
 
 
 def make_overload(deployment: Deployment, seconds: float) -> Load:
-    """Return a load of twice the work that a group's slots carry."""
+    """Return a load of twice the capacity of a database group's slots."""
     session_s = WRITE_SERVICE_S + (READS_PER_SESSION + 1) * READ_SERVICE_S
     capacity = MEMBER_COUNT * deployment.slots * _OVERLOAD_FACTOR
     lookups = (capacity - _SESSIONS_PER_S * session_s) / READ_SERVICE_S
--- a/packages/standins/src/trefoilpulley_standins/policy_connections.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_connections.py
@@ -1,4 +1,4 @@
-"""Replay of several poolers that share one member's connections."""
+"""Simulates several poolers that share one member's connection limit."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
     from trefoilpulley_core.connection_budget import ConnectionBudget
 
 STATUS_INTERVAL_S = 0.1
-"""Time between two reports of the member, in seconds."""
+"""Time between two status reports of the member, in seconds."""
 
 DISCONNECT_DELAY_S = 1.0
-"""Time for which the member keeps a dead host's connections, seconds."""
+"""Time until the member closes a crashed host's connections, in seconds."""
 
 CRASH_TIME_S = 4.0
-"""Time at which the first pooler's host dies, in seconds."""
+"""Virtual time at which the first pooler's host crashes, in seconds."""
 
 RUN_DURATION_S = 12.0
-"""Virtual time of one replay, in seconds."""
+"""Virtual duration of one simulation, in seconds."""
 
 
 class FakeMemberConnections:
-    """Counts the connections open at one member over time."""
+    """Counts the open connections of one member over virtual time."""
 
     def __init__(self, loop: VirtualLoop, limit: int) -> None:
         self._loop = loop
         self._limit = limit
         self._excess_since: float | None = None
         self.open_count = 0
-        """Connections open."""
+        """Number of open connections."""
 
         self.peak_count = 0
-        """Most connections open at once."""
+        """Highest number of connections open at once."""
 
         self.max_excess_s = 0.0
-        """Longest time over the limit, in seconds."""
+        """Longest period above the connection limit, in seconds."""
 
     def add(self, count: int) -> None:
-        """Open connections, or close them where negative."""
+        """Add opened connections; a negative count closes connections."""
         self.open_count += count
         self.peak_count = max(self.peak_count, self.open_count)
         is_above_limit = self.open_count > self._limit
@@ -55,7 +55,7 @@
             self.end_excess()
 
     def end_excess(self) -> None:
-        """Take the time over the limit as ended."""
+        """End the current period above the connection limit, if any."""
         if self._excess_since is None:
             return
         excess_s = self._loop.now - self._excess_since
@@ -64,22 +64,23 @@
 
 
 class FakePoolerConnections:
-    """One host that takes itself for the member's pooler.
+    """Connections of one host that acts as the member's pooler.
 
     Parameters
     ----------
     loop : VirtualLoop
         Virtual clock.
-    door : FakeMemberConnections
-        Member to connect to.
+    member_connections : FakeMemberConnections
+        Connections of the member, shared by all poolers.
     budget : ConnectionBudget | None
-        Budget to replay; ``None`` opens all that is wanted.
+        Connection budget to test; ``None`` for poolers without a budget.
     rng : random.Random
         Source of the jitter.
     slots : int
-        Connections for work that the pooler wants, less one.
+        Slots of the member. The pooler opens one work connection more than
+        the member has slots.
     connect_s : float
-        Time that a connection takes, in seconds.
+        Time to open a connection, in seconds.
     """
 
     def __init__(
@@ -99,16 +100,16 @@
         self._connect_s = connect_s
         self._started_at = 0.0
         self.open_count = 0
-        """Connections open or under way."""
+        """Number of connections that are open or being opened."""
 
         self.is_alive = True
-        """Whether the host runs."""
+        """Whether the host is running."""
 
         self.warm_up_s: float | None = None
-        """Time from the start until the first three were open."""
+        """Time from the start until three connections were open."""
 
     def run(self, start_s: float) -> Generator[Any, Any, None]:
-        """Hold the connections, as a process."""
+        """Open and keep connections, as a process of the virtual loop."""
         yield start_s
         self._started_at = self._loop.now
         yield from self._open()
@@ -124,7 +125,7 @@
                 yield STATUS_INTERVAL_S / 4
 
     def crash(self) -> None:
-        """Stop; the member notices later."""
+        """Crash the host; the member closes its connections after a delay."""
         self.is_alive = False
         remaining = self.open_count
         at = self._loop.now + DISCONNECT_DELAY_S
@@ -171,22 +172,22 @@
 
 
 class ConnectionRun:
-    """Replays poolers with different views and the death of one.
+    """Simulates poolers that overlap around the crash of the first one.
 
     Parameters
     ----------
     limit : int
-        Connections that the member allows.
+        Connection limit of the member.
     slots : int
         Slots of the member.
     connect_s : float
-        Time that a connection takes, in seconds.
+        Time to open a connection, in seconds.
     poolers : int
-        Hosts that take themselves for the member's pooler.
+        Number of hosts that act as the member's pooler.
     budget : type[ConnectionBudget] | None
-        Budget of each pooler; ``None`` opens all that is wanted.
+        Connection budget of each pooler; ``None`` for no budget.
     seed : int
-        Seed of all randomness.
+        Seed of the random number generator.
     """
 
     def __init__(
@@ -201,7 +202,7 @@
         self._rng = random.Random(seed)
         self._loop = VirtualLoop()
         self.member_connections = FakeMemberConnections(self._loop, limit)
-        """Counts at the member."""
+        """Open connections of the member."""
 
         self.poolers = tuple(
             FakePoolerConnections(
@@ -214,10 +215,10 @@
             )
             for _ in range(poolers)
         )
-        """Hosts that take themselves for the pooler."""
+        """Hosts that act as the member's pooler."""
 
     def run(self) -> None:
-        """Start the first alone, the others together around its death."""
+        """Start the first pooler, and the others close to its crash."""
         first, *others = self.poolers
         self._loop.spawn(first.run(0.0))
         for pooler in others:
--- a/packages/standins/src/trefoilpulley_standins/policy_deployment.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_deployment.py
@@ -1,4 +1,4 @@
-"""Deployments and mixes of work that the policies are replayed on."""
+"""Deployments and classes of work that the policies are simulated with."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from trefoilpulley_core.declarations import WorkKind
 
 READ_SERVICE_S = 0.004
-"""Mean time that a read holds a slot, in seconds."""
+"""Mean time for which a read occupies a slot, in seconds."""
 
 WRITE_SERVICE_S = 0.006
-"""Mean time that a write holds a slot, in seconds."""
+"""Mean time for which a write occupies a slot, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One user's database group and its classes of work."""
+    """Database group and classes of work of one deployment."""
 
     name: str
     """Name of the deployment."""
@@ -29,33 +29,33 @@
     """Availability zones with entry hosts."""
 
     one_way_delay_s: float
-    """Delay between two availability zones, in seconds."""
+    """One-way delay between two availability zones, in seconds."""
 
     classes: tuple[WorkClass, ...]
-    """Single write, session read and aged read, in this order."""
+    """Classes of writes, session reads and aged reads, in this order."""
 
     connections: int
-    """Connections that a member allows."""
+    """Connection limit of a member."""
 
     connect_s: float
-    """Time that a new connection takes, in seconds."""
+    """Time to open a connection, in seconds."""
 
     slots: int = 2
-    """Pieces of work that a member runs at once."""
+    """Number of requests that a member executes concurrently."""
 
     @property
     def write(self) -> WorkClass:
-        """Writes that may run only once."""
+        """Class of writes that must not be repeated."""
         return self.classes[0]
 
     @property
     def session_read(self) -> WorkClass:
-        """Reads of a session's own writes."""
+        """Class of reads that must see the session's own writes."""
         return self.classes[1]
 
     @property
     def aged_read(self) -> WorkClass:
-        """Reads that allow an age."""
+        """Class of reads that accept data up to a maximum age."""
         return self.classes[2]
 
 
@@ -109,4 +109,4 @@
 )
 
 DEPLOYMENTS = (KARAMANLIS, SLEEVECRAFT)
-"""Both of today's deployments."""
+"""Deployments that are simulated."""
--- a/packages/standins/src/trefoilpulley_standins/policy_entry.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_entry.py
@@ -1,4 +1,4 @@
-"""Fake entry host on a virtual clock, around a real routing policy."""
+"""Fake entry host on a virtual clock that uses a real routing policy."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
     from trefoilpulley_standins.policy_pooler import FakePooler
 
 DIGEST_INTERVAL_S = 0.25
-"""Time between two questions for the digests, in seconds."""
+"""Time between two requests for the members' digests, in seconds."""
 
 INTRA_ZONE_DELAY_S = 0.0005
-"""Delay between two hosts of one availability zone, in seconds."""
+"""One-way delay between hosts of the same availability zone, in seconds."""
 
 
 class FakeEntryHost:
-    """Entry host that routes by a policy and its own view.
+    """Entry host that routes requests by a policy and its view of the members.
 
     Parameters
     ----------
     loop : VirtualLoop
         Virtual clock.
     policy : RoutingPolicy
-        Policy to replay.
+        Routing policy to simulate.
     zone : str
         Availability zone of the host.
     names : tuple[str, ...]
@@ -50,7 +50,7 @@
     poolers : tuple[FakePooler, ...]
         Poolers of the members.
     one_way_delay_s : float
-        Delay between two availability zones, in seconds.
+        One-way delay between two availability zones, in seconds.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         }
 
     def poll_digests(self) -> Generator[Any, Any, None]:
-        """Ask for the digests, as a process."""
+        """Request the members' digests periodically, as a process."""
         while True:
             for name in self._names:
                 self._loop.spawn(self._fetch_digest(name))
@@ -91,7 +91,7 @@
     def read(
         self, req: RouteRequest, tenant: str, service_s: float
     ) -> Generator[Any, Any, Result[Route, Failure]]:
-        """Run a read; try another member where one is behind."""
+        """Execute a read; retry at another member when a replica is behind."""
         while self._loop.now < req.deadline:
             routed = self._policy.choose(self._view(), req, self._loop.now)
             if not isinstance(routed, Success):
@@ -106,12 +106,12 @@
                 return result
             excluded = req.excluded | {route.member}
             req = replace(req, excluded=excluded)
-        return Failed(NoUpstream('no time is left'))
+        return Failed(NoUpstream('deadline exceeded before a member answered'))
 
     def write(
         self, req: RouteRequest, tenant: str, service_s: float
     ) -> Generator[Any, Any, Result[Any, Failure]]:
-        """Run a write at the primary."""
+        """Execute a write at the primary."""
         routed = self._policy.choose(self._view(), req, self._loop.now)
         if not isinstance(routed, Success):
             return routed
@@ -142,7 +142,7 @@
     def _make_pooler_request(
         self, req: RouteRequest, name: str
     ) -> RouteRequest:
-        """Leave the answer the time for its way back."""
+        """Return the request with the deadline less the answer's delay."""
         return replace(req, deadline=req.deadline - self._delays_s[name])
 
     def _fetch_digest(self, name: str) -> Generator[Any, Any, None]:
--- a/packages/standins/src/trefoilpulley_standins/policy_group.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_group.py
@@ -14,28 +14,28 @@
     from trefoilpulley_standins.policy_loop import VirtualLoop
 
 TERM = 1
-"""Term of the group's primary throughout a replay."""
+"""Term of the primary; the primary never changes in a simulation."""
 
 LAG_SPREAD_FACTOR = 0.3
-"""Largest part by which the lag of one record differs from the mean."""
+"""Largest relative deviation of one record's lag from the mean."""
 
 REPLICA_COUNT = 2
-"""Replicas of the group."""
+"""Number of replicas of the group."""
 
 
 class FakeGroup:
-    """Arrival times of each record at the members; member 0 leads.
+    """Arrival time of each record at each member; member 0 is the primary.
 
     Parameters
     ----------
     loop : VirtualLoop
         Virtual clock.
     rng : random.Random
-        Source of the spread of the lags.
+        Random number generator of the replication lags.
     lag_s : float
-        Mean replication lag in seconds.
+        Mean replication lag, in seconds.
     one_way_delay_s : float
-        Delay between the members, in seconds.
+        One-way delay between the members, in seconds.
     """
 
     def __init__(
@@ -54,7 +54,14 @@
         ]
 
     def append(self) -> tuple[Position, float]:
-        """Write a record; return it and when its second copy is known."""
+        """Append a record.
+
+        Returns
+        -------
+        tuple[Position, float]
+            Position of the record, and the virtual time at which the
+            primary learns of the second copy, in seconds.
+        """
         now = self._loop.now
         self._arrivals[0].append(now)
         for arrivals in self._arrivals[1:]:
@@ -70,19 +77,19 @@
         return position, replicated_at + self._one_way_delay_s
 
     def position(self, member: int, at: float | None = None) -> Position:
-        """Return the end of a member's log at a time."""
+        """Return the end of a member's log, now or at a given time."""
         when = self._loop.now if at is None else at
         count = bisect.bisect_right(self._arrivals[member], when)
         return Position(TERM, count)
 
     def arrival_time(self, member: int, position: Position) -> float:
-        """Return when a member holds a record."""
+        """Return the virtual time at which a record reaches a member."""
         if position.index == 0:
             return 0.0
         return self._arrivals[member][position.index - 1]
 
     def acknowledgements(self, names: tuple[str, ...]) -> tuple:
-        """Return what the primary knows of its replicas."""
+        """Return the replicas' positions that the primary knows of."""
         seen_at = self._loop.now - self._one_way_delay_s
         return tuple(
             Acknowledgement(names[i], self.position(i, seen_at))
@@ -90,11 +97,15 @@
         )
 
     def true_lag_s(self, member: int) -> float:
-        """Return the time that the last record took to a member."""
+        """Return the replication lag of the last record, in seconds."""
         return self._arrivals[member][-1] - self._arrivals[0][-1]
 
     def true_age_s(self, member: int) -> float:
-        """Return the time since the primary passed a member's position."""
+        """Return the true age of a member's data, in seconds.
+
+        The age is the time since the primary wrote the first record that
+        the member lacks.
+        """
         index = self.position(member).index
         writes = self._arrivals[0]
         if index >= len(writes):
--- a/packages/standins/src/trefoilpulley_standins/policy_loop.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_loop.py
@@ -1,4 +1,4 @@
-"""Virtual clock that runs generators as processes."""
+"""Event loop on a virtual clock that runs generators as processes."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class Future:
-    """Value that a process waits for; the first one set counts."""
+    """Result that one process can wait for; only the first result counts."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self._loop = loop
         self._waiter: Generator[Any, Any, Any] | None = None
         self.is_done = False
-        """Whether the value is there."""
+        """Whether the result has been set."""
 
         self.value: Any = None
-        """Value, once set."""
+        """Result, once set."""
 
     def set_result(self, value: Any = None) -> None:
-        """Set the value and wake the process."""
+        """Set the result and resume the waiting process."""
         if self.is_done:
             return
         self.is_done = True
@@ -34,7 +34,7 @@
             self._loop.resume(self._waiter, value)
 
     def add_waiter(self, process: Generator[Any, Any, Any]) -> None:
-        """Wake a process once the value is there."""
+        """Resume a process as soon as the result is set."""
         if self.is_done:
             self._loop.resume(process, self.value)
         self._waiter = process
@@ -43,31 +43,31 @@
 class VirtualLoop:
     """Runs callbacks and processes in the order of their virtual time.
 
-    A process yields a number of seconds to sleep, or a `Signal`.
+    A process yields the seconds to sleep, or a `Future` to wait for.
     """
 
     def __init__(self) -> None:
         self.now = 0.0
-        """Virtual time in seconds."""
+        """Current virtual time, in seconds."""
 
         self._order = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
     def call_at(self, at: float, callback: Callable[[], None]) -> None:
-        """Call back at a time."""
+        """Schedule a callback at a virtual time."""
         entry = (max(at, self.now), next(self._order), callback)
         heapq.heappush(self._events, entry)
 
     def spawn(self, process: Generator[Any, Any, Any]) -> None:
-        """Start a process now."""
+        """Start a process at the current virtual time."""
         self.resume(process, None)
 
     def resume(self, process: Generator[Any, Any, Any], value: Any) -> None:
-        """Run a process to its next wait, from a callback of its own."""
+        """Schedule a process to continue with a value until its next wait."""
         self.call_at(self.now, lambda: self._step(process, value))
 
     def run_until(self, end: float) -> None:
-        """Run everything that is due up to a time."""
+        """Run all callbacks that are due up to a virtual time."""
         while self._events and self._events[0][0] <= end:
             self.now, _, callback = heapq.heappop(self._events)
             callback()
--- a/packages/standins/src/trefoilpulley_standins/policy_pooler.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_pooler.py
@@ -28,31 +28,31 @@
     from trefoilpulley_standins.policy_loop import VirtualLoop
 
 PROBE_INTERVAL_S = 0.1
-"""Time between two probes of the primary, in seconds."""
+"""Time between two probes of the primary's position, in seconds."""
 
 MIN_SERVICE_TIME_FACTOR = 0.5
-"""Part of the mean below which no service time falls."""
+"""Shortest service time, as a share of the mean service time."""
 
 
 class FakePooler:
-    """Slots, waits for floors and the age of one member.
+    """Slots, floor waits and data age of one member.
 
     Parameters
     ----------
     loop : VirtualLoop
         Virtual clock.
     rng : random.Random
-        Source of the service times.
+        Random number generator of the service times.
     group : FakeGroup
         Logs of the members.
     names : tuple[str, ...]
-        Names of the members; the first leads.
+        Names of the members; the first one is the primary.
     number : int
-        Number of the member in the group.
+        Index of the member in the group.
     queue : SlotQueue
-        Order of the waiting work.
+        Queue that orders the waiting requests.
     slots : int
-        Pieces of work that run at once.
+        Number of requests that run concurrently.
     """
 
     def __init__(
@@ -75,20 +75,20 @@
         """Age of the member's data."""
 
         self.understated_ages = 0
-        """Reads whose stated age was below the true one."""
+        """Number of reads whose stated age was lower than the true age."""
 
     @property
     def served(self) -> int:
-        """Pieces of work that the member has run."""
+        """Number of requests that the member has executed."""
         return self._slots.served
 
     @property
     def is_primary(self) -> bool:
-        """Whether the member leads."""
+        """Whether the member is the primary."""
         return self._number == 0
 
     def digest(self) -> MemberDigest:
-        """Return what entry hosts learn of the member."""
+        """Return the member's digest for the entry hosts."""
         now = self._loop.now
         copies = ()
         if self.is_primary:
@@ -107,7 +107,7 @@
         )
 
     def run_probes(self, one_way_delay_s: float) -> Generator[Any, Any, None]:
-        """Date the replica by probes, as a process."""
+        """Track the replica's age by probes of the primary, as a process."""
         while True:
             sent_at = self._loop.now
             yield one_way_delay_s
@@ -121,9 +121,9 @@
     def read(
         self, req: RouteRequest, route: Route, tenant: str, service_s: float
     ) -> Generator[Any, Any, Result[None, Failure]]:
-        """Run a read once the member holds the floor."""
-        replicated_at = self._group.arrival_time(self._number, route.floor)
-        behind_s = replicated_at - self._loop.now
+        """Execute a read as soon as the member's log has reached the floor."""
+        arrives_at = self._group.arrival_time(self._number, route.floor)
+        behind_s = arrives_at - self._loop.now
         if behind_s > 0 and behind_s * 1000 > route.wait_ms:
             yield route.wait_ms / 1000
             return Failed(ReplicaBehind())
@@ -139,7 +139,7 @@
     def write(
         self, req: RouteRequest, tenant: str, service_s: float
     ) -> Generator[Any, Any, Result[Any, Failure]]:
-        """Run a write and wait for its second copy."""
+        """Execute a write and wait until a second member has a copy."""
         is_granted = yield from self._run_in_slot(req, tenant, True, service_s)
         if not is_granted:
             return Failed(Overloaded())
@@ -161,7 +161,7 @@
     def _run_in_slot(
         self, req: RouteRequest, tenant: str, is_write: bool, mean_s: float
     ) -> Generator[Any, Any, bool]:
-        """Hold a slot for a random service time."""
+        """Occupy a slot for a random service time with the given mean."""
         min_s = MIN_SERVICE_TIME_FACTOR * mean_s
         service_s = min_s + self._rng.expovariate(1 / (mean_s - min_s))
         name = req.work_class.name
--- a/packages/standins/src/trefoilpulley_standins/policy_replay.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_replay.py
@@ -1,4 +1,4 @@
-"""Replays the policies on a virtual clock and prints their figures.
+"""Simulates the policies on a virtual clock and prints their figures.
 
 ``python -m trefoilpulley_standins.policy_replay`` writes
 ``build/measure/policy.json``.
@@ -24,34 +24,34 @@
     from trefoilpulley_standins.policy_cases import Figure
 
 OUTPUT = Path('build/measure/policy.json')
-"""File that the figures are written to."""
+"""Path of the JSON file with the figures."""
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """One figure over all seeds."""
+    """Statistics of one figure over all seeds."""
 
     case: str
-    """Deployment and load."""
+    """Deployment and kind of load."""
 
     policy: str
-    """Policy that was replayed."""
+    """Name of the simulated policy."""
 
     name: str
-    """What is measured."""
+    """Name of the measured quantity."""
 
     median: float
-    """Median over the seeds."""
+    """Median over all seeds."""
 
     worst: float
-    """Worst over the seeds."""
+    """Worst value over all seeds."""
 
     seeds: int
     """Number of seeds."""
 
 
 def summarize(figures: Iterable[Figure]) -> tuple[Summary, ...]:
-    """Return the median and the worst of each figure."""
+    """Return the median and the worst value of each figure."""
     grouped: dict[tuple[str, str, str], list[Figure]] = {}
     for figure in figures:
         key = (figure.case, figure.name, figure.policy)
@@ -89,7 +89,7 @@
 @click.option('--first-seed', default=1, help='First seed.')
 @click.option('--workers', default=2, help='Seeds replayed at once.')
 def main(seeds: int, first_seed: int, workers: int) -> None:
-    """Print the figures of the policies, median and worst."""
+    """Print the median and the worst value of each policy's figures."""
     numbers = range(first_seed, first_seed + seeds)
     with ProcessPoolExecutor(max_workers=workers) as executor:
         runs = list(executor.map(measure_seed, numbers))
--- a/packages/standins/src/trefoilpulley_standins/policy_run.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_run.py
@@ -1,4 +1,4 @@
-"""One seeded replay of a routing policy and a slot queue."""
+"""Simulates traffic with a routing policy and a slot queue."""
 
 from __future__ import annotations
 
@@ -36,51 +36,51 @@
     from trefoilpulley_standins.policy_deployment import Deployment
 
 MEAN_THINK_TIME_S = 0.03
-"""Mean time between a session's answer and its next request."""
+"""Mean time between a session's answer and its next request, in seconds."""
 
 READS_PER_SESSION = 3
-"""Reads of its own write that a session makes."""
+"""Number of reads that a session sends after its write."""
 
 CALLER_DELAY_S = 0.001
-"""Delay between a caller and its entry host, in seconds."""
+"""One-way delay between a caller and its entry host, in seconds."""
 
 READ_AFTER_WRITE = 'just-written'
-"""Name under which the first read after a write is counted."""
+"""Tally name of a session's first read after its write."""
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Traffic of one replay."""
+    """Traffic of one simulation."""
 
     sessions_per_s: float
-    """Sessions begun a second, each with a write and its reads."""
+    """Sessions that start per second; each sends a write and several reads."""
 
     lookups_per_s: float
-    """Aged reads a second outside of sessions."""
+    """Aged reads per second outside of sessions."""
 
     lag_s: float
-    """Mean replication lag in seconds."""
+    """Mean replication lag, in seconds."""
 
     seconds: float = 10.0
-    """Virtual time of the traffic, in seconds."""
+    """Virtual duration of the traffic, in seconds."""
 
     flood_per_s: float = 0.0
-    """Aged reads a second of one tenant that floods."""
+    """Aged reads per second of a tenant that exceeds its share."""
 
 
 class PolicyRun:
-    """Replays traffic on one database group under one policy.
+    """Simulates traffic on one database group under one policy.
 
     Parameters
     ----------
     deployment : Deployment
-        Deployment to replay.
+        Deployment to simulate.
     policy : str
         Name of the policy: ``thin``, ``plain`` or ``targets``.
     load : Load
         Traffic.
     seed : int
-        Seed of all randomness.
+        Seed of the random number generator.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self._rng = random.Random(seed)
         self._loop = VirtualLoop()
         self.tally = Tally()
-        """Counts by class of work and by tenant."""
+        """Request counts by class of work and by tenant."""
 
         self._targets = self._make_targets()
         self._poolers = self._make_poolers()
@@ -100,16 +100,16 @@
 
     @property
     def understated_ages(self) -> int:
-        """Reads whose stated age was below the true one."""
+        """Number of reads whose stated age was lower than the true age."""
         return sum(p.understated_ages for p in self._poolers)
 
     @property
     def served(self) -> int:
-        """Pieces of work that the members have run."""
+        """Number of requests that the members have executed."""
         return sum(p.served for p in self._poolers)
 
     def run(self) -> Tally:
-        """Replay the traffic and let it drain."""
+        """Run the traffic and wait until the last requests have ended."""
         load = self._load
         arrivals = (
             (load.sessions_per_s, self._run_session),
@@ -229,7 +229,13 @@
         tenant: str,
         extra_names: tuple[str, ...] = (),
     ) -> Generator[Any, Any, Position | None]:
-        """Send one request through a random entry host."""
+        """Send one request through a random entry host.
+
+        Returns
+        -------
+        Position | None
+            Position of a write; ``None`` for a read or a refusal.
+        """
         started_at = self._loop.now
         deadline = started_at + work_class.promptness.within_ms / 1000
         entry = self._rng.choice(self._entries)
--- a/packages/standins/src/trefoilpulley_standins/policy_shares.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_shares.py
@@ -1,4 +1,4 @@
-"""Replay of eight hosts before one member: pooled or in fixed shares."""
+"""Simulates eight hosts at one member, with a pooler or fixed shares."""
 
 from __future__ import annotations
 
@@ -27,48 +27,48 @@
     from trefoilpulley_standins.policy_deployment import Deployment
 
 HOST_COUNT = 8
-"""Entry hosts."""
+"""Number of entry hosts."""
 
 HOT_HOST_SHARE = 0.5
-"""Share of the callers on one host, where the traffic is uneven."""
+"""Share of the requests that uneven traffic sends to one host."""
 
 WRITE_SHARE = 0.2
 """Share of the requests that are writes."""
 
 RUN_DURATION_S = 8.0
-"""Virtual time of the traffic, in seconds."""
+"""Virtual duration of the traffic, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimedRequest:
-    """One request and the time that it will hold a slot."""
+    """One request with its deadline and service time."""
 
     work_class: WorkClass
     """Class of work."""
 
     is_write: bool
-    """Whether the request writes."""
+    """Whether the request is a write."""
 
     deadline: float
-    """Virtual time at which the answer is due, in seconds."""
+    """Virtual time of the deadline for the answer, in seconds."""
 
     service_s: float
-    """Time that it holds a slot, in seconds."""
+    """Time for which the request occupies a slot, in seconds."""
 
 
 class SharedMemberRun(abc.ABC):
-    """Replays the requests of eight hosts to one member.
+    """Simulates the requests of eight hosts to one member.
 
     Parameters
     ----------
     deployment : Deployment
-        Deployment to replay.
+        Deployment to simulate.
     load : float
-        Work offered, as a share of what the slots carry.
+        Offered load, as a share of the capacity of the slots.
     is_uneven : bool
-        Whether half of the callers use one host.
+        Whether half of the requests go to one host.
     seed : int
-        Seed of all randomness.
+        Seed of the random number generator.
     """
 
     def __init__(
@@ -79,13 +79,13 @@
         seed: int,
     ) -> None:
         self.deployment = deployment
-        """Deployment to replay."""
+        """Deployment to simulate."""
 
         self.loop = VirtualLoop()
-        """Virtual clock."""
+        """Event loop on a virtual clock."""
 
         self.tally = Tally()
-        """Counts by class of work."""
+        """Request counts by class of work."""
 
         self._is_uneven = is_uneven
         self._rng = random.Random(seed)
@@ -96,10 +96,10 @@
 
     @abc.abstractmethod
     def create_slots(self) -> None:
-        """Make the slots and connections, all idle."""
+        """Create the idle slots and connections."""
 
     def run(self) -> Tally:
-        """Replay the traffic and let it drain."""
+        """Run the traffic and wait until the last requests have ended."""
         self.loop.spawn(self._generate_arrivals())
         self.loop.run_until(RUN_DURATION_S + 5.0)
         return self.tally
@@ -108,10 +108,10 @@
     def serve_request(
         self, host: int, req: TimedRequest
     ) -> Generator[Any, Any, bool]:
-        """Run one request; return whether it was answered."""
+        """Execute one request; return whether the request was answered."""
 
     def one_way_delay_s(self, host: int) -> float:
-        """Return the delay from a host to the member's zone."""
+        """Return the delay from a host to the member's zone, in seconds."""
         zones = len(self.deployment.zones)
         return (
             self.deployment.one_way_delay_s
@@ -150,10 +150,10 @@
 
 
 class PooledRun(SharedMemberRun):
-    """One pooler in the member's zone holds the connections."""
+    """One pooler in the member's zone owns all connections."""
 
     def create_slots(self) -> None:
-        """Make the slots of the one pooler."""
+        """Create the slots of the pooler."""
         targets = ClassTargets()
         targets.declare(self.deployment.classes)
         count = self.deployment.slots
@@ -163,7 +163,7 @@
     def serve_request(
         self, host: int, req: TimedRequest
     ) -> Generator[Any, Any, bool]:
-        """Run one request through the pooler."""
+        """Execute one request through the pooler."""
         delay_s = self.one_way_delay_s(host)
         yield delay_s
         held_s = req.service_s + 2 * INTRA_ZONE_DELAY_S
@@ -179,10 +179,10 @@
 
 
 class FixedShareRun(SharedMemberRun):
-    """Each host holds its own share of the connections."""
+    """Each host owns a fixed share of the connections."""
 
     def create_slots(self) -> None:
-        """Make each host's connections and the member's own slots."""
+        """Create the connections of each host and the slots of the member."""
         share = self.deployment.connections // HOST_COUNT
         self._connections = [
             FakeSlots(self.loop, FifoQueue(share), share)
@@ -194,7 +194,7 @@
     def serve_request(
         self, host: int, req: TimedRequest
     ) -> Generator[Any, Any, bool]:
-        """Run one request over a connection of the host's own."""
+        """Execute one request over one of the host's own connections."""
         delay_s = self.one_way_delay_s(host)
         connections = self._connections[host]
         ticket = yield from connections.acquire(
--- a/packages/standins/src/trefoilpulley_standins/policy_slots.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_slots.py
@@ -1,4 +1,4 @@
-"""Fake slots of one member on a virtual clock, around a real queue."""
+"""Fake slots of one member on a virtual clock that use a real queue."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class FakeSlots:
-    """Runs work in the order of a queue, a number at once.
+    """Runs a limited number of requests at once, in the order of a queue.
 
     Parameters
     ----------
     loop : VirtualLoop
         Virtual clock.
     queue : SlotQueue
-        Order of the waiting work.
+        Queue that orders the waiting requests.
     count : int
-        Pieces of work that run at once.
+        Number of requests that run concurrently.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
         self._ids = itertools.count(1)
         self._grants: dict[int, Future] = {}
         self.served = 0
-        """Pieces of work that have run."""
+        """Number of executed requests."""
 
     @property
     def expected_wait_ms(self) -> int:
-        """Expected wait of new work, in milliseconds."""
+        """Expected wait of a new request, in milliseconds."""
         return self._queue.expected_wait_ms(self._loop.now)
 
     def run(
@@ -55,7 +55,7 @@
         is_write: bool,
         service_s: float,
     ) -> Generator[Any, Any, bool]:
-        """Wait for a slot and hold it; return whether the work ran."""
+        """Run a request in a slot; return whether a slot was granted."""
         ticket = Ticket(
             next(self._ids), tenant, work_class, deadline, is_write
         )
@@ -70,7 +70,7 @@
     def acquire(
         self, work_class: str, deadline: float, is_write: bool
     ) -> Generator[Any, Any, Ticket | None]:
-        """Wait for a slot that is held until `release`."""
+        """Wait for a slot; the caller frees the slot with `release`."""
         ticket = Ticket(
             next(self._ids), 'caller', work_class, deadline, is_write
         )
@@ -78,7 +78,7 @@
         return ticket if is_granted else None
 
     def release(self, ticket: Ticket, service_s: float) -> None:
-        """Free the slot of a piece of work."""
+        """Free the slot of a finished request."""
         self._free += 1
         is_in_time = self._loop.now <= ticket.deadline
         self._queue.record_service(ticket.work_class, service_s, is_in_time)
--- a/packages/standins/src/trefoilpulley_standins/policy_tally.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_tally.py
@@ -1,4 +1,4 @@
-"""Counts of what became of the requests of one replay."""
+"""Counts the outcomes of the requests of one simulation."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 @dataclass(slots=True)
 class ClassTally:
-    """Requests of one class of work or of one tenant."""
+    """Request counts and times of one class of work or one tenant."""
 
     total: int = 0
-    """Requests."""
+    """Number of requests."""
 
     in_time: int = 0
-    """Requests answered in time."""
+    """Number of requests answered before their deadline."""
 
     refused: int = 0
-    """Requests that were refused."""
+    """Number of refused requests."""
 
     replica_answered: int = 0
-    """Reads that a replica answered."""
+    """Number of reads that a replica answered."""
 
     answered: int = 0
-    """Requests answered, late ones included."""
+    """Number of answered requests, including late answers."""
 
     answer_times_s: list[float] = field(default_factory=list)
     """Time to each answer, in seconds."""
@@ -34,7 +34,7 @@
 
     @property
     def in_time_share(self) -> float:
-        """Share of the requests answered in time."""
+        """Share of the requests answered before their deadline."""
         return self.in_time / self.total if self.total else 1.0
 
     @property
@@ -65,7 +65,7 @@
 
 
 class Tally:
-    """Counts by any name: a class of work, a tenant or both."""
+    """Request counts by name: a class of work, a tenant or both."""
 
     def __init__(self) -> None:
         self._by_name: defaultdict[str, ClassTally] = defaultdict(ClassTally)
@@ -76,7 +76,7 @@
     def count_answer(
         self, name: str, elapsed_s: float, is_in_time: bool, is_replica: bool
     ) -> None:
-        """Count an answer."""
+        """Count an answered request."""
         tally = self._by_name[name]
         tally.answer_times_s.append(elapsed_s)
         tally.total += 1
@@ -85,7 +85,7 @@
         tally.replica_answered += is_replica
 
     def count_refusal(self, name: str, elapsed_s: float) -> None:
-        """Count a refusal."""
+        """Count a refused request."""
         tally = self._by_name[name]
         tally.total += 1
         tally.refused += 1
--- a/packages/standins/src/trefoilpulley_standins/policy_timing.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_timing.py
@@ -1,7 +1,8 @@
-"""Times the decisions of routing and of the slots.
+"""Measures the processor time of routing and slot queue decisions.
 
-``python -m trefoilpulley_standins.policy_timing`` prints processor time
-a call in microseconds, the best and the median of several rounds.
+``python -m trefoilpulley_standins.policy_timing`` prints the
+processor time per call in microseconds: the minimum and the median of
+several rounds.
 """
 
 from __future__ import annotations
@@ -27,16 +28,16 @@
     from collections.abc import Callable
 
 ROUND_COUNT = 7
-"""Rounds of each timing."""
+"""Number of rounds of each measurement."""
 
 CALLS_PER_ROUND = 4000
-"""Calls a round."""
+"""Number of calls in each round."""
 
 PRIMARY_INDEX = 100
-"""End of the primary's log."""
+"""Index of the last record in the primary's log."""
 
 REPLICA_INDEX = 98
-"""End of the replicas' logs."""
+"""Index of the last record in the replicas' logs."""
 
 
 def _make_targets() -> ClassTargets:
@@ -103,7 +104,7 @@
 
 @click.command()
 def main() -> None:
-    """Print processor time a call."""
+    """Print the processor time per call."""
     timings: tuple[tuple[str, Callable[[], float]], ...] = (
         ('choose, floor held', lambda: _time_choose(REPLICA_INDEX)),
         ('choose, floor to come', lambda: _time_choose(PRIMARY_INDEX)),
