--- a/features/steps/coordination_driver_steps.py
+++ b/features/steps/coordination_driver_steps.py
@@ -48,10 +48,12 @@
 
     def __init__(self, entry: DatabaseEntry) -> None:
         self.members = {
-            m.name: ModelMember(m.name, m.zone, primary='a', contact_at=0.0)
+            m.name: ModelMember(
+                m.name, m.zone, primary='a', last_contact_at=0.0
+            )
             for m in entry.members
         }
-        self.members['a'].lead(1)
+        self.members['a'].start_term(1)
         self.promoted = Event()
 
     def call_pooler(
--- a/features/steps/coordination_explore_steps.py
+++ b/features/steps/coordination_explore_steps.py
@@ -38,22 +38,22 @@
     @then('the exploration has seen every state')
     def check_whole(context: Any) -> None:
         """Expect that the bound was exhausted."""
-        assert context.found.is_whole
+        assert context.found.is_complete
 
     @staticmethod
     @then('it has seen a change of primary')
     def check_change(context: Any) -> None:
         """Expect states that the rules are about."""
-        assert context.found.changed > 0
+        assert context.found.primary_change_count > 0
 
     @staticmethod
     @then('no rule of the exploration is broken')
     def check_sound(context: Any) -> None:
         """Expect every rule to hold."""
-        assert not context.found.broken, context.found
+        assert not context.found.broken_rules, context.found
 
     @staticmethod
     @then('the exploration breaks the rule "{rule}"')
     def check_broken(context: Any, rule: str) -> None:
         """Expect the breach that the fault must lead to."""
-        assert Rule(rule) in context.found.broken, context.found
+        assert Rule(rule) in context.found.broken_rules, context.found
--- a/features/steps/coordination_replay_steps.py
+++ b/features/steps/coordination_replay_steps.py
@@ -17,13 +17,13 @@
 
 from trefoilpulley_core.coordination.commands import HandoverBegan
 from trefoilpulley_core.coordination.commands import PromotionBegan
+from trefoilpulley_standins.explore_schedules import evaluate
 from trefoilpulley_standins.explore_schedules import FAULTS
-from trefoilpulley_standins.explore_schedules import FAULTS_FROM_S
+from trefoilpulley_standins.explore_schedules import FIRST_FAULT_TIME_S
 from trefoilpulley_standins.explore_schedules import FIRST_FAULTS
-from trefoilpulley_standins.explore_schedules import judge
 from trefoilpulley_standins.explore_schedules import make_schedule
-from trefoilpulley_standins.explore_schedules import play_schedule
-from trefoilpulley_standins.explore_script import Stage
+from trefoilpulley_standins.explore_schedules import run_schedule
+from trefoilpulley_standins.explore_script import ClusterSimulation
 from trefoilpulley_standins.explore_script import Step
 
 TRACES = Path(__file__).parent.parent / 'traces' / 'coordination'
@@ -42,15 +42,17 @@
     def make_stage(context: Any, deployment: str) -> None:
         """Build the zones and delays of a deployment."""
         if deployment == 'karamanlis':
-            context.stage = Stage(('a', 'b', 'c'), 0.003, SEED, 8)
+            context.stage = ClusterSimulation(('a', 'b', 'c'), 0.003, SEED, 8)
         else:
-            context.stage = Stage(('a', 'b', 'c', 'd'), 0.005, SEED, 7)
+            context.stage = ClusterSimulation(
+                ('a', 'b', 'c', 'd'), 0.005, SEED, 7
+            )
 
     @staticmethod
     @given('coordination replicas that lag by {lag:d} ms')
     def make_lagging_stage(context: Any, lag: int) -> None:
         """Build the smaller deployment with lagging replicas."""
-        context.stage = Stage(
+        context.stage = ClusterSimulation(
             ('a', 'b', 'c'), 0.003, SEED, 8, lag_s=lag / 1000
         )
 
@@ -64,15 +66,15 @@
             step = Step(
                 fields['time'], fields['event'], tuple(fields['parties'])
             )
-            context.stage.plan(step)
-        context.stage.world.run_until(time)
+            context.stage.schedule(step)
+        context.stage.cluster.run_until(time)
 
     @staticmethod
     @when('the coordination meets {count:d} generated faults of seed {seed:d}')
     def generate(context: Any, count: int, seed: int) -> None:
         """Play a generated schedule until it has settled."""
         steps = make_schedule(random.Random(seed), count)
-        context.stage = play_schedule(steps, seed)
+        context.stage = run_schedule(steps, seed)
 
     @staticmethod
     @when('the coordination meets {count:d} sets of faults around its steps')
@@ -89,8 +91,8 @@
         )
         @hypothesis_given(_fault_sets())
         def play(steps: tuple[Step, ...]) -> None:
-            stage = play_schedule(steps, SEED)
-            context.verdicts.append((steps, judge(stage)))
+            stage = run_schedule(steps, SEED)
+            context.verdicts.append((steps, evaluate(stage)))
 
         play()
 
@@ -107,16 +109,16 @@
     @then('the coordination broke no rule')
     def check_rules(context: Any) -> None:
         """Look for lost writes, two primaries and late acknowledgements."""
-        world = context.stage.world
-        faults = world.history.faults(world.members.values())
-        assert world.history.acknowledged
+        cluster = context.stage.cluster
+        faults = cluster.history.faults(cluster.members.values())
+        assert cluster.history.acknowledged
         assert not faults, faults
 
     @staticmethod
     @then('member "{zone}" leads in the end')
     def check_leader(context: Any, zone: str) -> None:
         """Compare the leader's zone."""
-        assert context.stage.world.leader().zone == zone
+        assert context.stage.cluster.leader().zone == zone
 
     @staticmethod
     @then('{promotions:d} promotions and {handovers:d} handovers have begun')
@@ -133,7 +135,7 @@
     @then('writes were acknowledged at least every {gap:g} seconds')
     def check_gap(context: Any, gap: float) -> None:
         """Compare the longest time without an acknowledgement."""
-        found = context.stage.world.history.gap_s(WARM_UP_S)
+        found = context.stage.cluster.history.longest_gap_s(WARM_UP_S)
         assert found <= gap, found
 
     @staticmethod
@@ -143,7 +145,7 @@
     )
     def check_late_gap(context: Any, time: float, gap: float) -> None:
         """Compare the longest gap after a time."""
-        found = context.stage.world.history.gap_s(time)
+        found = context.stage.cluster.history.longest_gap_s(time)
         assert found <= gap, found
 
     @staticmethod
@@ -162,7 +164,7 @@
     @then('no write was acknowledged between {start:g} and {end:g} seconds')
     def check_silence(context: Any, start: float, end: float) -> None:
         """Look for acknowledgements in a time without a majority."""
-        acknowledged = context.stage.world.history.acknowledged
+        acknowledged = context.stage.cluster.history.acknowledged
         assert not [a for a in acknowledged if start < a.time < end]
 
     @staticmethod
@@ -181,19 +183,19 @@
     @then('the home layout stands again')
     def check_settled(context: Any) -> None:
         """Expect the home primary to lead and to acknowledge."""
-        verdict = judge(context.stage)
+        verdict = evaluate(context.stage)
         assert verdict.is_settled, verdict
 
 
 def _fault_sets() -> st.SearchStrategy[tuple[Step, ...]]:
     struck = st.tuples(
-        st.floats(0.0, 2.0).map(lambda t: round(FAULTS_FROM_S + t, 3)),
+        st.floats(0.0, 2.0).map(lambda t: round(FIRST_FAULT_TIME_S + t, 3)),
         st.sampled_from(FAULTS),
     )
     first = st.sampled_from(FIRST_FAULTS)
     return st.tuples(first, st.lists(struck, min_size=1, max_size=2)).map(
         lambda drawn: (
-            Step(FAULTS_FROM_S, *drawn[0]),
+            Step(FIRST_FAULT_TIME_S, *drawn[0]),
             *(Step(time, *fault) for time, fault in drawn[1]),
         )
     )
--- a/packages/standins/src/trefoilpulley_standins/explore.py
+++ b/packages/standins/src/trefoilpulley_standins/explore.py
@@ -20,23 +20,23 @@
 from trefoilpulley_core.catalog import MemberEntry
 from trefoilpulley_standins.explore_faults import FAULTY_RULES
 from trefoilpulley_standins.explore_member import ModelMember
-from trefoilpulley_standins.explore_state import Budget
+from trefoilpulley_standins.explore_state import EventBudget
 from trefoilpulley_standins.explore_state import ExploredState
 from trefoilpulley_standins.explore_steps import next_states
 
-STATES_LIMIT = 3_000_000
+MAX_STATES = 3_000_000
 """States after which an exploration gives up."""
 
-_NOWHERE = Endpoint('127.0.0.1', 1)
+_UNUSED_ENDPOINT = Endpoint('127.0.0.1', 1)
 
 
 class Rule(StrEnum):
     """What must hold in every state."""
 
-    ONE_LEAD = 'one-lead'
+    ONE_PRIMARY_PER_TERM = 'one-lead'
     """At most one member collects a majority for a term."""
 
-    NOTHING_LOST = 'nothing-lost'
+    NO_LOST_WRITE = 'nothing-lost'
     """The primary of the highest term that collected a majority holds
     every acknowledged write."""
 
@@ -48,39 +48,39 @@
 class Exploration:
     """Outcome of an exploration."""
 
-    states: int = 0
+    state_count: int = 0
     """States seen."""
 
-    acknowledged: int = 0
+    acknowledged_count: int = 0
     """States with an acknowledged write."""
 
-    changed: int = 0
+    primary_change_count: int = 0
     """States in which a later term has its majority."""
 
-    is_whole: bool = True
+    is_complete: bool = True
     """Whether every state within the bound was seen."""
 
-    broken: set[Rule] = field(default_factory=set)
+    broken_rules: set[Rule] = field(default_factory=set)
     """Rules that did not hold."""
 
 
 BUDGETS = {
-    'small': Budget(starts=(1, 0), losses=0, ticks=0),
-    'repeated': Budget(starts=(1, 0), ticks=1),
-    'without-writes': Budget(writes=0, losses=0, ticks=0),
-    'two-coordinators': Budget(losses=0, ticks=0),
-    'two-and-lost-answer': Budget(ticks=0),
-    'handover': Budget(
-        starts=(0, 0), handovers=1, losses=1, outages=1, ticks=1
+    'small': EventBudget(starts=(1, 0), call_timeouts=0, ticks=0),
+    'repeated': EventBudget(starts=(1, 0), ticks=1),
+    'without-writes': EventBudget(writes=0, call_timeouts=0, ticks=0),
+    'two-coordinators': EventBudget(call_timeouts=0, ticks=0),
+    'two-and-lost-answer': EventBudget(ticks=0),
+    'handover': EventBudget(
+        starts=(0, 0), handovers=1, call_timeouts=1, outages=1, ticks=1
     ),
-    'handover-and-promotion': Budget(
-        starts=(0, 1), handovers=1, losses=0, outages=1, ticks=0
+    'handover-and-promotion': EventBudget(
+        starts=(0, 1), handovers=1, call_timeouts=0, outages=1, ticks=0
     ),
 }
 """Bounds by name."""
 
 
-class _Seen:
+class _VisitedStates:
     """States seen, told apart exactly and kept small.
 
     Equal parts of states share a number, so that a state costs a few
@@ -108,10 +108,10 @@
 
 
 def explore(
-    budget: Budget,
-    limit: int = STATES_LIMIT,
+    budget: EventBudget,
+    limit: int = MAX_STATES,
     fault: str = '',
-    sought: Rule | None = None,
+    target_rule: Rule | None = None,
 ) -> Exploration:
     """Visit every state within a bound.
 
@@ -131,56 +131,60 @@
     Exploration
         States seen and rules broken.
     """
-    found = Exploration()
-    first = make_first_state(budget, fault)
-    seen = _Seen()
-    seen.add(first)
+    exploration = Exploration()
+    first = make_initial_state(budget, fault)
+    visited = _VisitedStates()
+    visited.add(first)
     pending = deque((first,))
     while pending:
         state = pending.popleft()
-        _judge(state, found)
-        if sought in found.broken:
-            return found
-        pending.extend(n for n in next_states(state) if seen.add(n))
-        if len(seen) >= limit:
-            found.is_whole = False
-            return found
-    return found
+        _check_rules(state, exploration)
+        if target_rule in exploration.broken_rules:
+            return exploration
+        pending.extend(n for n in next_states(state) if visited.add(n))
+        if len(visited) >= limit:
+            exploration.is_complete = False
+            return exploration
+    return exploration
 
 
-def make_first_state(budget: Budget, fault: str = '') -> ExploredState:
+def make_initial_state(budget: EventBudget, fault: str = '') -> ExploredState:
     """Return the state before the first step."""
     entry = DatabaseEntry(
         'ledger/0',
         'ledger',
-        tuple(MemberEntry(n, n, _NOWHERE, 2, 16) for n in ('a', 'b', 'c')),
+        tuple(
+            MemberEntry(n, n, _UNUSED_ENDPOINT, 2, 16) for n in ('a', 'b', 'c')
+        ),
     )
     members = {
-        m.name: ModelMember(m.name, m.zone, primary='a', contact_at=0.0)
+        m.name: ModelMember(m.name, m.zone, primary='a', last_contact_at=0.0)
         for m in entry.members
     }
-    members['a'].lead(1)
-    kind = FAULTY_RULES[fault] if fault else ExploredState
-    return kind(entry, members, budget)
+    members['a'].start_term(1)
+    state_type = FAULTY_RULES[fault] if fault else ExploredState
+    return state_type(entry, members, budget)
 
 
-def _judge(state: ExploredState, found: Exploration) -> None:
-    found.states += 1
-    found.acknowledged += bool(state.acknowledged)
-    found.changed += any(term > 1 for term, _ in state.leads)
-    terms = [term for term, _ in state.leads]
+def _check_rules(state: ExploredState, exploration: Exploration) -> None:
+    exploration.state_count += 1
+    exploration.acknowledged_count += bool(state.acknowledged)
+    exploration.primary_change_count += any(
+        term > 1 for term, _ in state.majorities
+    )
+    terms = [term for term, _ in state.majorities]
     if len(terms) != len(set(terms)):
-        found.broken.add(Rule.ONE_LEAD)
-    if state.late:
-        found.broken.add(Rule.NO_LATE_ACKNOWLEDGEMENT)
-    if _is_anything_lost(state):
-        found.broken.add(Rule.NOTHING_LOST)
+        exploration.broken_rules.add(Rule.ONE_PRIMARY_PER_TERM)
+    if state.late_acknowledged:
+        exploration.broken_rules.add(Rule.NO_LATE_ACKNOWLEDGEMENT)
+    if _has_lost_write(state):
+        exploration.broken_rules.add(Rule.NO_LOST_WRITE)
 
 
-def _is_anything_lost(state: ExploredState) -> bool:
+def _has_lost_write(state: ExploredState) -> bool:
     leaders = [m for m in state.members.values() if m.is_primary]
     for leader in leaders:
-        if (leader.term, leader.name) not in state.leads:
+        if (leader.term, leader.name) not in state.majorities:
             continue
         held = {entry.value for entry in leader.log}
         older = [
@@ -198,21 +202,23 @@
     multiple=True,
     help='Bound to explore; all of them by default.',
 )
-@click.option('--limit', default=STATES_LIMIT, help='Most states to see.')
+@click.option('--limit', default=MAX_STATES, help='Most states to see.')
 def main(bound: tuple[str, ...], limit: int) -> None:
     """Explore and print the states seen and the rules held."""
     is_broken = False
     for name in bound or tuple(BUDGETS):
-        found = explore(BUDGETS[name], limit)
-        is_broken |= bool(found.broken) or not found.is_whole
-        held = sorted(r for r in Rule if r not in found.broken)
+        exploration = explore(BUDGETS[name], limit)
+        is_broken |= (
+            bool(exploration.broken_rules) or not exploration.is_complete
+        )
+        held = sorted(r for r in Rule if r not in exploration.broken_rules)
         click.echo(
-            f'{name}: {found.states} states'
-            f' ({"all" if found.is_whole else "cut short"}),'
-            f' {found.acknowledged} with an acknowledged write,'
-            f' {found.changed} after a change of primary;'
+            f'{name}: {exploration.state_count} states'
+            f' ({"all" if exploration.is_complete else "cut short"}),'
+            f' {exploration.acknowledged_count} with an acknowledged write,'
+            f' {exploration.primary_change_count} after a change of primary;'
             f' held: {", ".join(held)};'
-            f' broken: {", ".join(sorted(found.broken)) or "none"}'
+            f' broken: {", ".join(sorted(exploration.broken_rules)) or "none"}'
         )
     raise SystemExit(is_broken)
 
--- a/packages/standins/src/trefoilpulley_standins/explore_copies.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_copies.py
@@ -12,20 +12,20 @@
 
 def clone_member(member: ModelMember) -> ModelMember:
     """Return a copy of a member that may be changed."""
-    other = copy.copy(member)
-    other.confirmed = dict(member.confirmed)
-    return other
+    copied = copy.copy(member)
+    copied.confirmed = dict(member.confirmed)
+    return copied
 
 
 def clone_operation(operation: Any) -> Any:
     """Return a copy of a promotion or handover that may be changed."""
     if operation is None:
         return None
-    other = copy.copy(operation)
+    copied = copy.copy(operation)
     for name, value in vars(operation).items():
         if isinstance(value, dict | set):
-            setattr(other, name, value.copy())
-    return other
+            setattr(copied, name, value.copy())
+    return copied
 
 
 def member_key(member: ModelMember) -> tuple[Any, ...]:
--- a/packages/standins/src/trefoilpulley_standins/explore_faults.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_faults.py
@@ -11,49 +11,49 @@
     from trefoilpulley_standins.explore_member import ModelMember
 
 
-class PromotionWithoutMajority(Promotion):
+class NoMajorityPromotion(Promotion):
     """Promotes as soon as one member is fenced."""
 
     def _is_fenced_enough(self, now: float) -> bool:
         return bool(self._fenced)
 
 
-class PromotionOfTheShortest(Promotion):
+class ShortestLogPromotion(Promotion):
     """Promotes the member whose log is the shortest."""
 
     def _most_advanced(self) -> str:
         return min(self._fenced, key=lambda n: self._fenced[n].history.last)
 
 
-class StateWithoutMajority(ExploredState):
-    """Uses `PromotionWithoutMajority`."""
+class NoMajorityState(ExploredState):
+    """Uses `NoMajorityPromotion`."""
 
     def make_promotion(
         self, term: int, names: list[str], now: float
     ) -> Promotion:
         """Return the faulty promotion."""
-        return PromotionWithoutMajority(self.entry, term, names, now)
+        return NoMajorityPromotion(self.entry, term, names, now)
 
 
-class StateWithTheShortest(ExploredState):
-    """Uses `PromotionOfTheShortest`."""
+class ShortestLogState(ExploredState):
+    """Uses `ShortestLogPromotion`."""
 
     def make_promotion(
         self, term: int, names: list[str], now: float
     ) -> Promotion:
         """Return the faulty promotion."""
-        return PromotionOfTheShortest(self.entry, term, names, now)
+        return ShortestLogPromotion(self.entry, term, names, now)
 
 
-class StateWithSharedTerms(ExploredState):
+class SharedTermsState(ExploredState):
     """Grants the same terms to both coordinators."""
 
     def next_term(self, index: int) -> int:
         """Return a term that the other coordinator uses too."""
-        return 2 + self.used[index]
+        return 2 + self.promotion_counts[index]
 
 
-class StateWithOneCopy(ExploredState):
+class OneCopyState(ExploredState):
     """Acknowledges what the primary alone holds."""
 
     def copies_needed(self) -> int:
@@ -62,13 +62,13 @@
 
     def on_write(self, primary: ModelMember) -> None:
         """Acknowledge at once."""
-        self.count_copies(primary)
+        self.update_acknowledged(primary)
 
 
 FAULTY_RULES: dict[str, type[ExploredState]] = {
-    'no-majority': StateWithoutMajority,
-    'shortest-log': StateWithTheShortest,
-    'shared-terms': StateWithSharedTerms,
-    'one-copy': StateWithOneCopy,
+    'no-majority': NoMajorityState,
+    'shortest-log': ShortestLogState,
+    'shared-terms': SharedTermsState,
+    'one-copy': OneCopyState,
 }
 """Faulty copies by name."""
--- a/packages/standins/src/trefoilpulley_standins/explore_gaps.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_gaps.py
@@ -15,19 +15,19 @@
 
 from trefoilpulley_core.coordination.commands import PrimaryPromoted
 from trefoilpulley_core.coordination.commands import PromotionBegan
-from trefoilpulley_standins.explore_script import Stage
+from trefoilpulley_standins.explore_script import ClusterSimulation
 from trefoilpulley_standins.explore_script import Step
 
-OUTAGE_S = 6.0
+SERVICE_OUTAGE_TIME_S = 6.0
 """Time at which the service goes out in the cases that need it."""
 
-FAULT_S = 12.0
+MIN_FAULT_TIME_S = 12.0
 """Earliest time of the fault."""
 
-SPREAD_S = 1.0
+FAULT_WINDOW_S = 1.0
 """Time over which the fault's moment is drawn."""
 
-WATCHED_S = 15.0
+OBSERVATION_DURATION_S = 15.0
 """Time for which writes are watched from the fault on."""
 
 
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
+class FaultCase:
     """One kind of fault."""
 
     name: str
@@ -58,7 +58,7 @@
     events: tuple[tuple[str, tuple[str, ...]], ...]
     """What happens at the fault's time."""
 
-    is_service_out: bool = False
+    is_service_down: bool = False
     """Whether the service is out before."""
 
     delay_s: float = 0.0
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gap:
+class WriteGap:
     """One gap and its parts, in milliseconds."""
 
     whole: float
@@ -94,84 +94,94 @@
 _DOWN = ('member-down', ('ledger/0/a',))
 
 CASES = (
-    Case('primary dies', (_DOWN,)),
-    Case('primary isolated', (('member-isolated', ('ledger/0/a',)),)),
-    Case('primary cut from its zone', (('member-unpooled', ('ledger/0/a',)),)),
-    Case('zone of the primary cut off', (('zone-cut', ('a',)),)),
-    Case('coordinator dies with it', (('host-down', ('acting',)), _DOWN)),
-    Case('service out, primary dies', (_DOWN,), is_service_out=True),
-    Case(
+    FaultCase('primary dies', (_DOWN,)),
+    FaultCase('primary isolated', (('member-isolated', ('ledger/0/a',)),)),
+    FaultCase(
+        'primary cut from its zone', (('member-unpooled', ('ledger/0/a',)),)
+    ),
+    FaultCase('zone of the primary cut off', (('zone-cut', ('a',)),)),
+    FaultCase('coordinator dies with it', (('host-down', ('acting',)), _DOWN)),
+    FaultCase('service out, primary dies', (_DOWN,), is_service_down=True),
+    FaultCase(
         'service out, coordinator dies first',
         (('host-down', ('acting',)), _DOWN),
-        is_service_out=True,
+        is_service_down=True,
         delay_s=0.2,
     ),
-    Case('planned stop', (('stop-planned', ('a',)),)),
-    Case('primary leaves', (('member-leaving', ('ledger/0/a',)),)),
+    FaultCase('planned stop', (('stop-planned', ('a',)),)),
+    FaultCase('primary leaves', (('member-leaving', ('ledger/0/a',)),)),
 )
 """Kinds of faults."""
 
 
-def measure(deployment: Deployment, case: Case, seed: int) -> Gap:
+def measure_gap(
+    deployment: Deployment, case: FaultCase, seed: int
+) -> WriteGap:
     """Return the gap of one case for one seed."""
-    stage = Stage(
+    simulation = ClusterSimulation(
         deployment.zones,
         deployment.one_way_delay_s,
         seed,
         deployment.host_count,
     )
-    at = FAULT_S + SPREAD_S * random.Random(seed).random()
-    if case.is_service_out:
-        stage.plan(Step(OUTAGE_S, 'service-down'))
+    fault_at = MIN_FAULT_TIME_S + FAULT_WINDOW_S * random.Random(seed).random()
+    if case.is_service_down:
+        simulation.schedule(Step(SERVICE_OUTAGE_TIME_S, 'service-down'))
     for index, (event, parties) in enumerate(case.events):
-        stage.plan(Step(at + index * case.delay_s, event, parties))
-    stage.world.run_until(at + WATCHED_S)
-    return _split(stage, at)
+        simulation.schedule(
+            Step(fault_at + index * case.delay_s, event, parties)
+        )
+    simulation.cluster.run_until(fault_at + OBSERVATION_DURATION_S)
+    return _measure_gap_parts(simulation, fault_at)
 
 
-def measure_return(deployment: Deployment, seed: int) -> Gap:
+def measure_return(deployment: Deployment, seed: int) -> WriteGap:
     """Return the gap of the return after a failover."""
-    stage = Stage(
+    simulation = ClusterSimulation(
         deployment.zones,
         deployment.one_way_delay_s,
         seed,
         deployment.host_count,
     )
-    at = FAULT_S + SPREAD_S * random.Random(seed).random()
-    stage.plan(Step(FAULT_S - 4.0, 'member-down', ('ledger/0/a',)))
-    stage.plan(Step(at, 'member-up', ('ledger/0/a',)))
-    stage.world.run_until(at + WATCHED_S)
-    return _split(stage, at)
+    fault_at = MIN_FAULT_TIME_S + FAULT_WINDOW_S * random.Random(seed).random()
+    simulation.schedule(
+        Step(MIN_FAULT_TIME_S - 4.0, 'member-down', ('ledger/0/a',))
+    )
+    simulation.schedule(Step(fault_at, 'member-up', ('ledger/0/a',)))
+    simulation.cluster.run_until(fault_at + OBSERVATION_DURATION_S)
+    return _measure_gap_parts(simulation, fault_at)
 
 
-def _split(stage: Stage, fault_at: float) -> Gap:
+def _measure_gap_parts(
+    simulation: ClusterSimulation, fault_at: float
+) -> WriteGap:
     notices = sorted(
         (
-            one
-            for host in stage.hosts
-            for one in host.notices
-            if one[0] >= fault_at
+            notice
+            for host in simulation.hosts
+            for notice in host.notices
+            if notice[0] >= fault_at
         ),
-        key=lambda one: one[0],
+        key=lambda notice: notice[0],
     )
-    began = [t for t, n in notices if isinstance(n, PromotionBegan)]
-    promoted = [t for t, n in notices if isinstance(n, PrimaryPromoted)]
-    history = stage.world.history
-    first = min(
-        (a.time for a in history.acknowledged if a.time > promoted[0]),
+    began_at = [t for t, n in notices if isinstance(n, PromotionBegan)]
+    promoted_at = [t for t, n in notices if isinstance(n, PrimaryPromoted)]
+    history = simulation.cluster.history
+    first_write_at = min(
+        (a.time for a in history.acknowledged if a.time > promoted_at[0]),
         default=float('inf'),
     )
-    members = stage.world.members.values()
-    return Gap(
-        1000 * history.gap_s(fault_at - 1.0),
-        1000 * (began[0] - fault_at),
-        1000 * (promoted[0] - began[0]),
-        1000 * (first - promoted[0]),
+    members = simulation.cluster.members.values()
+    return WriteGap(
+        1000 * history.longest_gap_s(fault_at - 1.0),
+        1000 * (began_at[0] - fault_at),
+        1000 * (promoted_at[0] - began_at[0]),
+        1000 * (first_write_at - promoted_at[0]),
         len(history.faults(members)),
     )
 
 
-def _describe(name: str, gaps: list[Gap]) -> str:
+def _format_gaps(name: str, gaps: list[WriteGap]) -> str:
     whole = [g.whole for g in gaps]
     parts = ' + '.join(
         f'{median(part):.0f}'
@@ -194,10 +204,10 @@
     for deployment in DEPLOYMENTS:
         click.echo(f'{deployment.name}: fault to start + promote + confirm')
         for case in CASES:
-            gaps = [measure(deployment, case, s) for s in range(seeds)]
-            click.echo(_describe(case.name, gaps))
+            gaps = [measure_gap(deployment, case, s) for s in range(seeds)]
+            click.echo(_format_gaps(case.name, gaps))
         gaps = [measure_return(deployment, s) for s in range(seeds)]
-        click.echo(_describe('return', gaps))
+        click.echo(_format_gaps('return', gaps))
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/trefoilpulley_standins/explore_history.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_history.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Acknowledged:
+class AcknowledgedWrite:
     """One write that a caller was told of."""
 
     value: str
@@ -34,7 +34,7 @@
     waiting: dict[str, Position] = field(default_factory=dict)
     """Writes that wait for their copies."""
 
-    acknowledged: list[Acknowledged] = field(default_factory=list)
+    acknowledged: list[AcknowledgedWrite] = field(default_factory=list)
     """Writes that the callers were told of, in order."""
 
     primaries: dict[int, set[str]] = field(default_factory=dict)
@@ -54,23 +54,25 @@
             for value, position in self.waiting.items()
             if position.term == primary.term
             and value.endswith(suffix)
-            and primary.copies_of(position) >= copies
+            and primary.copy_count(position) >= copies
         ]
         for value in ready:
             del self.waiting[value]
-            self.acknowledged.append(Acknowledged(value, primary.term, now))
+            self.acknowledged.append(
+                AcknowledgedWrite(value, primary.term, now)
+            )
             names = self.primaries.setdefault(primary.term, set())
             names.add(primary.name)
 
     def faults(self, members: Iterable[ModelMember]) -> list[str]:
         """Return every breach of what must always hold."""
         return [
-            *self._double_leads(),
-            *self._late_acknowledgements(),
-            *self._lost_writes(members),
+            *self._find_duplicate_primaries(),
+            *self._find_late_acknowledgements(),
+            *self._find_lost_writes(members),
         ]
 
-    def gap_s(self, after: float) -> float:
+    def longest_gap_s(self, after: float) -> float:
         """Return the longest time without an acknowledgement.
 
         Parameters
@@ -82,23 +84,23 @@
         pairs = zip(times, times[1:])
         return max((b - a for a, b in pairs), default=float('inf'))
 
-    def _double_leads(self) -> list[str]:
+    def _find_duplicate_primaries(self) -> list[str]:
         return [
             f'term {term} acknowledged by {sorted(names)}'
             for term, names in self.primaries.items()
             if len(names) > 1
         ]
 
-    def _late_acknowledgements(self) -> list[str]:
+    def _find_late_acknowledgements(self) -> list[str]:
         highest = 0
         late: list[str] = []
-        for one in self.acknowledged:
-            if one.term < highest:
-                late.append(f'{one.value} acknowledged by an old primary')
-            highest = max(highest, one.term)
+        for write in self.acknowledged:
+            if write.term < highest:
+                late.append(f'{write.value} acknowledged by an old primary')
+            highest = max(highest, write.term)
         return late
 
-    def _lost_writes(self, members: Iterable[ModelMember]) -> list[str]:
+    def _find_lost_writes(self, members: Iterable[ModelMember]) -> list[str]:
         leaders = [m for m in members if m.is_primary]
         leader = max(leaders, key=lambda m: m.term, default=None)
         if leader is None:
--- a/packages/standins/src/trefoilpulley_standins/explore_host.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_host.py
@@ -33,7 +33,7 @@
 
     from trefoilpulley_core.coordination.commands import Command
     from trefoilpulley_core.coordination.duty import DutyCommand
-    from trefoilpulley_standins.explore_world import World
+    from trefoilpulley_standins.explore_world import ModelCluster
 
 SERVICE_TIMEOUT_S = 0.5
 """Time after which a call to the service counts as failed."""
@@ -55,8 +55,8 @@
         Members, service and links.
     """
 
-    def __init__(self, name: str, zone: str, world: World) -> None:
-        self._world = world
+    def __init__(self, name: str, zone: str, cluster: ModelCluster) -> None:
+        self._cluster = cluster
         self._paused_until = 0.0
         self._held: list[Callable[[], None]] = []
         self.name = name
@@ -81,27 +81,27 @@
         """What it reported, with the time."""
 
     @property
-    def acts(self) -> bool:
+    def is_acting(self) -> bool:
         """Whether the host coordinates now."""
-        now = self._world.now
+        now = self._cluster.now
         return self.is_up and any(
             self.duty.may_act(number, now) for number in self.shards
         )
 
     def start(self) -> None:
         """Begin to tick."""
-        self._world.after(0.0, self._tick)
+        self._cluster.call_later(0.0, self._tick)
 
     def pause(self, duration_s: float) -> None:
         """Stop the process for a while without its knowledge."""
-        self._paused_until = self._world.now + duration_s
+        self._paused_until = self._cluster.now + duration_s
 
     def _when_running(self, action: Callable[[], None]) -> Callable[[], None]:
         def run() -> None:
             if not self.is_up:
                 return
-            if self._world.now < self._paused_until:
-                self._world.at(self._paused_until, run)
+            if self._cluster.now < self._paused_until:
+                self._cluster.call_at(self._paused_until, run)
                 return
             action()
 
@@ -111,166 +111,180 @@
         self._when_running(self._tick_now)()
 
     def _tick_now(self) -> None:
-        world = self._world
-        databases = (world.entry,)
+        cluster = self._cluster
+        databases = (cluster.entry,)
         for command in self.duty.on_tick(
-            world.live_hosts, databases, world.now
+            cluster.live_hosts, databases, cluster.now
         ):
-            self._run_duty(command)
+            self._run_duty_command(command)
         for number in self.duty.views:
             if number not in self.shards:
                 self.shards[number] = ShardCoordinator(number, self.holder)
-        around = TickContext(
-            world.entry,
-            stopped_zones(world.declarations, world.entry),
+        tick_context = TickContext(
+            cluster.entry,
+            stopped_zones(cluster.declarations, cluster.entry),
             is_service_up=self.duty.is_service_up,
         )
         for number, shard in self.shards.items():
-            acts = self.duty.may_act(number, world.now)
-            self._carry_out(shard, shard.on_tick((around,), acts, world.now))
-        wakes = (s.tick_interval_s for s in self.shards.values())
-        world.after(min(wakes, default=STANDBY_TICK_S), self._tick)
+            is_acting = self.duty.may_act(number, cluster.now)
+            self._execute_commands(
+                shard, shard.on_tick((tick_context,), is_acting, cluster.now)
+            )
+        tick_intervals_s = (s.tick_interval_s for s in self.shards.values())
+        cluster.call_later(
+            min(tick_intervals_s, default=STANDBY_TICK_S), self._tick
+        )
 
-    def _carry_out(
-        self, shard: ShardCoordinator, out: tuple[Command, ...]
+    def _execute_commands(
+        self, shard: ShardCoordinator, commands: tuple[Command, ...]
     ) -> None:
-        for command in out:
+        for command in commands:
             match command:
                 case CallMember():
                     self._call_member(shard, command)
                 case LoadShard() | StoreShard():
-                    self._call_records(shard, command)
+                    self._call_shard_record(shard, command)
                 case Notice():
-                    self.notices.append((self._world.now, command))
+                    self.notices.append((self._cluster.now, command))
 
     def _call_member(self, shard: ShardCoordinator, call: CallMember) -> None:
-        sent_at = self._world.now
-        is_open = True
+        sent_at = self._cluster.now
+        is_pending = True
 
         def finish(result: Any) -> None:
-            nonlocal is_open
-            if not is_open:
+            nonlocal is_pending
+            if not is_pending:
                 return
-            is_open = False
+            is_pending = False
             is_from_pooler = not isinstance(
                 result, Success
             ) and not isinstance(result.failure(), PeerUnreachable)
             done = CallDone(call, sent_at, result, is_from_pooler)
-            now = self._world.now
-            acts = self.duty.may_act(shard.shard, now)
-            self._carry_out(shard, shard.on_call_done(done, acts, now))
+            now = self._cluster.now
+            is_acting = self.duty.may_act(shard.shard, now)
+            self._execute_commands(
+                shard, shard.on_call_done(done, is_acting, now)
+            )
 
         def reply(result: Any) -> None:
             self._when_running(lambda: finish(result))()
 
-        self._world.call_member(
+        self._cluster.call_member(
             self.zone, call.member, call.message, call.timeout_s, reply
         )
-        lost = Failed(PeerUnreachable())
-        self._world.after(call.timeout_s, lambda: reply(lost))
+        timed_out = Failed(PeerUnreachable())
+        self._cluster.call_later(call.timeout_s, lambda: reply(timed_out))
 
     def _call_service(
         self,
-        serve: Callable[[], Any],
-        take: Callable[[Any], None],
-        fail: Callable[[bool], None],
+        run_call: Callable[[], Any],
+        on_answer: Callable[[Any], None],
+        on_failure: Callable[[bool], None],
     ) -> None:
-        world = self._world
-        is_cut = self.zone in world.cut_from_service
-        if is_cut or not world.service.is_up:
-            world.after(
-                SERVICE_TIMEOUT_S, self._when_running(lambda: fail(False))
+        cluster = self._cluster
+        is_cut = self.zone in cluster.cut_from_service
+        if is_cut or not cluster.service.is_up:
+            cluster.call_later(
+                SERVICE_TIMEOUT_S,
+                self._when_running(lambda: on_failure(False)),
             )
             return
 
         def arrive() -> None:
-            answer = serve()
-            if world.service.loses_answers:
-                world.after(
-                    SERVICE_TIMEOUT_S, self._when_running(lambda: fail(True))
+            answer = run_call()
+            if cluster.service.is_losing_answers:
+                cluster.call_later(
+                    SERVICE_TIMEOUT_S,
+                    self._when_running(lambda: on_failure(True)),
                 )
                 return
-            world.after(
-                world.service.delay_s / 2,
-                self._when_running(lambda: take(answer)),
+            cluster.call_later(
+                cluster.service.delay_s / 2,
+                self._when_running(lambda: on_answer(answer)),
             )
 
-        world.after(world.service.delay_s / 2, arrive)
+        cluster.call_later(cluster.service.delay_s / 2, arrive)
 
-    def _call_records(
+    def _call_shard_record(
         self, shard: ShardCoordinator, command: LoadShard | StoreShard
     ) -> None:
-        service = self._world.service
+        service = self._cluster.service
         key = shard_key(command.shard)
-        sent_at = self._world.now
+        sent_at = self._cluster.now
 
-        def take(answer: Any) -> None:
-            now = self._world.now
+        def on_answer(answer: Any) -> None:
+            now = self._cluster.now
             self.duty.on_answer(sent_at)
             if isinstance(command, LoadShard):
                 value = answer.value if answer else b''
                 revision = answer.revision if answer else 0
-                out = shard.on_loaded(value, revision, now)
+                commands = shard.on_loaded(value, revision, now)
             elif answer is None:
-                out = shard.on_store_outcome_unknown(now)
+                commands = shard.on_store_outcome_unknown(now)
             else:
-                out = shard.on_stored(answer, now)
-            self._carry_out(shard, out)
+                commands = shard.on_stored(answer, now)
+            self._execute_commands(shard, commands)
 
-        def fail(is_unsure: bool) -> None:
-            now = self._world.now
+        def on_failure(is_outcome_unknown: bool) -> None:
+            now = self._cluster.now
             self.duty.on_failure(sent_at, now)
-            if is_unsure and isinstance(command, StoreShard):
-                self._carry_out(shard, shard.on_store_outcome_unknown(now))
+            if is_outcome_unknown and isinstance(command, StoreShard):
+                self._execute_commands(
+                    shard, shard.on_store_outcome_unknown(now)
+                )
             else:
-                self._carry_out(shard, shard.on_service_down(now))
+                self._execute_commands(shard, shard.on_service_down(now))
 
-        def serve() -> Any:
+        def run_call() -> Any:
             if isinstance(command, LoadShard):
                 return service.read(key)
-            return service.swap(key, command.expected_revision, command.value)
+            return service.compare_and_swap(
+                key, command.expected_revision, command.value
+            )
 
-        self._call_service(serve, take, fail)
+        self._call_service(run_call, on_answer, on_failure)
 
-    def _run_duty(self, command: DutyCommand) -> None:
+    def _run_duty_command(self, command: DutyCommand) -> None:
         match command:
             case GrantLease() | KeepAlive():
-                self._lease(command)
+                self._run_lease_command(command)
             case ReadDuty(shard) | AcquireDuty(shard) | ReleaseDuty(shard):
-                self._run_shard_duty(shard, command)
+                self._run_shard_duty_command(shard, command)
 
-    def _lease(self, command: GrantLease | KeepAlive) -> None:
-        service = self._world.service
-        sent_at = self._world.now
+    def _run_lease_command(self, command: GrantLease | KeepAlive) -> None:
+        service = self._cluster.service
+        sent_at = self._cluster.now
 
-        def serve() -> int | None:
-            now = self._world.now
+        def run_call() -> int | None:
+            now = self._cluster.now
             if isinstance(command, GrantLease):
                 return service.grant(LEASE_TTL_S, now)
             is_kept = service.renew(command.lease_id, LEASE_TTL_S, now)
             return command.lease_id if is_kept else None
 
-        def take(lease_id: int | None) -> None:
+        def on_answer(lease_id: int | None) -> None:
             if lease_id is None:
                 self.duty.on_lease_lost(sent_at)
             else:
                 self.duty.on_lease(lease_id, LEASE_TTL_S, sent_at)
 
-        def fail(is_unsure: bool) -> None:
-            self.duty.on_lease_failed(sent_at, self._world.now)
+        def on_failure(is_outcome_unknown: bool) -> None:
+            self.duty.on_lease_failed(sent_at, self._cluster.now)
 
-        self._call_service(serve, take, fail)
+        self._call_service(run_call, on_answer, on_failure)
 
-    def _run_shard_duty(self, shard: int, command: DutyCommand) -> None:
-        service = self._world.service
-        sent_at = self._world.now
+    def _run_shard_duty_command(
+        self, shard: int, command: DutyCommand
+    ) -> None:
+        service = self._cluster.service
+        sent_at = self._cluster.now
         key = duty_key(shard)
 
-        def serve() -> Any:
+        def run_call() -> Any:
             match command:
                 case AcquireDuty(_, lease_id):
                     value = self.holder.encode()
-                    return service.swap(key, 0, value, lease_id)
+                    return service.compare_and_swap(key, 0, value, lease_id)
                 case ReleaseDuty(_, revision):
                     current = service.values.get(key)
                     if current and current.revision == revision:
@@ -278,8 +292,8 @@
                     return None
             return service.read(key)
 
-        def take(answer: Any) -> None:
-            now = self._world.now
+        def on_answer(answer: Any) -> None:
+            now = self._cluster.now
             if isinstance(command, AcquireDuty) and answer is not None:
                 self.duty.on_acquired(shard, answer, sent_at)
             elif isinstance(command, AcquireDuty):
@@ -292,7 +306,7 @@
                     shard, holder, answer.lease_id, answer.revision, sent_at
                 )
 
-        def fail(is_unsure: bool) -> None:
-            self.duty.on_call_failed(shard, sent_at, False, self._world.now)
+        def on_failure(is_outcome_unknown: bool) -> None:
+            self.duty.on_call_failed(shard, sent_at, False, self._cluster.now)
 
-        self._call_service(serve, take, fail)
+        self._call_service(run_call, on_answer, on_failure)
--- a/packages/standins/src/trefoilpulley_standins/explore_member.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_member.py
@@ -51,14 +51,14 @@
     confirmed: dict[str, Position] = field(default_factory=dict)
     """Progress of the replicas, at a primary."""
 
-    contact_at: float | None = None
+    last_contact_at: float | None = None
     """Time of the last word from the primary."""
 
     is_up: bool = True
     """Whether the process runs."""
 
     @property
-    def last(self) -> Position:
+    def last_position(self) -> Position:
         """End of the log."""
         if not self.log:
             return Position()
@@ -91,10 +91,10 @@
             return True
         if term != self.fenced_term or term == self.term:
             return False
-        self.lead(term)
+        self.start_term(term)
         return True
 
-    def lead(self, term: int) -> None:
+    def start_term(self, term: int) -> None:
         """Begin a term."""
         self.term = self.fenced_term = term
         self.is_primary = True
@@ -118,32 +118,32 @@
         if not self.is_primary or self.term != term:
             return None
         self.log = (*self.log, Entry(term, value))
-        return self.last
+        return self.last_position
 
-    def hear(self, term: int, primary: str, now: float) -> bool:
+    def record_contact(self, term: int, primary: str, now: float) -> bool:
         """Note a word from a primary; false where it is not followed."""
         if self.is_primary or term != self.term or primary != self.primary:
             return False
-        self.contact_at = now
+        self.last_contact_at = now
         return True
 
     def append(
         self, term: int, primary: str, log: tuple[Entry, ...], now: float
     ) -> Position | None:
         """Take the primary's log; return what is confirmed."""
-        if not self.hear(term, primary, now):
+        if not self.record_contact(term, primary, now):
             return None
         is_older = len(log) < len(self.log)
         if not (is_older and self.log[: len(log)] == log):
             self.log = log
-        return self.last
+        return self.last_position
 
     def confirm(self, member: str, term: int, position: Position) -> None:
         """Take a replica's progress."""
         if self.is_primary and term == self.term:
             self.confirmed[member] = position
 
-    def copies_of(self, position: Position) -> int:
+    def copy_count(self, position: Position) -> int:
         """Return how many members hold a record of the present term."""
         held = [
             p
@@ -154,20 +154,20 @@
 
     def _step_down(self, now: float) -> None:
         if self.is_primary:
-            self.contact_at = now
+            self.last_contact_at = now
         self.is_primary = False
         self.confirmed = {}
 
     def _contact_age_ms(self, now: float) -> int | None:
         if self.is_primary:
             return 0
-        if self.contact_at is None:
+        if self.last_contact_at is None:
             return None
-        return round((now - self.contact_at) * 1000)
+        return round((now - self.last_contact_at) * 1000)
 
     def _history(self) -> LogHistory:
         starts: list[TermStart] = []
         for index, entry in enumerate(self.log, 1):
             if not starts or starts[-1].term != entry.term:
                 starts.append(TermStart(entry.term, index))
-        return LogHistory(tuple(starts), self.last)
+        return LogHistory(tuple(starts), self.last_position)
--- a/packages/standins/src/trefoilpulley_standins/explore_schedules.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_schedules.py
@@ -12,19 +12,19 @@
 
 import click
 
-from trefoilpulley_standins.explore_script import Stage
+from trefoilpulley_standins.explore_script import ClusterSimulation
 from trefoilpulley_standins.explore_script import Step
 
-FAULTS_FROM_S = 8.0
+FIRST_FAULT_TIME_S = 8.0
 """Time of the first fault."""
 
-FAULTS_UNTIL_S = 28.0
+LAST_FAULT_TIME_S = 28.0
 """Time of the last fault."""
 
-HEALED_S = 40.0
+HEAL_TIME_S = 40.0
 """Time at which every fault ends."""
 
-SETTLED_S = 160.0
+SETTLE_TIMEOUT_S = 160.0
 """Time by which the home layout must stand again."""
 
 ZONES = ('a', 'b', 'c', 'd')
@@ -60,7 +60,7 @@
 )
 """Events that strike in the middle, with their parties."""
 
-ENDS = (
+FAULT_ENDS = (
     ('healed', ()),
     ('service-up', ()),
     *(('zone-joined', (zone,)) for zone in ZONES),
@@ -85,40 +85,42 @@
 
 def make_schedule(rng: random.Random, fault_count: int) -> tuple[Step, ...]:
     """Return faults at random times, the first one a lost primary."""
-    steps = [Step(FAULTS_FROM_S, *rng.choice(FIRST_FAULTS))]
+    steps = [Step(FIRST_FAULT_TIME_S, *rng.choice(FIRST_FAULTS))]
     for _ in range(fault_count):
-        time = rng.uniform(FAULTS_FROM_S - 1.0, FAULTS_UNTIL_S)
+        time = rng.uniform(FIRST_FAULT_TIME_S - 1.0, LAST_FAULT_TIME_S)
         steps.append(Step(round(time, 3), *rng.choice(FAULTS)))
         end = time + rng.choice((0.2, 1.0, 4.0, 12.0))
-        steps.append(Step(round(end, 3), *rng.choice(ENDS)))
+        steps.append(Step(round(end, 3), *rng.choice(FAULT_ENDS)))
     return tuple(sorted(steps, key=lambda s: s.time))
 
 
-def play_schedule(steps: tuple[Step, ...], seed: int) -> Stage:
+def run_schedule(steps: tuple[Step, ...], seed: int) -> ClusterSimulation:
     """Play a schedule, end the faults and let things settle."""
-    stage = Stage(ZONES, 0.005, seed, write_every_s=0.1)
+    simulation = ClusterSimulation(ZONES, 0.005, seed, write_interval_s=0.1)
     for step in steps:
-        stage.plan(step)
-    stage.plan(Step(HEALED_S, 'healed'))
+        simulation.schedule(step)
+    simulation.schedule(Step(HEAL_TIME_S, 'healed'))
     for zone in ZONES:
-        stage.plan(Step(HEALED_S, 'stop-cancelled', (zone,)))
-    for member in stage.world.entry.members:
-        stage.plan(Step(HEALED_S, 'member-staying', (member.name,)))
-    stage.world.run_until(SETTLED_S)
-    return stage
+        simulation.schedule(Step(HEAL_TIME_S, 'stop-cancelled', (zone,)))
+    for member in simulation.cluster.entry.members:
+        simulation.schedule(
+            Step(HEAL_TIME_S, 'member-staying', (member.name,))
+        )
+    simulation.cluster.run_until(SETTLE_TIMEOUT_S)
+    return simulation
 
 
-def judge(stage: Stage) -> Verdict:
+def evaluate(simulation: ClusterSimulation) -> Verdict:
     """Return what came of a stage."""
-    world = stage.world
-    leader = world.leader()
-    last = world.history.acknowledged[-1].time
-    home = world.entry.members[0].name
+    cluster = simulation.cluster
+    leader = cluster.leader()
+    last = cluster.history.acknowledged[-1].time
+    home = cluster.entry.members[0].name
     is_home = leader is not None and leader.name == home
-    names = [type(n).__name__ for h in stage.hosts for _, n in h.notices]
+    names = [type(n).__name__ for h in simulation.hosts for _, n in h.notices]
     return Verdict(
-        tuple(world.history.faults(world.members.values())),
-        is_home and last > world.now - 1.0,
+        tuple(cluster.history.faults(cluster.members.values())),
+        is_home and last > cluster.now - 1.0,
         names.count('PromotionBegan'),
     )
 
@@ -128,15 +130,15 @@
 @click.option('--first-seed', default=0, help='Seed of the first one.')
 def main(count: int, first_seed: int) -> None:
     """Run schedules of two and three faults and print the breaches."""
-    broken = 0
+    broken_count = 0
     for seed in range(first_seed, first_seed + count):
         steps = make_schedule(random.Random(seed), 1 + seed % 2)
-        verdict = judge(play_schedule(steps, seed))
+        verdict = evaluate(run_schedule(steps, seed))
         if verdict.faults or not verdict.is_settled:
-            broken += 1
+            broken_count += 1
             click.echo(f'seed {seed}: {verdict}')
-    click.echo(f'{count} schedules, {broken} broken')
-    raise SystemExit(broken > 0)
+    click.echo(f'{count} schedules, {broken_count} broken')
+    raise SystemExit(broken_count > 0)
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/trefoilpulley_standins/explore_script.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_script.py
@@ -12,12 +12,12 @@
 from trefoilpulley_core.catalog import Presence
 from trefoilpulley_core.declarations import PlannedStop
 from trefoilpulley_standins.explore_host import ModelHost
-from trefoilpulley_standins.explore_world import World
+from trefoilpulley_standins.explore_world import ModelCluster
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_NOWHERE = Endpoint('127.0.0.1', 1)
+_UNUSED_ENDPOINT = Endpoint('127.0.0.1', 1)
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     """Members, zones or hosts that it strikes."""
 
 
-class Stage:
+class ClusterSimulation:
     """A world with its hosts, and the events that strike them.
 
     Parameters
@@ -49,7 +49,7 @@
         Number of hosts, spread over the zones.
     lag_s : float
         Time for which replicas hold records back.
-    write_every_s : float
+    write_interval_s : float
         Time between two writes of the callers.
     """
 
@@ -60,206 +60,250 @@
         seed: int,
         host_count: int = 7,
         lag_s: float = 0.0,
-        write_every_s: float = 0.01,
+        write_interval_s: float = 0.01,
     ) -> None:
         rng = random.Random(seed)
         self.zones = zones
         """Availability zones."""
 
-        self.world = World(zones, one_way_delay_s, rng, lag_s, write_every_s)
+        self.cluster = ModelCluster(
+            zones, one_way_delay_s, rng, lag_s, write_interval_s
+        )
         """Members, service and links."""
 
         self.hosts = [
-            ModelHost(f'h{i}', zones[i % len(zones)], self.world)
+            ModelHost(f'h{i}', zones[i % len(zones)], self.cluster)
             for i in range(host_count)
         ]
         """Hosts, dead ones too."""
 
-        self._list_hosts()
+        self._update_live_hosts()
         for host in self.hosts:
             host.start()
-        self.world.start_traffic()
+        self.cluster.start_traffic()
 
     @property
-    def acting(self) -> list[ModelHost]:
+    def acting_hosts(self) -> list[ModelHost]:
         """Hosts that coordinate now."""
-        return [h for h in self.hosts if h.acts]
+        return [h for h in self.hosts if h.is_acting]
 
-    def plan(self, step: Step) -> None:
+    def schedule(self, step: Step) -> None:
         """Have an event happen at its time."""
-        self.world.at(step.time, lambda: self.play(step))
+        self.cluster.call_at(step.time, lambda: self.apply_event(step))
 
-    def play(self, step: Step) -> None:
+    def apply_event(self, step: Step) -> None:
         """Have an event happen now."""
         _EVENTS[step.event](self, step.parties)
 
     def heal(self) -> None:
         """End every fault."""
-        world = self.world
-        world.cut_links.clear()
-        world.isolated.clear()
-        world.unpooled.clear()
-        world.cut_from_service.clear()
-        world.service.is_up = True
-        world.service.loses_answers = False
-        world.service.delay_s = 0.002
-        for member in world.members.values():
+        cluster = self.cluster
+        cluster.cut_links.clear()
+        cluster.isolated.clear()
+        cluster.cut_from_pooler.clear()
+        cluster.cut_from_service.clear()
+        cluster.service.is_up = True
+        cluster.service.is_losing_answers = False
+        cluster.service.delay_s = 0.002
+        for member in cluster.members.values():
             member.is_up = True
 
     def find_host(self, name: str) -> ModelHost | None:
         """Return a host; ``acting`` stands for the one with the duty."""
         if name == 'acting':
-            return next(iter(self.acting), None)
+            return next(iter(self.acting_hosts), None)
         return next(h for h in self.hosts if h.name == name)
 
     def find_member(self, name: str) -> str:
         """Return a member's name; ``primary`` stands for the leader."""
-        leader = self.world.leader()
+        leader = self.cluster.leader()
         if name == 'primary' and leader is not None:
             return leader.name
         if name == 'primary':
-            return self.world.entry.members[0].name
+            return self.cluster.entry.members[0].name
         return name
 
     def cut_zone(self, zone: str) -> None:
         """Cut a zone off from the others and from the service."""
         for other in self.zones:
             if other != zone:
-                self.world.cut_links.add(frozenset((zone, other)))
-        self.world.cut_from_service.add(zone)
+                self.cluster.cut_links.add(frozenset((zone, other)))
+        self.cluster.cut_from_service.add(zone)
 
-    def join_zone(self, zone: str) -> None:
+    def reconnect_zone(self, zone: str) -> None:
         """Join a zone again."""
-        kept = {pair for pair in self.world.cut_links if zone not in pair}
-        self.world.cut_links = kept
-        self.world.cut_from_service.discard(zone)
+        kept = {pair for pair in self.cluster.cut_links if zone not in pair}
+        self.cluster.cut_links = kept
+        self.cluster.cut_from_service.discard(zone)
 
     def kill_host(self, host: ModelHost | None) -> None:
         """End a host's process; the others learn of it later."""
         if host is None:
             return
         host.is_up = False
-        self.world.after(1.0, self._list_hosts)
+        self.cluster.call_later(1.0, self._update_live_hosts)
 
     def set_presence(self, name: str, presence: Presence) -> None:
         """Change the platform's list of members."""
         members = tuple(
             replace(m, presence=presence) if m.name == name else m
-            for m in self.world.entry.members
+            for m in self.cluster.entry.members
         )
-        self.world.entry = replace(self.world.entry, members=members)
+        self.cluster.entry = replace(self.cluster.entry, members=members)
 
     def plan_stop(self, zone: str) -> None:
         """Declare a planned stop."""
-        stop = PlannedStop(f'stop-{zone}', self.world.entry.ledger, zone)
-        stops = (*self.world.declarations.stops, stop)
-        declared = replace(self.world.declarations, stops=stops)
-        self.world.declarations = declared
+        stop = PlannedStop(f'stop-{zone}', self.cluster.entry.ledger, zone)
+        stops = (*self.cluster.declarations.stops, stop)
+        declared = replace(self.cluster.declarations, stops=stops)
+        self.cluster.declarations = declared
 
     def cancel_stop(self, zone: str) -> None:
         """Withdraw a planned stop."""
-        stops = self.world.declarations.stops
+        stops = self.cluster.declarations.stops
         kept = tuple(s for s in stops if s.zone != zone)
-        declared = replace(self.world.declarations, stops=kept)
-        self.world.declarations = declared
-
-    def _list_hosts(self) -> None:
-        self.world.live_hosts = tuple(
-            HostEntry(h.name, 'region', h.zone, _NOWHERE, _NOWHERE)
+        declared = replace(self.cluster.declarations, stops=kept)
+        self.cluster.declarations = declared
+
+    def _update_live_hosts(self) -> None:
+        self.cluster.live_hosts = tuple(
+            HostEntry(
+                h.name, 'region', h.zone, _UNUSED_ENDPOINT, _UNUSED_ENDPOINT
+            )
             for h in self.hosts
             if h.is_up
         )
 
 
-def _member_down(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.members[stage.find_member(parties[0])].is_up = False
+def _member_down(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.members[
+        simulation.find_member(parties[0])
+    ].is_up = False
 
 
-def _member_up(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.members[stage.find_member(parties[0])].is_up = True
+def _member_up(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.members[simulation.find_member(parties[0])].is_up = True
 
 
-def _member_isolated(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.isolated.add(stage.find_member(parties[0]))
+def _member_isolated(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.isolated.add(simulation.find_member(parties[0]))
 
 
-def _member_joined(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.isolated.discard(parties[0])
+def _member_joined(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.isolated.discard(parties[0])
 
 
-def _member_unpooled(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.unpooled.add(stage.find_member(parties[0]))
+def _member_unpooled(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.cut_from_pooler.add(simulation.find_member(parties[0]))
 
 
-def _member_pooled(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.unpooled.discard(parties[0])
+def _member_pooled(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.cut_from_pooler.discard(parties[0])
 
 
-def _member_leaving(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.set_presence(stage.find_member(parties[0]), Presence.LEAVING)
+def _member_leaving(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.set_presence(
+        simulation.find_member(parties[0]), Presence.LEAVING
+    )
 
 
-def _member_staying(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.set_presence(parties[0], Presence.LIVE)
+def _member_staying(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.set_presence(parties[0], Presence.LIVE)
 
 
-def _zone_cut(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.cut_zone(parties[0])
+def _zone_cut(simulation: ClusterSimulation, parties: tuple[str, ...]) -> None:
+    simulation.cut_zone(parties[0])
 
 
-def _zone_joined(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.join_zone(parties[0])
+def _zone_joined(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.reconnect_zone(parties[0])
 
 
-def _link_cut(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.cut_links.add(frozenset(parties))
+def _link_cut(simulation: ClusterSimulation, parties: tuple[str, ...]) -> None:
+    simulation.cluster.cut_links.add(frozenset(parties))
 
 
-def _link_joined(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.cut_links.discard(frozenset(parties))
+def _link_joined(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.cut_links.discard(frozenset(parties))
 
 
-def _service_down(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.service.is_up = False
+def _service_down(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.service.is_up = False
 
 
-def _service_slow(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.service.delay_s = 0.8
+def _service_slow(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.service.delay_s = 0.8
 
 
-def _service_silent(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.service.loses_answers = True
+def _service_silent(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.service.is_losing_answers = True
 
 
-def _service_up(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.world.service.is_up = True
-    stage.world.service.loses_answers = False
-    stage.world.service.delay_s = 0.002
+def _service_up(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cluster.service.is_up = True
+    simulation.cluster.service.is_losing_answers = False
+    simulation.cluster.service.delay_s = 0.002
 
 
-def _host_paused(stage: Stage, parties: tuple[str, ...]) -> None:
-    host = stage.find_host(parties[0])
+def _host_paused(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    host = simulation.find_host(parties[0])
     if host is not None:
         host.pause(float(parties[1]))
 
 
-def _host_down(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.kill_host(stage.find_host(parties[0]))
+def _host_down(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.kill_host(simulation.find_host(parties[0]))
 
 
-def _stop_planned(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.plan_stop(parties[0])
+def _stop_planned(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.plan_stop(parties[0])
 
 
-def _stop_cancelled(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.cancel_stop(parties[0])
+def _stop_cancelled(
+    simulation: ClusterSimulation, parties: tuple[str, ...]
+) -> None:
+    simulation.cancel_stop(parties[0])
 
 
-def _healed(stage: Stage, parties: tuple[str, ...]) -> None:
-    stage.heal()
+def _healed(simulation: ClusterSimulation, parties: tuple[str, ...]) -> None:
+    simulation.heal()
 
 
-_EVENTS: dict[str, Callable[[Stage, tuple[str, ...]], None]] = {
+_EVENTS: dict[str, Callable[[ClusterSimulation, tuple[str, ...]], None]] = {
     'member-down': _member_down,
     'member-up': _member_up,
     'member-isolated': _member_isolated,
--- a/packages/standins/src/trefoilpulley_standins/explore_service.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_service.py
@@ -27,7 +27,7 @@
     is_up: bool = True
     """Whether calls are answered."""
 
-    loses_answers: bool = False
+    is_losing_answers: bool = False
     """Whether answers are lost after the change took effect."""
 
     delay_s: float = 0.002
@@ -50,8 +50,10 @@
 
     def expire(self, now: float) -> None:
         """Drop the leases that have lapsed, with their keys."""
-        gone = {k for k, until in self.leases.items() if until <= now}
-        for lease_id in gone:
+        expired_ids = {
+            k for k, expires_at in self.leases.items() if expires_at <= now
+        }
+        for lease_id in expired_ids:
             self.revoke(lease_id)
 
     def revoke(self, lease_id: int) -> None:
@@ -81,13 +83,13 @@
         self.reads += 1
         return self.values.get(key)
 
-    def swap(
-        self, key: str, expected: int, value: bytes, lease_id: int = 0
+    def compare_and_swap(
+        self, key: str, expected_revision: int, value: bytes, lease_id: int = 0
     ) -> int | None:
         """Write by compare-and-swap; ``None`` on a conflict."""
         self.writes += 1
         current = self.values.get(key)
-        if (current.revision if current else 0) != expected:
+        if (current.revision if current else 0) != expected_revision:
             return None
         if lease_id and lease_id not in self.leases:
             return None
--- a/packages/standins/src/trefoilpulley_standins/explore_state.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_state.py
@@ -47,12 +47,12 @@
 TICK_S = 0.2
 """Time that a tick lets pass for a coordinator."""
 
-EXPIRY_S = 2.1
+ATTEMPT_TIMEOUT_S = 2.1
 """Time after which a coordinator gives its attempt up."""
 
 
 @dataclass(frozen=True, slots=True)
-class Flight:
+class InFlightCall:
     """One message on its way."""
 
     coordinator: int
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class EventBudget:
     """Events that may still happen."""
 
     starts: tuple[int, int] = (1, 1)
@@ -101,7 +101,7 @@
     writes: int = 1
     """Writes of the callers."""
 
-    losses: int = 1
+    call_timeouts: int = 1
     """Messages whose sender gives up waiting."""
 
     outages: int = 1
@@ -113,7 +113,7 @@
     delays: int = 0
     """Replies that other events may overtake."""
 
-    expiries: int = 0
+    attempt_timeouts: int = 0
     """Attempts that are given up for taking too long."""
 
 
@@ -148,7 +148,7 @@
         self,
         entry: DatabaseEntry,
         members: dict[str, ModelMember],
-        budget: Budget,
+        budget: EventBudget,
     ) -> None:
         self.entry = entry
         """Members of the database."""
@@ -159,19 +159,19 @@
         self.budget = budget
         """Events that may still happen."""
 
-        self.cut_off: frozenset[str] = frozenset()
+        self.cut_off_members: frozenset[str] = frozenset()
         """Members that nothing reaches."""
 
-        self.flights: frozenset[Flight] = frozenset()
+        self.in_flight_calls: frozenset[InFlightCall] = frozenset()
         """Control messages on their way."""
 
         self.confirmations: frozenset[Confirmation] = frozenset()
         """Confirmations on their way."""
 
-        self.times = [0.0, 0.0]
+        self.coordinator_times = [0.0, 0.0]
         """Time of each coordinator."""
 
-        self.used = [0, 0]
+        self.promotion_counts = [0, 0]
         """Promotions that each coordinator has begun."""
 
         self.promotions: list[Promotion | None] = [None, None]
@@ -180,7 +180,7 @@
         self.handover: Handover | None = None
         """Handover of the first coordinator."""
 
-        self.hold = False
+        self.are_writes_paused = False
         """Whether the first primary's writes are held."""
 
         self.writes: tuple[Write, ...] = ()
@@ -189,53 +189,53 @@
         self.acknowledged: frozenset[Write] = frozenset()
         """Writes that callers were told of."""
 
-        self.late: frozenset[Write] = frozenset()
+        self.late_acknowledged: frozenset[Write] = frozenset()
         """Writes acknowledged after a later term had its majority."""
 
-        self.leads: frozenset[tuple[int, str]] = frozenset()
+        self.majorities: frozenset[tuple[int, str]] = frozenset()
         """Terms and the members that collected a majority for them."""
 
     def clone(self) -> ExploredState:
         """Return a copy that may be changed."""
-        other = copy.copy(self)
-        other.members = {n: clone_member(m) for n, m in self.members.items()}
-        other.times = list(self.times)
-        other.used = list(self.used)
-        other.promotions = [clone_operation(p) for p in self.promotions]
-        other.handover = clone_operation(self.handover)
-        return other
+        copied = copy.copy(self)
+        copied.members = {n: clone_member(m) for n, m in self.members.items()}
+        copied.coordinator_times = list(self.coordinator_times)
+        copied.promotion_counts = list(self.promotion_counts)
+        copied.promotions = [clone_operation(p) for p in self.promotions]
+        copied.handover = clone_operation(self.handover)
+        return copied
 
     def key(self) -> tuple[Any, ...]:
         """Return what tells this state from others."""
         return (
             tuple(member_key(m) for m in self.members.values()),
-            self.cut_off,
-            self.flights,
+            self.cut_off_members,
+            self.in_flight_calls,
             self.confirmations,
-            tuple(self.times),
+            tuple(self.coordinator_times),
             tuple(operation_key(p) for p in self.promotions),
             operation_key(self.handover),
-            self.hold,
+            self.are_writes_paused,
             self.writes,
             self.acknowledged,
-            self.late,
-            self.leads,
+            self.late_acknowledged,
+            self.majorities,
             self.budget,
         )
 
-    def spend(self, **changes: Any) -> None:
+    def consume_budget(self, **changes: Any) -> None:
         """Take events from the budget."""
         self.budget = replace(self.budget, **changes)
 
     def send(self, coordinator: int, commands: tuple[Any, ...]) -> None:
         """Put a coordinator's calls on their way."""
-        sent_at = self.times[coordinator]
+        sent_at = self.coordinator_times[coordinator]
         for command in commands:
             if isinstance(command, CallMember):
-                flight = Flight(coordinator, command, sent_at)
-                self.flights |= {flight}
+                in_flight = InFlightCall(coordinator, command, sent_at)
+                self.in_flight_calls |= {in_flight}
 
-    def serve(self, call: CallMember) -> Any:
+    def apply_call(self, call: CallMember) -> Any:
         """Have a member carry out a call; return the result."""
         member = self.members[call.member]
         match call.message:
@@ -246,10 +246,10 @@
             case FollowMember(_, term, primary):
                 is_done = member.follow(term, primary, 0.0)
             case PauseWrites():
-                self.hold = True
+                self.are_writes_paused = True
                 return Success(PauseReport(0))
             case ResumeWrites():
-                self.hold = False
+                self.are_writes_paused = False
                 return Success(PooledDone())
             case WarmConnections():
                 return Success(PooledDone())
@@ -259,34 +259,34 @@
             return Failed(StaleTerm())
         return Success(StatusReport(member.status(0.0)))
 
-    def finish(self, flight: Flight, result: Any) -> None:
+    def complete_call(self, in_flight: InFlightCall, result: Any) -> None:
         """Tell a coordinator the outcome of its call."""
-        self.flights -= {flight}
-        index = flight.coordinator
-        now = self.times[index]
-        done = CallDone(flight.call, flight.sent_at, result)
+        self.in_flight_calls -= {in_flight}
+        index = in_flight.coordinator
+        now = self.coordinator_times[index]
+        done = CallDone(in_flight.call, in_flight.sent_at, result)
         promotion = self.promotions[index]
         if promotion is not None:
             self.send(index, promotion.on_call_done(done, now))
         elif index == 0 and self.handover is not None:
             self.send(0, self.handover.on_call_done(done, now))
-        self.settle(index)
+        self.advance(index)
 
-    def give_up(self, flight: Flight) -> None:
+    def time_out_call(self, in_flight: InFlightCall) -> None:
         """Have a coordinator stop to wait for a call."""
-        self.finish(flight, Failed(PeerUnreachable()))
-        if flight.reply is None:
-            self.flights |= {replace(flight, is_late=True)}
+        self.complete_call(in_flight, Failed(PeerUnreachable()))
+        if in_flight.reply is None:
+            self.in_flight_calls |= {replace(in_flight, is_late=True)}
 
-    def settle(self, index: int) -> None:
+    def advance(self, index: int) -> None:
         """Move a coordinator to what follows its last step."""
         promotion = self.promotions[index]
         if promotion is not None and promotion.stage.is_over:
             self.promotions[index] = None
         if index == 0 and self.handover is not None:
-            self._settle_handover()
+            self._advance_handover()
 
-    def _settle_handover(self) -> None:
+    def _advance_handover(self) -> None:
         stage = self.handover.stage
         if stage is HandoverStage.ABANDONED:
             self.handover = None
@@ -295,19 +295,21 @@
             self.handover = None
             self.begin_promotion(0, target)
 
-    def begin_promotion(self, index: int, wanted: str) -> None:
+    def begin_promotion(self, index: int, preferred: str) -> None:
         """Have a coordinator begin its next term."""
         term = self.next_term(index)
-        self.used[index] += 1
+        self.promotion_counts[index] += 1
         names = [m.name for m in self.entry.members]
-        names.sort(key=lambda n: n != wanted)
-        promotion = self.make_promotion(term, names, self.times[index])
+        names.sort(key=lambda n: n != preferred)
+        promotion = self.make_promotion(
+            term, names, self.coordinator_times[index]
+        )
         self.promotions[index] = promotion
-        self.send(index, promotion.on_tick(self.times[index]))
+        self.send(index, promotion.on_tick(self.coordinator_times[index]))
 
     def next_term(self, index: int) -> int:
         """Return the next term granted to a coordinator."""
-        return 2 + index + 2 * self.used[index]
+        return 2 + index + 2 * self.promotion_counts[index]
 
     def make_promotion(
         self, term: int, names: list[str], now: float
@@ -319,28 +321,32 @@
         """Have the first coordinator begin a handover."""
         source = self.entry.members[0].name
         record = HandoverRecord('h', 'c0', source, target)
-        self.handover = Handover(self.entry, record, self.times[0])
+        self.handover = Handover(self.entry, record, self.coordinator_times[0])
         self.handover.begin()
         self._record_handover(record)
-        self.times[0] += EXPIRY_S
-        self.handover.on_tick(self.times[0])
-        marked = replace(record, step=HandoverStep.SWITCHING)
-        self._record_handover(marked)
+        self.coordinator_times[0] += ATTEMPT_TIMEOUT_S
+        self.handover.on_tick(self.coordinator_times[0])
+        switching = replace(record, step=HandoverStep.SWITCHING)
+        self._record_handover(switching)
 
     def _record_handover(self, record: HandoverRecord) -> None:
         stored = DatabaseRecord(self.entry.name, handover=record)
-        self.send(0, self.handover.on_record(stored, self.times[0]))
+        self.send(
+            0, self.handover.on_record(stored, self.coordinator_times[0])
+        )
 
-    def tick(self, index: int, passed_s: float) -> None:
+    def tick(self, index: int, elapsed_s: float) -> None:
         """Let time pass for a coordinator."""
-        self.times[index] = round(self.times[index] + passed_s, 3)
-        now = self.times[index]
+        self.coordinator_times[index] = round(
+            self.coordinator_times[index] + elapsed_s, 3
+        )
+        now = self.coordinator_times[index]
         promotion = self.promotions[index]
         if promotion is not None:
             self.send(index, promotion.on_tick(now))
         elif index == 0 and self.handover is not None:
             self.send(0, self.handover.on_tick(now))
-        self.settle(index)
+        self.advance(index)
 
     def confirm(self, message: Confirmation) -> None:
         """Tell a primary of a replica's progress."""
@@ -348,7 +354,7 @@
         primary = self.members[message.primary]
         primary.confirm(message.member, message.term, message.position)
         if primary.is_primary:
-            self.count_copies(primary)
+            self.update_acknowledged(primary)
 
     def copies_needed(self) -> int:
         """Return the members that must hold a write."""
@@ -357,22 +363,24 @@
     def on_write(self, primary: ModelMember) -> None:
         """Note that a primary has taken a write."""
 
-    def count_copies(self, primary: ModelMember) -> None:
+    def update_acknowledged(self, primary: ModelMember) -> None:
         """Acknowledge the writes of a primary that have their copies."""
         copies = self.copies_needed()
         has_term = any(
             p.term == primary.term for p in primary.confirmed.values()
         )
         if has_term or copies == 1:
-            self.leads |= {(primary.term, primary.name)}
+            self.majorities |= {(primary.term, primary.name)}
         ready = frozenset(
             w
             for w in self.writes
             if w.member == primary.name
             and w.position.term == primary.term
-            and primary.copies_of(w.position) >= copies
+            and primary.copy_count(w.position) >= copies
         )
-        fresh = ready - self.acknowledged
-        if fresh and any(term > primary.term for term, _ in self.leads):
-            self.late |= fresh
+        newly_acknowledged = ready - self.acknowledged
+        if newly_acknowledged and any(
+            term > primary.term for term, _ in self.majorities
+        ):
+            self.late_acknowledged |= newly_acknowledged
         self.acknowledged |= ready
--- a/packages/standins/src/trefoilpulley_standins/explore_steps.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_steps.py
@@ -8,8 +8,8 @@
 from returns.result import Failure as Failed
 
 from trefoilpulley_core.failure import PeerUnreachable
+from trefoilpulley_standins.explore_state import ATTEMPT_TIMEOUT_S
 from trefoilpulley_standins.explore_state import Confirmation
-from trefoilpulley_standins.explore_state import EXPIRY_S
 from trefoilpulley_standins.explore_state import TICK_S
 from trefoilpulley_standins.explore_state import Write
 
@@ -18,7 +18,7 @@
 
     from trefoilpulley_standins.explore_member import ModelMember
     from trefoilpulley_standins.explore_state import ExploredState
-    from trefoilpulley_standins.explore_state import Flight
+    from trefoilpulley_standins.explore_state import InFlightCall
 
 
 def next_states(state: ExploredState) -> Iterator[ExploredState]:
@@ -27,121 +27,137 @@
     yield from _data_steps(state)
     yield from _coordinator_steps(state)
     if state.budget.outages:
-        yield _cut_off(state)
+        yield _cut_off_primary(state)
 
 
 def _control_steps(state: ExploredState) -> Iterator[ExploredState]:
-    for flight in state.flights:
-        if flight.call.member in state.cut_off and flight.reply is None:
-            yield _fail(state, flight)
+    for in_flight in state.in_flight_calls:
+        if (
+            in_flight.call.member in state.cut_off_members
+            and in_flight.reply is None
+        ):
+            yield _fail_call(state, in_flight)
             continue
-        if flight.reply is not None:
-            yield _return(state, flight)
+        if in_flight.reply is not None:
+            yield _deliver_reply(state, in_flight)
             continue
-        yield _carry(state, flight)
-        if state.budget.delays and not flight.is_late:
-            yield _delay(state, flight)
-        if state.budget.losses and not flight.is_late:
-            yield _lose(state, flight)
+        yield _deliver_call(state, in_flight)
+        if state.budget.delays and not in_flight.is_late:
+            yield _delay_reply(state, in_flight)
+        if state.budget.call_timeouts and not in_flight.is_late:
+            yield _time_out_call(state, in_flight)
 
 
-def _fail(state: ExploredState, flight: Flight) -> ExploredState:
-    other = state.clone()
-    if flight.is_late:
-        other.flights -= {flight}
+def _fail_call(state: ExploredState, in_flight: InFlightCall) -> ExploredState:
+    successor = state.clone()
+    if in_flight.is_late:
+        successor.in_flight_calls -= {in_flight}
     else:
-        other.finish(flight, Failed(PeerUnreachable()))
-    return other
+        successor.complete_call(in_flight, Failed(PeerUnreachable()))
+    return successor
 
 
-def _carry(state: ExploredState, flight: Flight) -> ExploredState:
-    other = state.clone()
-    result = other.serve(flight.call)
-    if flight.is_late:
-        other.flights -= {flight}
+def _deliver_call(
+    state: ExploredState, in_flight: InFlightCall
+) -> ExploredState:
+    successor = state.clone()
+    result = successor.apply_call(in_flight.call)
+    if in_flight.is_late:
+        successor.in_flight_calls -= {in_flight}
     else:
-        other.finish(flight, result)
-    return other
+        successor.complete_call(in_flight, result)
+    return successor
 
 
-def _delay(state: ExploredState, flight: Flight) -> ExploredState:
-    other = state.clone()
-    other.spend(delays=state.budget.delays - 1)
-    result = other.serve(flight.call)
-    other.flights -= {flight}
-    other.flights |= {replace(flight, reply=result)}
-    return other
+def _delay_reply(
+    state: ExploredState, in_flight: InFlightCall
+) -> ExploredState:
+    successor = state.clone()
+    successor.consume_budget(delays=state.budget.delays - 1)
+    result = successor.apply_call(in_flight.call)
+    successor.in_flight_calls -= {in_flight}
+    successor.in_flight_calls |= {replace(in_flight, reply=result)}
+    return successor
 
 
-def _return(state: ExploredState, flight: Flight) -> ExploredState:
-    other = state.clone()
-    other.finish(flight, flight.reply)
-    return other
+def _deliver_reply(
+    state: ExploredState, in_flight: InFlightCall
+) -> ExploredState:
+    successor = state.clone()
+    successor.complete_call(in_flight, in_flight.reply)
+    return successor
 
 
-def _lose(state: ExploredState, flight: Flight) -> ExploredState:
-    other = state.clone()
-    other.spend(losses=state.budget.losses - 1)
-    other.give_up(flight)
-    return other
+def _time_out_call(
+    state: ExploredState, in_flight: InFlightCall
+) -> ExploredState:
+    successor = state.clone()
+    successor.consume_budget(call_timeouts=state.budget.call_timeouts - 1)
+    successor.time_out_call(in_flight)
+    return successor
 
 
 def _data_steps(state: ExploredState) -> Iterator[ExploredState]:
     for primary in state.members.values():
         if not primary.is_primary:
             continue
-        if state.budget.writes and _takes_writes(state, primary):
+        if state.budget.writes and _accepts_writes(state, primary):
             yield _write(state, primary.name)
         yield from _replications(state, primary)
     for message in state.confirmations:
         yield _confirm(state, message)
 
 
-def _takes_writes(state: ExploredState, primary: ModelMember) -> bool:
-    is_held = state.hold and primary is next(iter(state.members.values()))
-    return not is_held
+def _accepts_writes(state: ExploredState, primary: ModelMember) -> bool:
+    is_paused = state.are_writes_paused and primary is next(
+        iter(state.members.values())
+    )
+    return not is_paused
 
 
 def _write(state: ExploredState, name: str) -> ExploredState:
-    other = state.clone()
-    other.spend(writes=state.budget.writes - 1)
-    member = other.members[name]
+    successor = state.clone()
+    successor.consume_budget(writes=state.budget.writes - 1)
+    member = successor.members[name]
     value = f'w{len(state.writes)}@{name}'
     position = member.write(member.term, value)
-    other.writes = (*state.writes, Write(name, position, value))
-    other.on_write(member)
-    return other
+    successor.writes = (*state.writes, Write(name, position, value))
+    successor.on_write(member)
+    return successor
 
 
 def _replications(
     state: ExploredState, primary: ModelMember
 ) -> Iterator[ExploredState]:
     for member in state.members.values():
-        if member is primary or state.cut_off & {primary.name, member.name}:
+        if member is primary or state.cut_off_members & {
+            primary.name,
+            member.name,
+        }:
             continue
         if member.primary != primary.name or member.term != primary.term:
             continue
-        if member.last != primary.last:
+        if member.last_position != primary.last_position:
             yield _replicate(state, primary.name, member.name)
             if state.budget.delays:
-                yield _replicate_late(state, primary.name, member.name)
+                yield _delay_confirmation(state, primary.name, member.name)
 
 
 def _replicate(
     state: ExploredState, primary: str, replica: str
 ) -> ExploredState:
-    other = state.clone()
-    other.confirm(_append(other, primary, replica))
-    return other
+    successor = state.clone()
+    successor.confirm(_append(successor, primary, replica))
+    return successor
 
 
-def _replicate_late(
+def _delay_confirmation(
     state: ExploredState, primary: str, replica: str
 ) -> ExploredState:
-    other = state.clone()
-    other.spend(delays=state.budget.delays - 1)
-    other.confirmations |= {_append(other, primary, replica)}
-    return other
+    successor = state.clone()
+    successor.consume_budget(delays=state.budget.delays - 1)
+    successor.confirmations |= {_append(successor, primary, replica)}
+    return successor
 
 
 def _append(state: ExploredState, primary: str, replica: str) -> Confirmation:
@@ -151,59 +167,61 @@
 
 
 def _confirm(state: ExploredState, message: Confirmation) -> ExploredState:
-    other = state.clone()
-    other.confirm(message)
-    return other
+    successor = state.clone()
+    successor.confirm(message)
+    return successor
 
 
 def _coordinator_steps(state: ExploredState) -> Iterator[ExploredState]:
     for index in (0, 1):
         if state.promotions[index] is None and state.budget.starts[index]:
-            yield _start(state, index)
+            yield _start_promotion(state, index)
         if state.promotions[index] is None:
             continue
         if state.budget.ticks:
             yield _tick(state, index)
-        if state.budget.expiries:
-            yield _expire(state, index)
+        if state.budget.attempt_timeouts:
+            yield _time_out_attempt(state, index)
     is_free = state.handover is None and state.promotions[0] is None
     if is_free and state.budget.handovers:
-        yield _hand_over(state)
+        yield _start_handover(state)
 
 
-def _start(state: ExploredState, index: int) -> ExploredState:
-    other = state.clone()
+def _start_promotion(state: ExploredState, index: int) -> ExploredState:
+    successor = state.clone()
     starts = list(state.budget.starts)
     starts[index] -= 1
-    other.spend(starts=tuple(starts))
-    other.handover = None if index == 0 else other.handover
-    other.begin_promotion(index, '')
-    return other
+    successor.consume_budget(starts=tuple(starts))
+    successor.handover = None if index == 0 else successor.handover
+    successor.begin_promotion(index, '')
+    return successor
 
 
 def _tick(state: ExploredState, index: int) -> ExploredState:
-    other = state.clone()
-    other.spend(ticks=state.budget.ticks - 1)
-    other.tick(index, TICK_S)
-    return other
+    successor = state.clone()
+    successor.consume_budget(ticks=state.budget.ticks - 1)
+    successor.tick(index, TICK_S)
+    return successor
 
 
-def _expire(state: ExploredState, index: int) -> ExploredState:
-    other = state.clone()
-    other.spend(expiries=state.budget.expiries - 1)
-    other.tick(index, EXPIRY_S)
-    return other
+def _time_out_attempt(state: ExploredState, index: int) -> ExploredState:
+    successor = state.clone()
+    successor.consume_budget(
+        attempt_timeouts=state.budget.attempt_timeouts - 1
+    )
+    successor.tick(index, ATTEMPT_TIMEOUT_S)
+    return successor
 
 
-def _hand_over(state: ExploredState) -> ExploredState:
-    other = state.clone()
-    other.spend(handovers=state.budget.handovers - 1)
-    other.begin_handover('b')
-    return other
+def _start_handover(state: ExploredState) -> ExploredState:
+    successor = state.clone()
+    successor.consume_budget(handovers=state.budget.handovers - 1)
+    successor.begin_handover('b')
+    return successor
 
 
-def _cut_off(state: ExploredState) -> ExploredState:
-    other = state.clone()
-    other.spend(outages=state.budget.outages - 1)
-    other.cut_off = frozenset(('a',))
-    return other
+def _cut_off_primary(state: ExploredState) -> ExploredState:
+    successor = state.clone()
+    successor.consume_budget(outages=state.budget.outages - 1)
+    successor.cut_off_members = frozenset(('a',))
+    return successor
--- a/packages/standins/src/trefoilpulley_standins/explore_world.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_world.py
@@ -41,30 +41,30 @@
 
     from trefoilpulley_core.position import Position
 
-REPLICATE_S = 0.02
+REPLICATION_INTERVAL_S = 0.02
 """Time between two messages from a primary to a replica."""
 
 MEMBER_DELAY_S = 0.001
 """One-way delay between a pooler and its member."""
 
-WRITE_S = 0.004
+WRITE_DURATION_S = 0.004
 """Time for which a write holds its slot."""
 
-_NOWHERE = Endpoint('127.0.0.1', 1)
+_UNUSED_ENDPOINT = Endpoint('127.0.0.1', 1)
 
 
 @dataclass(slots=True)
-class Hold:
+class WritePause:
     """Hold of the writes of one member."""
 
     handover_id: str = ''
     """Handover that holds them."""
 
-    until: float = 0.0
+    ends_at: float = 0.0
     """End of the hold."""
 
 
-class World:
+class ModelCluster:
     """Members, service, links and callers on a virtual clock.
 
     Parameters
@@ -77,7 +77,7 @@
         Source of the delays' jitter.
     lag_s : float
         Time for which replicas hold records back.
-    write_every_s : float
+    write_interval_s : float
         Time between two writes of the callers.
     """
 
@@ -87,16 +87,16 @@
         one_way_delay_s: float,
         rng: random.Random,
         lag_s: float = 0.0,
-        write_every_s: float = 0.01,
+        write_interval_s: float = 0.01,
     ) -> None:
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._one_way_delay_s = one_way_delay_s
         self._rng = rng
         self._lag_s = lag_s
-        self._write_every_s = write_every_s
-        self._writes = itertools.count(1)
-        self._running: dict[str, int] = {}
+        self._write_interval_s = write_interval_s
+        self._write_numbers = itertools.count(1)
+        self._running_writes: dict[str, int] = {}
         self.now = 0.0
         """Virtual time in seconds."""
 
@@ -109,7 +109,7 @@
         self.isolated: set[str] = set()
         """Members that nothing reaches."""
 
-        self.unpooled: set[str] = set()
+        self.cut_from_pooler: set[str] = set()
         """Members that their own zone's hosts cannot reach."""
 
         self.cut_from_service: set[str] = set()
@@ -124,7 +124,7 @@
         self.live_hosts: tuple[HostEntry, ...] = ()
         """Hosts as every host sees them."""
 
-        self.holds = {m.name: Hold() for m in self.entry.members}
+        self.write_pauses = {m.name: WritePause() for m in self.entry.members}
         """Holds of writes by member."""
 
         self.members = _make_members(self.entry)
@@ -133,14 +133,14 @@
         self.history = WriteHistory()
         """What the callers were told."""
 
-    def at(self, time: float, action: Callable[[], None]) -> None:
+    def call_at(self, time: float, action: Callable[[], None]) -> None:
         """Run an action at a time."""
         event = (max(time, self.now), next(self._order), action)
         heapq.heappush(self._events, event)
 
-    def after(self, delay_s: float, action: Callable[[], None]) -> None:
+    def call_later(self, delay_s: float, action: Callable[[], None]) -> None:
         """Run an action after a delay."""
-        self.at(self.now + delay_s, action)
+        self.call_at(self.now + delay_s, action)
 
     def run_until(self, time: float) -> None:
         """Run everything that happens until a time."""
@@ -190,41 +190,43 @@
         target = self.members[member]
         if not self.is_linked(zone, target.zone):
             return
-        there_s = self.delay_s(zone, target.zone) + MEMBER_DELAY_S
+        request_delay_s = self.delay_s(zone, target.zone) + MEMBER_DELAY_S
 
         def arrive() -> None:
             if not self.is_linked(zone, target.zone):
                 return
             if target.name in self.isolated:
                 return
-            result = self._serve(target, message)
-            back_s = MEMBER_DELAY_S + self.delay_s(target.zone, zone)
-            self.after(back_s, answer(result))
+            result = self._handle_message(target, message)
+            reply_delay_s = MEMBER_DELAY_S + self.delay_s(target.zone, zone)
+            self.call_later(reply_delay_s, make_reply(result))
 
-        def answer(result: Any) -> Callable[[], None]:
+        def make_reply(result: Any) -> Callable[[], None]:
             return lambda: (
                 reply(result) if self.is_linked(zone, target.zone) else None
             )
 
-        self.after(there_s, arrive)
+        self.call_later(request_delay_s, arrive)
 
     def leader(self) -> ModelMember | None:
         """Return the running member that leads the highest term."""
         leaders = [m for m in self.members.values() if m.is_primary]
         return max(leaders, key=lambda m: m.term, default=None)
 
-    def _serve(self, target: ModelMember, message: Any) -> Any:
-        hold = self.holds[target.name]
+    def _handle_message(self, target: ModelMember, message: Any) -> Any:
+        pause = self.write_pauses[target.name]
         match message:
             case PauseWrites(_, handover_id, hold_ms):
-                hold.handover_id = handover_id
-                hold.until = self.now + hold_ms / 1000
-                return Success(PauseReport(self._running.get(target.name, 0)))
+                pause.handover_id = handover_id
+                pause.ends_at = self.now + hold_ms / 1000
+                return Success(
+                    PauseReport(self._running_writes.get(target.name, 0))
+                )
             case ResumeWrites(_, handover_id):
-                if hold.handover_id == handover_id:
-                    hold.until = 0.0
+                if pause.handover_id == handover_id:
+                    pause.ends_at = 0.0
                 return Success(PooledDone())
-        if not self._is_pooled(target):
+        if not self._is_reachable_by_pooler(target):
             return Failed(NoUpstream())
         if not self._apply(target, message):
             return Failed(StaleTerm())
@@ -244,9 +246,9 @@
                 return target.follow(term, primary, self.now)
         return True
 
-    def _is_pooled(self, member: ModelMember) -> bool:
-        is_away = member.name in self.isolated | self.unpooled
-        return member.is_up and not is_away
+    def _is_reachable_by_pooler(self, member: ModelMember) -> bool:
+        is_unreachable = member.name in self.isolated | self.cut_from_pooler
+        return member.is_up and not is_unreachable
 
     def _is_replicating(self, one: ModelMember, other: ModelMember) -> bool:
         if not one.is_up or not other.is_up:
@@ -259,7 +261,7 @@
         for primary in self.members.values():
             if primary.is_primary:
                 self._send_log(primary)
-        self.after(REPLICATE_S, self._replicate)
+        self.call_later(REPLICATION_INTERVAL_S, self._replicate)
 
     def _send_log(self, primary: ModelMember) -> None:
         term, log = primary.term, primary.log
@@ -267,19 +269,22 @@
             if other is primary or not self._is_replicating(primary, other):
                 continue
             delay_s = self.delay_s(primary.zone, other.zone)
-            self.after(delay_s, lambda o=other: self._hear(primary, o, term))
-            self.after(
+            self.call_later(
+                delay_s,
+                lambda o=other: self._deliver_contact(primary, o, term),
+            )
+            self.call_later(
                 delay_s + self._lag_s,
-                lambda o=other: self._take_log(primary, o, term, log),
+                lambda o=other: self._deliver_log(primary, o, term, log),
             )
 
-    def _hear(
+    def _deliver_contact(
         self, primary: ModelMember, other: ModelMember, term: int
     ) -> None:
         if self._is_replicating(primary, other):
-            other.hear(term, primary.name, self.now)
+            other.record_contact(term, primary.name, self.now)
 
-    def _take_log(
+    def _deliver_log(
         self, primary: ModelMember, other: ModelMember, term: int, log: Any
     ) -> None:
         if not self._is_replicating(primary, other):
@@ -288,12 +293,12 @@
         if position is None:
             return
         delay_s = self.delay_s(other.zone, primary.zone)
-        self.after(
+        self.call_later(
             delay_s,
-            lambda: self._take_confirm(primary, other, term, position),
+            lambda: self._deliver_confirmation(primary, other, term, position),
         )
 
-    def _take_confirm(
+    def _deliver_confirmation(
         self,
         primary: ModelMember,
         other: ModelMember,
@@ -305,41 +310,45 @@
             self._acknowledge(primary)
 
     def _acknowledge(self, primary: ModelMember) -> None:
-        if primary.name in self.unpooled:
+        if primary.name in self.cut_from_pooler:
             return
         self.history.acknowledge(primary, self.entry.majority, self.now)
 
     def _write(self) -> None:
-        self.after(self._write_every_s, self._write)
-        value = f'w{next(self._writes)}'
+        self.call_later(self._write_interval_s, self._write)
+        value = f'w{next(self._write_numbers)}'
         for primary in list(self.members.values()):
-            if self._takes_writes(primary):
+            if self._accepts_writes(primary):
                 self._begin_write(primary, primary.term, value)
 
-    def _takes_writes(self, primary: ModelMember) -> bool:
-        is_held = self.now < self.holds[primary.name].until
-        return primary.is_primary and self._is_pooled(primary) and not is_held
+    def _accepts_writes(self, primary: ModelMember) -> bool:
+        is_paused = self.now < self.write_pauses[primary.name].ends_at
+        return (
+            primary.is_primary
+            and self._is_reachable_by_pooler(primary)
+            and not is_paused
+        )
 
     def _begin_write(
         self, primary: ModelMember, term: int, value: str
     ) -> None:
         name = primary.name
-        self._running[name] = self._running.get(name, 0) + 1
+        self._running_writes[name] = self._running_writes.get(name, 0) + 1
 
         def finish() -> None:
-            self._running[name] -= 1
-            if not self._is_pooled(primary):
+            self._running_writes[name] -= 1
+            if not self._is_reachable_by_pooler(primary):
                 return
             position = primary.write(term, f'{value}@{name}')
             if position is not None:
                 self.history.begin(f'{value}@{name}', position)
 
-        self.after(WRITE_S, finish)
+        self.call_later(WRITE_DURATION_S, finish)
 
 
 def _make_database(zones: tuple[str, ...]) -> DatabaseEntry:
     members = tuple(
-        MemberEntry(f'ledger/0/{zone}', zone, _NOWHERE, 2, 16)
+        MemberEntry(f'ledger/0/{zone}', zone, _UNUSED_ENDPOINT, 2, 16)
         for zone in zones[:3]
     )
     return DatabaseEntry('ledger/0', 'ledger', members)
@@ -348,8 +357,8 @@
 def _make_members(entry: DatabaseEntry) -> dict[str, ModelMember]:
     home = entry.members[0].name
     members = {
-        m.name: ModelMember(m.name, m.zone, primary=home, contact_at=0.0)
+        m.name: ModelMember(m.name, m.zone, primary=home, last_contact_at=0.0)
         for m in entry.members
     }
-    members[home].lead(1)
+    members[home].start_term(1)
     return members
