--- a/packages/standins/src/trefoilpulley_standins/explore.py
+++ b/packages/standins/src/trefoilpulley_standins/explore.py
@@ -1,8 +1,9 @@
-"""Exhaustive exploration of promotion and handover within a bound.
+"""Bounded model checking of promotion and handover.
 
-``python -m trefoilpulley_standins.explore`` tries every order of the
-steps of two coordinators, three members, one outage and lost answers,
-and states how many states it has seen and which rules held.
+``python -m trefoilpulley_standins.explore`` visits every state that
+two coordinators and three members can reach within a bound on writes,
+outages and lost answers. The command prints the number of states and
+the rules that held in all of them.
 """
 
 from __future__ import annotations
@@ -25,43 +26,43 @@
 from trefoilpulley_standins.explore_steps import next_states
 
 MAX_STATES = 3_000_000
-"""States after which an exploration gives up."""
+"""Number of states after which an exploration stops unfinished."""
 
 _UNUSED_ENDPOINT = Endpoint('127.0.0.1', 1)
 
 
 class Rule(StrEnum):
-    """What must hold in every state."""
+    """Rule that must hold in every state."""
 
     ONE_PRIMARY_PER_TERM = 'one-lead'
-    """At most one member collects a majority for a term."""
+    """At most one member obtains a majority for a term."""
 
     NO_LOST_WRITE = 'nothing-lost'
-    """The primary of the highest term that collected a majority holds
-    every acknowledged write."""
+    """Each primary with a majority holds every write that was acknowledged
+    in an earlier term."""
 
     NO_LATE_ACKNOWLEDGEMENT = 'no-late-acknowledgement'
-    """No write is acknowledged once a later term has its majority."""
+    """No write of a term is acknowledged after a later term has a majority."""
 
 
 @dataclass(slots=True)
 class Exploration:
-    """Outcome of an exploration."""
+    """Result of an exploration."""
 
     state_count: int = 0
-    """States seen."""
+    """Number of visited states."""
 
     acknowledged_count: int = 0
-    """States with an acknowledged write."""
+    """Number of states with an acknowledged write."""
 
     primary_change_count: int = 0
-    """States in which a later term has its majority."""
+    """Number of states in which a term after the first has a majority."""
 
     is_complete: bool = True
-    """Whether every state within the bound was seen."""
+    """Whether every state within the bound was visited."""
 
     broken_rules: set[Rule] = field(default_factory=set)
-    """Rules that did not hold."""
+    """Rules that at least one state violates."""
 
 
 BUDGETS = {
@@ -71,20 +72,29 @@
     'two-coordinators': EventBudget(call_timeouts=0, ticks=0),
     'two-and-lost-answer': EventBudget(ticks=0),
     'handover': EventBudget(
-        starts=(0, 0), handovers=1, call_timeouts=1, outages=1, ticks=1
+        starts=(0, 0),
+        handovers=1,
+        call_timeouts=1,
+        outages=1,
+        ticks=1,
     ),
     'handover-and-promotion': EventBudget(
-        starts=(0, 1), handovers=1, call_timeouts=0, outages=1, ticks=0
+        starts=(0, 1),
+        handovers=1,
+        call_timeouts=0,
+        outages=1,
+        ticks=0,
     ),
 }
-"""Bounds by name."""
+"""Bounds of the explorations, by name."""
 
 
 class _VisitedStates:
-    """States seen, told apart exactly and kept small.
+    """Compact set of the visited states.
 
-    Equal parts of states share a number, so that a state costs a few
-    numbers and no two states are taken for one by their hash.
+    Each distinct part of a state is stored once and replaced by a number,
+    so that a state takes little memory. States are compared exactly, not
+    by a hash that could make two different states look equal.
     """
 
     def __init__(self) -> None:
@@ -96,7 +106,7 @@
         return len(self._states)
 
     def add(self, state: ExploredState) -> bool:
-        """Note a state; false where it was seen before."""
+        """Add a state; return whether the state is new."""
         key = tuple(
             self._numbers.setdefault(part, len(self._numbers))
             for part in state.key()
@@ -117,19 +127,19 @@
 
     Parameters
     ----------
-    budget : Budget
-        Events that may happen.
+    budget : EventBudget
+        Bound on the events.
     limit : int
-        States after which to give up.
+        Number of states after which to stop.
     fault : str
-        Name of the faulty copy of a rule to use; none by default.
+        Name of the deliberate fault to use; none by default.
     sought : Rule, optional
-        Rule whose first breach ends the exploration.
+        Rule whose first violation ends the exploration.
 
     Returns
     -------
     Exploration
-        States seen and rules broken.
+        Counts of the visited states, and the violated rules.
     """
     exploration = Exploration()
     first = make_initial_state(budget, fault)
@@ -202,9 +212,11 @@
     multiple=True,
     help='Bound to explore; all of them by default.',
 )
-@click.option('--limit', default=MAX_STATES, help='Most states to see.')
+@click.option(
+    '--limit', default=MAX_STATES, help='Maximum number of states to visit.'
+)
 def main(bound: tuple[str, ...], limit: int) -> None:
-    """Explore and print the states seen and the rules held."""
+    """Explore the bounds and print the states and the rules that held."""
     is_broken = False
     for name in bound or tuple(BUDGETS):
         exploration = explore(BUDGETS[name], limit)
--- a/packages/standins/src/trefoilpulley_standins/explore_copies.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_copies.py
@@ -1,4 +1,4 @@
-"""Copies of explored states, and what tells them apart."""
+"""Copies and comparison keys of the parts of explored states."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 def clone_member(member: ModelMember) -> ModelMember:
-    """Return a copy of a member that may be changed."""
+    """Return an independent copy of a member."""
     copied = copy.copy(member)
     copied.confirmed = dict(member.confirmed)
     return copied
 
 
 def clone_operation(operation: Any) -> Any:
-    """Return a copy of a promotion or handover that may be changed."""
+    """Return an independent copy of a promotion or handover."""
     if operation is None:
         return None
     copied = copy.copy(operation)
@@ -29,7 +29,7 @@
 
 
 def member_key(member: ModelMember) -> tuple[Any, ...]:
-    """Return what tells a member from others."""
+    """Return a hashable key that identifies a member's state."""
     return (
         member.term,
         member.fenced_term,
@@ -41,7 +41,7 @@
 
 
 def operation_key(operation: Any) -> Any:
-    """Return what tells a promotion or handover from others."""
+    """Return a hashable key of a promotion's or handover's state."""
     if operation is None:
         return None
     return tuple(
--- a/packages/standins/src/trefoilpulley_standins/explore_faults.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_faults.py
@@ -1,4 +1,4 @@
-"""Faulty copies of the rules, which an exploration must find out."""
+"""Deliberate faults that an exploration must detect."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class NoMajorityPromotion(Promotion):
-    """Promotes as soon as one member is fenced."""
+    """Promotes a member as soon as any one member is fenced."""
 
     def _is_fenced_enough(self, now: float) -> bool:
         return bool(self._fenced)
 
 
 class ShortestLogPromotion(Promotion):
-    """Promotes the member whose log is the shortest."""
+    """Promotes the fenced member with the shortest log."""
 
     def _most_advanced(self) -> str:
         return min(self._fenced, key=lambda n: self._fenced[n].history.last)
@@ -49,19 +49,19 @@
     """Grants the same terms to both coordinators."""
 
     def next_term(self, index: int) -> int:
-        """Return a term that the other coordinator uses too."""
+        """Return a term that the other coordinator also uses."""
         return 2 + self.promotion_counts[index]
 
 
 class OneCopyState(ExploredState):
-    """Acknowledges what the primary alone holds."""
+    """Acknowledges writes that only the primary holds."""
 
     def copies_needed(self) -> int:
-        """Return too few members."""
+        """Return one, which is less than a majority."""
         return 1
 
     def on_write(self, primary: ModelMember) -> None:
-        """Acknowledge at once."""
+        """Acknowledge the write without waiting for a replica."""
         self.update_acknowledged(primary)
 
 
@@ -71,4 +71,4 @@
     'shared-terms': SharedTermsState,
     'one-copy': OneCopyState,
 }
-"""Faulty copies by name."""
+"""States with a deliberate fault, by the name of the fault."""
--- a/packages/standins/src/trefoilpulley_standins/explore_gaps.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_gaps.py
@@ -1,8 +1,8 @@
-"""Time without acknowledged writes on a virtual clock, over seeds.
+"""Measures the time without acknowledged writes on a virtual clock.
 
-``python -m trefoilpulley_standins.explore_gaps`` prints the median and
-the worst gap of failovers, returns and planned stops, and what the gap
-is made of, for both deployments.
+``python -m trefoilpulley_standins.explore_gaps`` prints the median
+and the worst gap of failovers, returns and planned stops over several
+seeds, and the parts of the gap, for both deployments.
 """
 
 from __future__ import annotations
@@ -19,77 +19,77 @@
 from trefoilpulley_standins.explore_script import Step
 
 SERVICE_OUTAGE_TIME_S = 6.0
-"""Time at which the service goes out in the cases that need it."""
+"""Time of the platform service's outage, in cases with an outage."""
 
 MIN_FAULT_TIME_S = 12.0
-"""Earliest time of the fault."""
+"""Earliest time of the fault, in seconds."""
 
 FAULT_WINDOW_S = 1.0
-"""Time over which the fault's moment is drawn."""
+"""Window after the earliest time from which the fault's time is drawn."""
 
 OBSERVATION_DURATION_S = 15.0
-"""Time for which writes are watched from the fault on."""
+"""Time after the fault during which writes are observed, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Zones and hosts of one deployment."""
+    """Zones, delay and host count of one deployment."""
 
     name: str
-    """Name."""
+    """Name of the deployment."""
 
     zones: tuple[str, ...]
     """Availability zones."""
 
     one_way_delay_s: float
-    """Delay between two zones."""
+    """One-way delay between two zones, in seconds."""
 
     host_count: int
-    """Entry hosts."""
+    """Number of entry hosts."""
 
 
 @dataclass(frozen=True, slots=True)
 class FaultCase:
-    """One kind of fault."""
+    """Kind of fault to measure."""
 
     name: str
-    """Name."""
+    """Name of the case."""
 
     events: tuple[tuple[str, tuple[str, ...]], ...]
-    """What happens at the fault's time."""
+    """Events of the fault with their parties, in order."""
 
     is_service_down: bool = False
-    """Whether the service is out before."""
+    """Whether the platform service is down before the fault."""
 
     delay_s: float = 0.0
-    """Time from the first event to the others."""
+    """Time between two successive events, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteGap:
-    """One gap and its parts, in milliseconds."""
+    """Time without acknowledged writes and its parts, in milliseconds."""
 
     whole: float
-    """Last acknowledgement before to the first after the change."""
+    """Longest time between two successive acknowledgements."""
 
     detection: float
-    """Fault to the start of the promotion."""
+    """Time from the fault to the start of the promotion."""
 
     promotion: float
-    """Start of the promotion to the new primary."""
+    """Time from the start of the promotion to the new primary."""
 
     confirmation: float
-    """New primary to the first acknowledgement."""
+    """Time from the new primary to its first acknowledgement."""
 
     faults: int
-    """Breaches of what must always hold."""
+    """Number of violated invariants."""
 
 
 DEPLOYMENTS = (
     Deployment('karamanlis', ('a', 'b', 'c'), 0.003, 8),
     Deployment('sleevecraft', ('a', 'b', 'c', 'd'), 0.005, 7),
 )
-"""Sizes of today."""
+"""Deployments to measure."""
 
 _DOWN = ('member-down', ('ledger/0/a',))
 
@@ -111,13 +111,13 @@
     FaultCase('planned stop', (('stop-planned', ('a',)),)),
     FaultCase('primary leaves', (('member-leaving', ('ledger/0/a',)),)),
 )
-"""Kinds of faults."""
+"""Faults to measure."""
 
 
 def measure_gap(
     deployment: Deployment, case: FaultCase, seed: int
 ) -> WriteGap:
-    """Return the gap of one case for one seed."""
+    """Return the gap that a fault causes with one seed."""
     simulation = ClusterSimulation(
         deployment.zones,
         deployment.one_way_delay_s,
@@ -136,7 +136,7 @@
 
 
 def measure_return(deployment: Deployment, seed: int) -> WriteGap:
-    """Return the gap of the return after a failover."""
+    """Return the gap of the return to the home primary after a failover."""
     simulation = ClusterSimulation(
         deployment.zones,
         deployment.one_way_delay_s,
@@ -198,7 +198,7 @@
 
 
 @click.command()
-@click.option('--seeds', default=20, help='Seeds for each case.')
+@click.option('--seeds', default=20, help='Number of seeds for each case.')
 def main(seeds: int) -> None:
     """Print the gaps of every case, in milliseconds."""
     for deployment in DEPLOYMENTS:
--- a/packages/standins/src/trefoilpulley_standins/explore_history.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_history.py
@@ -1,4 +1,4 @@
-"""What the callers of a model database were told, and its faults."""
+"""History of the writes to a model database, with checks of invariants."""
 
 from __future__ import annotations
 
@@ -15,39 +15,39 @@
 
 @dataclass(frozen=True, slots=True)
 class AcknowledgedWrite:
-    """One write that a caller was told of."""
+    """Write that was acknowledged to a caller."""
 
     value: str
     """Content of the write."""
 
     term: int
-    """Term of the primary."""
+    """Term of the primary that acknowledged the write."""
 
     time: float
-    """Time of the acknowledgement, in seconds."""
+    """Virtual time of the acknowledgement, in seconds."""
 
 
 @dataclass(slots=True)
 class WriteHistory:
-    """Writes of the callers and what became of them."""
+    """Writes of the callers and their acknowledgements."""
 
     waiting: dict[str, Position] = field(default_factory=dict)
-    """Writes that wait for their copies."""
+    """Positions of the writes that are not yet replicated, by content."""
 
     acknowledged: list[AcknowledgedWrite] = field(default_factory=list)
-    """Writes that the callers were told of, in order."""
+    """Acknowledged writes, in order of acknowledgement."""
 
     primaries: dict[int, set[str]] = field(default_factory=dict)
     """Members that acknowledged writes, by term."""
 
     def begin(self, value: str, position: Position) -> None:
-        """Note a write that a primary has taken."""
+        """Record a write that a primary has appended to its log."""
         self.waiting[value] = position
 
     def acknowledge(
         self, primary: ModelMember, copies: int, now: float
     ) -> None:
-        """Acknowledge the primary's writes that have their copies."""
+        """Acknowledge the primary's writes that have enough copies."""
         suffix = f'@{primary.name}'
         ready = [
             value
@@ -65,7 +65,7 @@
             names.add(primary.name)
 
     def faults(self, members: Iterable[ModelMember]) -> list[str]:
-        """Return every breach of what must always hold."""
+        """Return a description of each violated invariant."""
         return [
             *self._find_duplicate_primaries(),
             *self._find_late_acknowledgements(),
@@ -73,12 +73,12 @@
         ]
 
     def longest_gap_s(self, after: float) -> float:
-        """Return the longest time without an acknowledgement.
+        """Return the longest time between two acknowledgements, in seconds.
 
         Parameters
         ----------
         after : float
-            Time from which acknowledgements count, in seconds.
+            Virtual time from which acknowledgements count, in seconds.
         """
         times = [a.time for a in self.acknowledged if a.time >= after]
         pairs = zip(times, times[1:])
--- a/packages/standins/src/trefoilpulley_standins/explore_host.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_host.py
@@ -36,23 +36,23 @@
     from trefoilpulley_standins.explore_world import ModelCluster
 
 SERVICE_TIMEOUT_S = 0.5
-"""Time after which a call to the service counts as failed."""
+"""Time after which a call to the platform service fails, in seconds."""
 
 LEASE_TTL_S = 3.0
-"""Time to live of a lease."""
+"""Time to live of a lease, in seconds."""
 
 
 class ModelHost:
-    """One host in a `World`.
+    """Host of a `ModelCluster` that runs the coordination decisions.
 
     Parameters
     ----------
     name : str
         Name of the host.
     zone : str
-        Availability zone.
-    world : World
-        Members, service and links.
+        Availability zone of the host.
+    cluster : ModelCluster
+        Members, platform service and links.
     """
 
     def __init__(self, name: str, zone: str, cluster: ModelCluster) -> None:
@@ -63,37 +63,37 @@
         """Name of the host."""
 
         self.zone = zone
-        """Availability zone."""
+        """Availability zone of the host."""
 
         self.is_up = True
-        """Whether the process runs."""
+        """Whether the host's process is running."""
 
         self.holder = holder_name(name, 1)
-        """Name under which it holds terms."""
+        """Holder name under which the host acquires duties."""
 
         self.duty = Duty(self.holder)
-        """Decisions on duties."""
+        """Decisions on the host's duties."""
 
         self.shards: dict[int, ShardCoordinator] = {}
-        """Shards of interest."""
+        """Coordinators of the shards that the host follows, by number."""
 
         self.notices: list[tuple[float, Notice]] = []
-        """What it reported, with the time."""
+        """Notices of the coordination, with their virtual time."""
 
     @property
     def is_acting(self) -> bool:
-        """Whether the host coordinates now."""
+        """Whether the host currently coordinates a shard."""
         now = self._cluster.now
         return self.is_up and any(
             self.duty.may_act(number, now) for number in self.shards
         )
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start the periodic ticks."""
         self._cluster.call_later(0.0, self._tick)
 
     def pause(self, duration_s: float) -> None:
-        """Stop the process for a while without its knowledge."""
+        """Pause the process; the process does not notice the pause."""
         self._paused_until = self._cluster.now + duration_s
 
     def _when_running(self, action: Callable[[], None]) -> Callable[[], None]:
--- a/packages/standins/src/trefoilpulley_standins/explore_member.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_member.py
@@ -1,4 +1,4 @@
-"""Model of a member of a database group, for replay and exploration."""
+"""Model of a database member, for simulation and exploration."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One record of a log."""
+    """Record of a replicated log."""
 
     term: int
-    """Term that it was written in."""
+    """Term in which the record was written."""
 
     value: str
-    """Content; empty for the first record of a term."""
+    """Content of the record; empty for the first record of a term."""
 
 
 @dataclass(slots=True)
 class ModelMember:
-    """Terms, log and progress of one member."""
+    """Terms, log and replication state of one member."""
 
     name: str
     """Name of the member."""
@@ -34,38 +34,38 @@
     """Availability zone."""
 
     term: int = 1
-    """Term last led or followed."""
+    """Term that the member last led or followed."""
 
     fenced_term: int = 1
-    """Lowest term accepted."""
+    """Lowest term that the member accepts."""
 
     is_primary: bool = False
-    """Whether the member leads ``term``."""
+    """Whether the member is the primary of ``term``."""
 
     primary: str = ''
-    """Member that this one follows."""
+    """Name of the primary that the member follows, or empty."""
 
     log: tuple[Entry, ...] = ()
-    """Replicated log."""
+    """Records of the replicated log."""
 
     confirmed: dict[str, Position] = field(default_factory=dict)
-    """Progress of the replicas, at a primary."""
+    """Positions that the replicas confirmed to this primary, by replica."""
 
     last_contact_at: float | None = None
-    """Time of the last word from the primary."""
+    """Time of the last message from the primary, in seconds."""
 
     is_up: bool = True
-    """Whether the process runs."""
+    """Whether the member's process is running."""
 
     @property
     def last_position(self) -> Position:
-        """End of the log."""
+        """Position of the last record of the log."""
         if not self.log:
             return Position()
         return Position(self.log[-1].term, len(self.log))
 
     def status(self, now: float) -> MemberStatus:
-        """Return what the member says of itself."""
+        """Return the status that the member reports."""
         return MemberStatus(
             self.name,
             self.is_primary,
@@ -77,7 +77,7 @@
         )
 
     def fence(self, term: int, now: float) -> bool:
-        """Refuse lower terms; false where the term is no news."""
+        """Fence the member at a term; return whether the term is higher."""
         if term <= self.fenced_term:
             return False
         self.fenced_term = term
@@ -86,7 +86,13 @@
         return True
 
     def promote(self, term: int) -> bool:
-        """Lead a term that the member is fenced at."""
+        """Become primary of the term at which the member is fenced.
+
+        Returns
+        -------
+        bool
+            Whether the member is the primary of the term.
+        """
         if self.is_primary and self.term == term:
             return True
         if term != self.fenced_term or term == self.term:
@@ -95,7 +101,7 @@
         return True
 
     def start_term(self, term: int) -> None:
-        """Begin a term."""
+        """Become primary and write the first record of a term."""
         self.term = self.fenced_term = term
         self.is_primary = True
         self.primary = ''
@@ -103,7 +109,13 @@
         self.log = (*self.log, Entry(term, ''))
 
     def follow(self, term: int, primary: str, now: float) -> bool:
-        """Become a replica of a term's primary."""
+        """Become a replica of a term's primary.
+
+        Returns
+        -------
+        bool
+            Whether the member now follows the primary.
+        """
         if term < self.fenced_term or primary == self.name:
             return False
         if term == self.term and self.is_primary:
@@ -114,14 +126,27 @@
         return True
 
     def write(self, term: int, value: str) -> Position | None:
-        """Append a record where the member leads the term."""
+        """Append a record if the member is the primary of the term.
+
+        Returns
+        -------
+        Position | None
+            Position of the record; ``None`` if the member does not lead
+            the term.
+        """
         if not self.is_primary or self.term != term:
             return None
         self.log = (*self.log, Entry(term, value))
         return self.last_position
 
     def record_contact(self, term: int, primary: str, now: float) -> bool:
-        """Note a word from a primary; false where it is not followed."""
+        """Record a message from a primary.
+
+        Returns
+        -------
+        bool
+            Whether the member follows this primary in this term.
+        """
         if self.is_primary or term != self.term or primary != self.primary:
             return False
         self.last_contact_at = now
@@ -130,7 +155,17 @@
     def append(
         self, term: int, primary: str, log: tuple[Entry, ...], now: float
     ) -> Position | None:
-        """Take the primary's log; return what is confirmed."""
+        """Replace the log by the primary's log.
+
+        A shorter log that the member's log begins with is older and is
+        ignored.
+
+        Returns
+        -------
+        Position | None
+            Position to confirm; ``None`` if the member does not follow
+            this primary.
+        """
         if not self.record_contact(term, primary, now):
             return None
         is_older = len(log) < len(self.log)
@@ -139,12 +174,12 @@
         return self.last_position
 
     def confirm(self, member: str, term: int, position: Position) -> None:
-        """Take a replica's progress."""
+        """Record the position that a replica confirmed in a term."""
         if self.is_primary and term == self.term:
             self.confirmed[member] = position
 
     def copy_count(self, position: Position) -> int:
-        """Return how many members hold a record of the present term."""
+        """Return how many members hold a record of the current term."""
         held = [
             p
             for p in self.confirmed.values()
--- a/packages/standins/src/trefoilpulley_standins/explore_schedules.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_schedules.py
@@ -1,7 +1,8 @@
-"""Seeded schedules of several faults against the coordination.
+"""Runs the coordination against random schedules of several faults.
 
 ``python -m trefoilpulley_standins.explore_schedules --count 200`` runs
-so many schedules and prints each that breaks a rule, with its seed.
+that number of schedules. The command prints the seed and the verdict of
+each schedule that violates an invariant or does not settle.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from trefoilpulley_standins.explore_script import Step
 
 FIRST_FAULT_TIME_S = 8.0
-"""Time of the first fault."""
+"""Time of the first fault, in seconds."""
 
 LAST_FAULT_TIME_S = 28.0
-"""Time of the last fault."""
+"""Latest time of a fault, in seconds."""
 
 HEAL_TIME_S = 40.0
-"""Time at which every fault ends."""
+"""Time at which all faults end, in seconds."""
 
 SETTLE_TIMEOUT_S = 160.0
-"""Time by which the home layout must stand again."""
+"""Time by which the home primary must lead again, in seconds."""
 
 ZONES = ('a', 'b', 'c', 'd')
-"""Availability zones; the first three have members."""
+"""Availability zones; each of the first three has a member."""
 
 
 _MEMBERS = tuple(f'ledger/0/{zone}' for zone in ZONES[:3])
@@ -41,7 +42,7 @@
     ('stop-planned', ('a',)),
     ('member-leaving', ('primary',)),
 )
-"""Events that begin a promotion or a handover, with their parties."""
+"""Events that cause a promotion or a handover, with their parties."""
 
 FAULTS = (
     ('member-down', ('primary',)),
@@ -58,7 +59,7 @@
     *(('stop-planned', (zone,)) for zone in ZONES),
     *(('link-cut', pair) for pair in combinations(ZONES, 2)),
 )
-"""Events that strike in the middle, with their parties."""
+"""Events that occur during a promotion or handover, with their parties."""
 
 FAULT_ENDS = (
     ('healed', ()),
@@ -74,17 +75,17 @@
     """Outcome of one schedule."""
 
     faults: tuple[str, ...]
-    """Breaches of what must always hold."""
+    """Descriptions of the violated invariants."""
 
     is_settled: bool
-    """Whether the home primary leads and writes are acknowledged."""
+    """Whether the home primary leads and writes are acknowledged again."""
 
     promotions: int
-    """Promotions that began."""
+    """Number of promotions that began."""
 
 
 def make_schedule(rng: random.Random, fault_count: int) -> tuple[Step, ...]:
-    """Return faults at random times, the first one a lost primary."""
+    """Return faults at random times after one that moves the primary."""
     steps = [Step(FIRST_FAULT_TIME_S, *rng.choice(FIRST_FAULTS))]
     for _ in range(fault_count):
         time = rng.uniform(FIRST_FAULT_TIME_S - 1.0, LAST_FAULT_TIME_S)
@@ -95,7 +96,7 @@
 
 
 def run_schedule(steps: tuple[Step, ...], seed: int) -> ClusterSimulation:
-    """Play a schedule, end the faults and let things settle."""
+    """Run a schedule, end all faults and wait for the cluster to settle."""
     simulation = ClusterSimulation(ZONES, 0.005, seed, write_interval_s=0.1)
     for step in steps:
         simulation.schedule(step)
@@ -111,7 +112,7 @@
 
 
 def evaluate(simulation: ClusterSimulation) -> Verdict:
-    """Return what came of a stage."""
+    """Return the verdict on a finished simulation."""
     cluster = simulation.cluster
     leader = cluster.leader()
     last = cluster.history.acknowledged[-1].time
@@ -126,10 +127,10 @@
 
 
 @click.command()
-@click.option('--count', default=200, help='Schedules to run.')
-@click.option('--first-seed', default=0, help='Seed of the first one.')
+@click.option('--count', default=200, help='Number of schedules to run.')
+@click.option('--first-seed', default=0, help='Seed of the first schedule.')
 def main(count: int, first_seed: int) -> None:
-    """Run schedules of two and three faults and print the breaches."""
+    """Run schedules of two and three faults and print the failed ones."""
     broken_count = 0
     for seed in range(first_seed, first_seed + count):
         steps = make_schedule(random.Random(seed), 1 + seed % 2)
--- a/packages/standins/src/trefoilpulley_standins/explore_script.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_script.py
@@ -1,4 +1,4 @@
-"""Faults and orders that a trace or a schedule plays on a world."""
+"""Simulation of a cluster with the events of a trace or a schedule."""
 
 from __future__ import annotations
 
@@ -22,35 +22,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One line of a trace."""
+    """Event of a trace or a schedule."""
 
     time: float
-    """Virtual time in seconds."""
+    """Virtual time of the event, in seconds."""
 
     event: str
     """Kind of the event, such as ``member-down``."""
 
     parties: tuple[str, ...] = ()
-    """Members, zones or hosts that it strikes."""
+    """Members, zones or hosts that the event affects."""
 
 
 class ClusterSimulation:
-    """A world with its hosts, and the events that strike them.
+    """Model cluster with its hosts, and the events that affect them.
 
     Parameters
     ----------
     zones : tuple[str, ...]
         Availability zones.
     one_way_delay_s : float
-        Delay between two zones.
+        One-way delay between two zones, in seconds.
     seed : int
-        Seed of the delays.
+        Seed of the random delays.
     host_count : int
-        Number of hosts, spread over the zones.
+        Number of hosts, distributed over the zones.
     lag_s : float
-        Time for which replicas hold records back.
+        Additional replication lag, in seconds.
     write_interval_s : float
-        Time between two writes of the callers.
+        Time between two writes of the callers, in seconds.
     """
 
     def __init__(
@@ -69,13 +69,13 @@
         self.cluster = ModelCluster(
             zones, one_way_delay_s, rng, lag_s, write_interval_s
         )
-        """Members, service and links."""
+        """Members, platform service and links."""
 
         self.hosts = [
             ModelHost(f'h{i}', zones[i % len(zones)], self.cluster)
             for i in range(host_count)
         ]
-        """Hosts, dead ones too."""
+        """Hosts, including stopped hosts."""
 
         self._update_live_hosts()
         for host in self.hosts:
@@ -84,15 +84,15 @@
 
     @property
     def acting_hosts(self) -> list[ModelHost]:
-        """Hosts that coordinate now."""
+        """Hosts that currently coordinate a shard."""
         return [h for h in self.hosts if h.is_acting]
 
     def schedule(self, step: Step) -> None:
-        """Have an event happen at its time."""
+        """Schedule an event at its virtual time."""
         self.cluster.call_at(step.time, lambda: self.apply_event(step))
 
     def apply_event(self, step: Step) -> None:
-        """Have an event happen now."""
+        """Apply an event now."""
         _EVENTS[step.event](self, step.parties)
 
     def heal(self) -> None:
@@ -109,13 +109,13 @@
             member.is_up = True
 
     def find_host(self, name: str) -> ModelHost | None:
-        """Return a host; ``acting`` stands for the one with the duty."""
+        """Return a host by name; ``acting`` is a host that coordinates."""
         if name == 'acting':
             return next(iter(self.acting_hosts), None)
         return next(h for h in self.hosts if h.name == name)
 
     def find_member(self, name: str) -> str:
-        """Return a member's name; ``primary`` stands for the leader."""
+        """Return a member's name; ``primary`` is the current primary."""
         leader = self.cluster.leader()
         if name == 'primary' and leader is not None:
             return leader.name
@@ -124,27 +124,27 @@
         return name
 
     def cut_zone(self, zone: str) -> None:
-        """Cut a zone off from the others and from the service."""
+        """Cut a zone off from the other zones and the platform service."""
         for other in self.zones:
             if other != zone:
                 self.cluster.cut_links.add(frozenset((zone, other)))
         self.cluster.cut_from_service.add(zone)
 
     def reconnect_zone(self, zone: str) -> None:
-        """Join a zone again."""
+        """Restore the links of a zone."""
         kept = {pair for pair in self.cluster.cut_links if zone not in pair}
         self.cluster.cut_links = kept
         self.cluster.cut_from_service.discard(zone)
 
     def kill_host(self, host: ModelHost | None) -> None:
-        """End a host's process; the others learn of it later."""
+        """Stop a host's process; the live hosts change after a second."""
         if host is None:
             return
         host.is_up = False
         self.cluster.call_later(1.0, self._update_live_hosts)
 
     def set_presence(self, name: str, presence: Presence) -> None:
-        """Change the platform's list of members."""
+        """Change a member's presence in the platform's member list."""
         members = tuple(
             replace(m, presence=presence) if m.name == name else m
             for m in self.cluster.entry.members
@@ -152,14 +152,14 @@
         self.cluster.entry = replace(self.cluster.entry, members=members)
 
     def plan_stop(self, zone: str) -> None:
-        """Declare a planned stop."""
+        """Declare a planned stop of a zone."""
         stop = PlannedStop(f'stop-{zone}', self.cluster.entry.ledger, zone)
         stops = (*self.cluster.declarations.stops, stop)
         declared = replace(self.cluster.declarations, stops=stops)
         self.cluster.declarations = declared
 
     def cancel_stop(self, zone: str) -> None:
-        """Withdraw a planned stop."""
+        """Withdraw the planned stops of a zone."""
         stops = self.cluster.declarations.stops
         kept = tuple(s for s in stops if s.zone != zone)
         declared = replace(self.cluster.declarations, stops=kept)
--- a/packages/standins/src/trefoilpulley_standins/explore_service.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_service.py
@@ -1,4 +1,4 @@
-"""Model of the platform's service, for replay and exploration."""
+"""Model of the platform service, for simulation and exploration."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelValue:
-    """Value of one key."""
+    """Value of one key with its revision and lease."""
 
     value: bytes
-    """Content."""
+    """Content of the value."""
 
     revision: int
     """Revision of the last change."""
 
     lease_id: int = 0
-    """Lease that the key is bound to."""
+    """Lease that the key is attached to; 0 for none."""
 
 
 @dataclass(slots=True)
 class ModelService:
-    """Keys with revisions, and leases."""
+    """Key-value store with revisions and leases."""
 
     is_up: bool = True
-    """Whether calls are answered."""
+    """Whether the service answers calls."""
 
     is_losing_answers: bool = False
-    """Whether answers are lost after the change took effect."""
+    """Whether answers are lost after the call has taken effect."""
 
     delay_s: float = 0.002
-    """Time of one call."""
+    """Duration of one call, in seconds."""
 
     revision: int = 0
     """Number of changes."""
 
     values: dict[str, ModelValue] = field(default_factory=dict)
-    """Values by their keys."""
+    """Values by key."""
 
     leases: dict[int, float] = field(default_factory=dict)
-    """End of each lease, in seconds."""
+    """Expiry time of each lease, in seconds, by lease id."""
 
     writes: int = 0
-    """Calls that write."""
+    """Number of calls that write."""
 
     reads: int = 0
-    """Calls that read."""
+    """Number of calls that read."""
 
     def expire(self, now: float) -> None:
-        """Drop the leases that have lapsed, with their keys."""
+        """Remove the expired leases and their keys."""
         expired_ids = {
             k for k, expires_at in self.leases.items() if expires_at <= now
         }
@@ -57,21 +57,21 @@
             self.revoke(lease_id)
 
     def revoke(self, lease_id: int) -> None:
-        """Drop a lease with its keys."""
+        """Remove a lease and its keys."""
         self.leases.pop(lease_id, None)
         bound = [k for k, v in self.values.items() if v.lease_id == lease_id]
         for key in bound:
             del self.values[key]
 
     def grant(self, ttl_s: float, now: float) -> int:
-        """Grant a lease."""
+        """Grant a lease; return the lease id."""
         self.writes += 1
         self.revision += 1
         self.leases[self.revision] = now + ttl_s
         return self.revision
 
     def renew(self, lease_id: int, ttl_s: float, now: float) -> bool:
-        """Renew a lease; false where it has lapsed."""
+        """Renew a lease; return false if the lease has expired."""
         self.writes += 1
         if lease_id not in self.leases:
             return False
@@ -79,14 +79,20 @@
         return True
 
     def read(self, key: str) -> ModelValue | None:
-        """Return a value, or ``None``."""
+        """Return the value of a key, or ``None``."""
         self.reads += 1
         return self.values.get(key)
 
     def compare_and_swap(
         self, key: str, expected_revision: int, value: bytes, lease_id: int = 0
     ) -> int | None:
-        """Write by compare-and-swap; ``None`` on a conflict."""
+        """Write a value if the key's revision is as expected.
+
+        Returns
+        -------
+        int | None
+            New revision; ``None`` on a conflict or an expired lease.
+        """
         self.writes += 1
         current = self.values.get(key)
         if (current.revision if current else 0) != expected_revision:
--- a/packages/standins/src/trefoilpulley_standins/explore_state.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_state.py
@@ -1,7 +1,7 @@
 """State of a bounded exploration: members, two coordinators, messages.
 
-Time stands still but for the ticks that a coordinator is given, so that
-a state is reached by any order of the same events once only.
+Time advances only by a coordinator's ticks. Different orders of the same
+events can therefore lead to the same state, which is visited only once.
 """
 
 from __future__ import annotations
@@ -45,41 +45,41 @@
     from trefoilpulley_standins.explore_member import ModelMember
 
 TICK_S = 0.2
-"""Time that a tick lets pass for a coordinator."""
+"""Time by which one tick advances a coordinator's clock, in seconds."""
 
 ATTEMPT_TIMEOUT_S = 2.1
-"""Time after which a coordinator gives its attempt up."""
+"""Time after which a coordinator abandons an attempt, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class InFlightCall:
-    """One message on its way."""
+    """Call from a coordinator to a member, or the reply, in transit."""
 
     coordinator: int
-    """Coordinator that sent it."""
+    """Index of the coordinator that sent the call."""
 
     call: CallMember
-    """The call."""
+    """Call to the member."""
 
     sent_at: float
-    """The coordinator's time when it left."""
+    """Time on the coordinator's clock when the call was sent, in seconds."""
 
     reply: Any = None
-    """Result on its way back; ``None`` on the way there."""
+    """Result in transit to the coordinator; ``None`` before execution."""
 
     is_late: bool = False
-    """Whether the coordinator has given up waiting for it."""
+    """Whether the call has already timed out at the coordinator."""
 
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """Progress of a replica on its way to its primary."""
+    """Confirmation from a replica to its primary, in transit."""
 
     primary: str
-    """Primary."""
+    """Name of the primary."""
 
     member: str
-    """Replica."""
+    """Name of the replica."""
 
     term: int
     """Term that the replica follows."""
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventBudget:
-    """Events that may still happen."""
+    """Number of events of each kind that may still happen."""
 
     starts: tuple[int, int] = (1, 1)
     """Promotions that each coordinator may begin."""
@@ -99,49 +99,49 @@
     """Handovers that the first coordinator may begin."""
 
     writes: int = 1
-    """Writes of the callers."""
+    """Writes that the callers may send."""
 
     call_timeouts: int = 1
-    """Messages whose sender gives up waiting."""
+    """Calls that may time out at the coordinator."""
 
     outages: int = 1
-    """Times at which the first primary is cut off."""
+    """Outages that may cut off the first primary."""
 
     ticks: int = 1
-    """Ticks of the coordinators."""
+    """Ticks that the coordinators may make."""
 
     delays: int = 0
-    """Replies that other events may overtake."""
+    """Replies and confirmations that other events may overtake."""
 
     attempt_timeouts: int = 0
-    """Attempts that are given up for taking too long."""
+    """Attempts that a coordinator may abandon for taking too long."""
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """One write that a primary has taken."""
+    """Write that a primary has appended to its log."""
 
     member: str
-    """Primary."""
+    """Name of the primary."""
 
     position: Position
-    """Place in its log."""
+    """Position of the write in the primary's log."""
 
     value: str
-    """Content."""
+    """Content of the write."""
 
 
 class ExploredState:
-    """Everything that a step of the exploration may change.
+    """All values that a step of the exploration may change.
 
     Parameters
     ----------
     entry : DatabaseEntry
         Members of the database.
     members : dict[str, ModelMember]
-        Models of the members.
-    budget : Budget
-        Events that may happen.
+        Models of the members, by name.
+    budget : EventBudget
+        Bound on the events.
     """
 
     def __init__(
@@ -154,49 +154,49 @@
         """Members of the database."""
 
         self.members = members
-        """Models of the members."""
+        """Models of the members, by name."""
 
         self.budget = budget
-        """Events that may still happen."""
+        """Bound on the events that may still happen."""
 
         self.cut_off_members: frozenset[str] = frozenset()
-        """Members that nothing reaches."""
+        """Members that no message can reach."""
 
         self.in_flight_calls: frozenset[InFlightCall] = frozenset()
-        """Control messages on their way."""
+        """Calls and replies in transit."""
 
         self.confirmations: frozenset[Confirmation] = frozenset()
-        """Confirmations on their way."""
+        """Confirmations in transit."""
 
         self.coordinator_times = [0.0, 0.0]
-        """Time of each coordinator."""
+        """Clock of each coordinator, in seconds."""
 
         self.promotion_counts = [0, 0]
-        """Promotions that each coordinator has begun."""
+        """Number of promotions that each coordinator has begun."""
 
         self.promotions: list[Promotion | None] = [None, None]
-        """Promotion of each coordinator."""
+        """Current promotion of each coordinator."""
 
         self.handover: Handover | None = None
-        """Handover of the first coordinator."""
+        """Current handover of the first coordinator."""
 
         self.are_writes_paused = False
-        """Whether the first primary's writes are held."""
+        """Whether the first primary's writes are paused."""
 
         self.writes: tuple[Write, ...] = ()
-        """Writes that primaries have taken."""
+        """Writes that primaries have appended to their logs."""
 
         self.acknowledged: frozenset[Write] = frozenset()
-        """Writes that callers were told of."""
+        """Writes that were acknowledged to the callers."""
 
         self.late_acknowledged: frozenset[Write] = frozenset()
-        """Writes acknowledged after a later term had its majority."""
+        """Writes that were acknowledged after a later term had a majority."""
 
         self.majorities: frozenset[tuple[int, str]] = frozenset()
-        """Terms and the members that collected a majority for them."""
+        """Terms with a majority, each with the member that leads the term."""
 
     def clone(self) -> ExploredState:
-        """Return a copy that may be changed."""
+        """Return an independent copy of the state."""
         copied = copy.copy(self)
         copied.members = {n: clone_member(m) for n, m in self.members.items()}
         copied.coordinator_times = list(self.coordinator_times)
@@ -206,7 +206,7 @@
         return copied
 
     def key(self) -> tuple[Any, ...]:
-        """Return what tells this state from others."""
+        """Return a hashable key that identifies the state."""
         return (
             tuple(member_key(m) for m in self.members.values()),
             self.cut_off_members,
@@ -224,11 +224,11 @@
         )
 
     def consume_budget(self, **changes: Any) -> None:
-        """Take events from the budget."""
+        """Change the numbers of events that may still happen."""
         self.budget = replace(self.budget, **changes)
 
     def send(self, coordinator: int, commands: tuple[Any, ...]) -> None:
-        """Put a coordinator's calls on their way."""
+        """Send a coordinator's calls to members."""
         sent_at = self.coordinator_times[coordinator]
         for command in commands:
             if isinstance(command, CallMember):
@@ -236,7 +236,7 @@
                 self.in_flight_calls |= {in_flight}
 
     def apply_call(self, call: CallMember) -> Any:
-        """Have a member carry out a call; return the result."""
+        """Execute a call at its member; return the result."""
         member = self.members[call.member]
         match call.message:
             case FenceMember(_, term):
@@ -260,7 +260,7 @@
         return Success(StatusReport(member.status(0.0)))
 
     def complete_call(self, in_flight: InFlightCall, result: Any) -> None:
-        """Tell a coordinator the outcome of its call."""
+        """Deliver the result of a call to its coordinator."""
         self.in_flight_calls -= {in_flight}
         index = in_flight.coordinator
         now = self.coordinator_times[index]
@@ -273,13 +273,17 @@
         self.advance(index)
 
     def time_out_call(self, in_flight: InFlightCall) -> None:
-        """Have a coordinator stop to wait for a call."""
+        """Let a call time out at its coordinator.
+
+        A call that its member has not yet executed stays in transit and
+        may still be executed.
+        """
         self.complete_call(in_flight, Failed(PeerUnreachable()))
         if in_flight.reply is None:
             self.in_flight_calls |= {replace(in_flight, is_late=True)}
 
     def advance(self, index: int) -> None:
-        """Move a coordinator to what follows its last step."""
+        """Remove a finished promotion, and advance the handover."""
         promotion = self.promotions[index]
         if promotion is not None and promotion.stage.is_over:
             self.promotions[index] = None
@@ -296,7 +300,7 @@
             self.begin_promotion(0, target)
 
     def begin_promotion(self, index: int, preferred: str) -> None:
-        """Have a coordinator begin its next term."""
+        """Begin a promotion with a coordinator's next term."""
         term = self.next_term(index)
         self.promotion_counts[index] += 1
         names = [m.name for m in self.entry.members]
@@ -308,17 +312,17 @@
         self.send(index, promotion.on_tick(self.coordinator_times[index]))
 
     def next_term(self, index: int) -> int:
-        """Return the next term granted to a coordinator."""
+        """Return a coordinator's next term; no term is used by both."""
         return 2 + index + 2 * self.promotion_counts[index]
 
     def make_promotion(
         self, term: int, names: list[str], now: float
     ) -> Promotion:
-        """Return a promotion by the product's rule."""
+        """Return a promotion with the production rules."""
         return Promotion(self.entry, term, names, now)
 
     def begin_handover(self, target: str) -> None:
-        """Have the first coordinator begin a handover."""
+        """Begin a handover by the first coordinator."""
         source = self.entry.members[0].name
         record = HandoverRecord('h', 'c0', source, target)
         self.handover = Handover(self.entry, record, self.coordinator_times[0])
@@ -336,7 +340,7 @@
         )
 
     def tick(self, index: int, elapsed_s: float) -> None:
-        """Let time pass for a coordinator."""
+        """Advance a coordinator's clock by a time in seconds."""
         self.coordinator_times[index] = round(
             self.coordinator_times[index] + elapsed_s, 3
         )
@@ -349,7 +353,7 @@
         self.advance(index)
 
     def confirm(self, message: Confirmation) -> None:
-        """Tell a primary of a replica's progress."""
+        """Deliver a replica's confirmation to its primary."""
         self.confirmations -= {message}
         primary = self.members[message.primary]
         primary.confirm(message.member, message.term, message.position)
@@ -357,14 +361,14 @@
             self.update_acknowledged(primary)
 
     def copies_needed(self) -> int:
-        """Return the members that must hold a write."""
+        """Return the number of members that must hold a write."""
         return self.entry.majority
 
     def on_write(self, primary: ModelMember) -> None:
-        """Note that a primary has taken a write."""
+        """Handle a write that a primary has appended to its log."""
 
     def update_acknowledged(self, primary: ModelMember) -> None:
-        """Acknowledge the writes of a primary that have their copies."""
+        """Acknowledge the writes of a primary that have enough copies."""
         copies = self.copies_needed()
         has_term = any(
             p.term == primary.term for p in primary.confirmed.values()
--- a/packages/standins/src/trefoilpulley_standins/explore_steps.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_steps.py
@@ -1,4 +1,4 @@
-"""Every step that may follow a state of the exploration."""
+"""Steps that may follow a state of the exploration."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def next_states(state: ExploredState) -> Iterator[ExploredState]:
-    """Return the states one step away."""
+    """Return all states that one step leads to."""
     yield from _control_steps(state)
     yield from _data_steps(state)
     yield from _coordinator_steps(state)
--- a/packages/standins/src/trefoilpulley_standins/explore_world.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_world.py
@@ -1,7 +1,7 @@
-"""Small world on a virtual clock around the coordination decisions.
+"""Model of a small cluster on a virtual clock.
 
-Members, the platform's service, callers' writes and the links between
-zones are models; the decisions are the product's own.
+Members, the platform service, the callers' writes and the links between
+zones are models. The coordination decisions are the production code.
 """
 
 from __future__ import annotations
@@ -42,43 +42,43 @@
     from trefoilpulley_core.position import Position
 
 REPLICATION_INTERVAL_S = 0.02
-"""Time between two messages from a primary to a replica."""
+"""Time between two messages from a primary to a replica, in seconds."""
 
 MEMBER_DELAY_S = 0.001
-"""One-way delay between a pooler and its member."""
+"""One-way delay between a pooler and its member, in seconds."""
 
 WRITE_DURATION_S = 0.004
-"""Time for which a write holds its slot."""
+"""Time for which a write occupies its slot, in seconds."""
 
 _UNUSED_ENDPOINT = Endpoint('127.0.0.1', 1)
 
 
 @dataclass(slots=True)
 class WritePause:
-    """Hold of the writes of one member."""
+    """Pause of one member's writes during a handover."""
 
     handover_id: str = ''
-    """Handover that holds them."""
+    """Id of the handover that paused the writes."""
 
     ends_at: float = 0.0
-    """End of the hold."""
+    """Virtual time at which the pause ends, in seconds."""
 
 
 class ModelCluster:
-    """Members, service, links and callers on a virtual clock.
+    """Members, platform service, links and callers on a virtual clock.
 
     Parameters
     ----------
     zones : tuple[str, ...]
-        Availability zones; the first three have a member each.
+        Availability zones; each of the first three has a member.
     one_way_delay_s : float
-        Delay between two zones.
+        One-way delay between two zones, in seconds.
     rng : random.Random
-        Source of the delays' jitter.
+        Random number generator of the delays' jitter.
     lag_s : float
-        Time for which replicas hold records back.
+        Additional replication lag, in seconds.
     write_interval_s : float
-        Time between two writes of the callers.
+        Time between two writes of the callers, in seconds.
     """
 
     def __init__(
@@ -98,52 +98,52 @@
         self._write_numbers = itertools.count(1)
         self._running_writes: dict[str, int] = {}
         self.now = 0.0
-        """Virtual time in seconds."""
+        """Current virtual time, in seconds."""
 
         self.service = ModelService()
-        """The platform's service."""
+        """Platform service."""
 
         self.cut_links: set[frozenset[str]] = set()
         """Pairs of zones that cannot reach each other."""
 
         self.isolated: set[str] = set()
-        """Members that nothing reaches."""
+        """Members that no message can reach."""
 
         self.cut_from_pooler: set[str] = set()
-        """Members that their own zone's hosts cannot reach."""
+        """Members that their pooler cannot reach; replication still works."""
 
         self.cut_from_service: set[str] = set()
-        """Zones that cannot reach the platform's service."""
+        """Zones that cannot reach the platform service."""
 
         self.entry = _make_database(zones)
-        """The database."""
+        """Catalog entry of the database."""
 
         self.declarations = Declarations()
         """Declarations in force."""
 
         self.live_hosts: tuple[HostEntry, ...] = ()
-        """Hosts as every host sees them."""
+        """Live hosts in the view of all hosts."""
 
         self.write_pauses = {m.name: WritePause() for m in self.entry.members}
-        """Holds of writes by member."""
+        """Write pauses by member."""
 
         self.members = _make_members(self.entry)
         """Members by name."""
 
         self.history = WriteHistory()
-        """What the callers were told."""
+        """Writes of the callers and their acknowledgements."""
 
     def call_at(self, time: float, action: Callable[[], None]) -> None:
-        """Run an action at a time."""
+        """Schedule an action at a virtual time."""
         event = (max(time, self.now), next(self._order), action)
         heapq.heappush(self._events, event)
 
     def call_later(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Run an action after a delay."""
+        """Schedule an action after a delay in seconds."""
         self.call_at(self.now + delay_s, action)
 
     def run_until(self, time: float) -> None:
-        """Run everything that happens until a time."""
+        """Run all actions that are due up to a virtual time."""
         while self._events and self._events[0][0] <= time:
             self.now, _, action = heapq.heappop(self._events)
             self.service.expire(self.now)
@@ -151,16 +151,16 @@
         self.now = time
 
     def start_traffic(self) -> None:
-        """Begin to replicate and to write."""
+        """Start the replication and the callers' writes."""
         self._replicate()
         self._write()
 
     def is_linked(self, one: str, other: str) -> bool:
-        """Return whether two zones reach each other."""
+        """Return whether two zones can reach each other."""
         return frozenset((one, other)) not in self.cut_links
 
     def delay_s(self, one: str, other: str) -> float:
-        """Return the delay of one message between two zones."""
+        """Return a random delay between two zones, in seconds."""
         base_s = MEMBER_DELAY_S if one == other else self._one_way_delay_s
         return base_s * (1 + 0.3 * self._rng.random())
 
@@ -172,7 +172,7 @@
         timeout_s: float,
         reply: Callable[[Any], None],
     ) -> None:
-        """Carry a control message; reply once or never.
+        """Deliver a control message to a member; reply at most once.
 
         Parameters
         ----------
@@ -183,9 +183,9 @@
         message : Any
             Control message.
         timeout_s : float
-            Unused here: the caller's host keeps its own time-out.
+            Timeout in seconds; unused, because the calling host applies it.
         reply : Callable[[Any], None]
-            Called with a result.
+            Callback for the result.
         """
         target = self.members[member]
         if not self.is_linked(zone, target.zone):
@@ -209,7 +209,7 @@
         self.call_later(request_delay_s, arrive)
 
     def leader(self) -> ModelMember | None:
-        """Return the running member that leads the highest term."""
+        """Return the primary with the highest term, or ``None``."""
         leaders = [m for m in self.members.values() if m.is_primary]
         return max(leaders, key=lambda m: m.term, default=None)
 
