--- a/features/fakes/configuration_schedule.py
+++ b/features/fakes/configuration_schedule.py
@@ -71,7 +71,7 @@
     def _mend(self) -> None:
         super()._mend()
         self._fleet.service.cut_zones.clear()
-        self._fleet.bring_service_up()
+        self._fleet.end_service_outage()
 
     def _check_always(self) -> None:
         super()._check_always()
@@ -92,10 +92,10 @@
                 self._fleet.stop(host)
 
     def _service_down(self, name: str) -> None:
-        self._fleet.take_service_down()
+        self._fleet.start_service_outage()
 
     def _service_up(self, name: str) -> None:
-        self._fleet.bring_service_up()
+        self._fleet.end_service_outage()
 
     def _cut_service(self, name: str) -> None:
         self._fleet.service.cut_zones.add(name.split('-')[0])
@@ -108,5 +108,5 @@
         spread = self._fleet.documents[name].spread
         if host.is_up:
             document = make_configuration(max(1, self._revision - 1))
-            self._fleet.act(host, lambda: spread.on_push(document))
+            self._fleet.run_action(host, lambda: spread.on_push(document))
             self._check_always()
--- a/features/fakes/configuration_trace.py
+++ b/features/fakes/configuration_trace.py
@@ -126,10 +126,10 @@
                 self.fleet.stop(name)
 
     def _on_service_down(self, step: TraceEvent) -> None:
-        self.fleet.take_service_down()
+        self.fleet.start_service_outage()
 
     def _on_service_up(self, step: TraceEvent) -> None:
-        self.fleet.bring_service_up()
+        self.fleet.end_service_outage()
 
     def _on_cut_from_service(self, step: TraceEvent) -> None:
         self.fleet.service.cut_zones.update(step.parties)
@@ -148,7 +148,7 @@
         document = make_configuration(step.revision)
         for name in step.parties:
             spread = self.fleet.documents[name].spread
-            self.fleet.act(
+            self.fleet.run_action(
                 self.fleet.hosts[name], lambda s=spread: s.on_push(document)
             )
 
@@ -159,7 +159,7 @@
         )
         for name in step.parties:
             spread = self.fleet.documents[name].spread
-            self.fleet.act(
+            self.fleet.run_action(
                 self.fleet.hosts[name], lambda s=spread: s.on_push(document)
             )
 
--- a/features/fakes/membership_schedule.py
+++ b/features/fakes/membership_schedule.py
@@ -170,18 +170,18 @@
     def _leave(self, name: str) -> None:
         host = self._fleet.hosts[name]
         if host.is_up:
-            self._fleet.act(host, host.membership.on_leave)
+            self._fleet.run_action(host, host.membership.on_leave)
 
     def _cut_zones(self, name: str) -> None:
         zone = name.split('-')[0]
         for number in range(ZONES):
             if zone != f'z{number}':
-                self._fleet.cut(zone, f'z{number}')
+                self._fleet.cut_link(zone, f'z{number}')
 
     def _cut_hosts(self, name: str) -> None:
         for entry in self._entries:
             if entry.name != name:
-                self._fleet.cut(name, entry.name)
+                self._fleet.cut_link(name, entry.name)
 
     def _lose_zone(self, name: str) -> None:
         zone = name.split('-')[0]
--- a/features/fakes/membership_trace.py
+++ b/features/fakes/membership_trace.py
@@ -114,7 +114,7 @@
             for e in self._listed
         )
         for host in self._observers('*'):
-            self.fleet.act(
+            self.fleet.run_action(
                 host, lambda h=host: h.membership.on_host_list(entries)
             )
 
@@ -140,12 +140,12 @@
     def _on_leave(self, step: TraceEvent) -> None:
         for name in step.parties:
             host = self.fleet.hosts[name]
-            self.fleet.act(host, host.membership.on_leave)
+            self.fleet.run_action(host, host.membership.on_leave)
 
     def _on_cut(self, step: TraceEvent) -> None:
         one, *others = step.parties
         for other in others:
-            self.fleet.cut(one, other)
+            self.fleet.cut_link(one, other)
 
     def _on_heal(self, step: TraceEvent) -> None:
         self.fleet.heal()
--- a/packages/standins/src/trefoilpulley_standins/document_fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/document_fleet.py
@@ -21,7 +21,7 @@
 from trefoilpulley_core.membership.commands import CompareVersions
 from trefoilpulley_standins.membership_fleet import Fleet
 from trefoilpulley_standins.membership_fleet import FleetHost
-from trefoilpulley_standins.membership_fleet import REGION_DELAY_S
+from trefoilpulley_standins.membership_fleet import INTER_ZONE_DELAY_S
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -52,7 +52,7 @@
     calls: Counter[str] = field(default_factory=Counter)
     """Calls by host; a watch is one for each prefix."""
 
-    def answers(self, zone: str) -> bool:
+    def is_reachable_from(self, zone: str) -> bool:
         """Return whether the hosts of a zone get answers."""
         return not self.is_down and zone not in self.cut_zones
 
@@ -75,7 +75,7 @@
     ----------
     seed : int
         Seed of every random choice.
-    is_counting : bool
+    is_measuring : bool
         Whether messages are encoded to count bytes and time.
     make_holder : Callable[[], ConfigurationStore]
         Makes a host's holder.
@@ -84,10 +84,10 @@
     def __init__(
         self,
         seed: int = 0,
-        is_counting: bool = False,
+        is_measuring: bool = False,
         make_holder: Callable[[], ConfigurationStore] = ConfigurationStore,
     ) -> None:
-        super().__init__(seed, is_counting)
+        super().__init__(seed, is_measuring)
         self.service = FleetService()
         """The platform's service."""
 
@@ -111,25 +111,25 @@
         for name in self.service.watchers:
             host = self.hosts[name]
             spread = self.documents[name].spread
-            if self.service.answers(host.entry.zone):
-                self.at(
-                    self.now + REGION_DELAY_S,
-                    lambda h=host, s=spread: self.when_awake(
+            if self.service.is_reachable_from(host.entry.zone):
+                self.call_at(
+                    self.now + INTER_ZONE_DELAY_S,
+                    lambda h=host, s=spread: self.run_when_awake(
                         h, s.on_watch_event
                     ),
                 )
 
-    def take_service_down(self) -> None:
+    def start_service_outage(self) -> None:
         """Begin an outage of the service and break the watches."""
         self.service.is_down = True
         watchers, self.service.watchers = self.service.watchers, set()
         for name in watchers:
             spread = self.documents[name].spread
-            self.when_awake(
+            self.run_when_awake(
                 self.hosts[name], lambda s=spread: s.on_watch_ended(self.now)
             )
 
-    def bring_service_up(self) -> None:
+    def end_service_outage(self) -> None:
         """End the outage of the service."""
         self.service.is_down = False
 
@@ -148,15 +148,15 @@
         state.spread.on_live_hosts(host.membership.live_hosts)
         state.spread.on_tick(self.now)
 
-    def act(self, host: FleetHost, action: Callable[[], Any]) -> Any:
+    def run_action(self, host: FleetHost, action: Callable[[], Any]) -> Any:
         """Run an action of a host and carry out its commands."""
-        return super().act(host, lambda: self._act(host, action))
+        return super().run_action(host, lambda: self._run_action(host, action))
 
-    def carry_out(self, host: FleetHost, command: Any) -> None:
+    def execute_command(self, host: FleetHost, command: Any) -> None:
         """Carry out a command of a host."""
-        super().carry_out(host, command)
+        super().execute_command(host, command)
         if isinstance(command, CompareVersions):
-            self._see_versions(host, command)
+            self._compare_versions(host, command)
 
     def serve(
         self,
@@ -173,23 +173,25 @@
             if document is not None:
                 reply(host, document)
 
-    def _act(self, host: FleetHost, action: Callable[[], Any]) -> Any:
+    def _run_action(self, host: FleetHost, action: Callable[[], Any]) -> Any:
         result = action()
-        self._take_document_commands(host)
+        self._execute_document_commands(host)
         return result
 
-    def _see_versions(self, host: FleetHost, command: CompareVersions) -> None:
+    def _compare_versions(
+        self, host: FleetHost, command: CompareVersions
+    ) -> None:
         state = self.documents[host.entry.name]
         state.spread.on_versions(command.host, command.versions, self.now)
-        self._take_document_commands(host)
+        self._execute_document_commands(host)
 
-    def _take_document_commands(self, host: FleetHost) -> None:
+    def _execute_document_commands(self, host: FleetHost) -> None:
         state = self.documents[host.entry.name]
         host.membership.set_versions(state.holder.versions)
         for command in state.spread.take_commands():
-            self._carry_out_document(host, state, command)
+            self._execute_document_command(host, state, command)
 
-    def _carry_out_document(
+    def _execute_document_command(
         self, host: FleetHost, state: DocumentState, command: Any
     ) -> None:
         name = host.entry.name
@@ -222,17 +224,17 @@
             if d.revision > state.holder.revision_of(d.kind)
         ]
         self.service.calls[host.entry.name] += 2 + len(newer)
-        if not self.service.answers(host.entry.zone):
+        if not self.service.is_reachable_from(host.entry.zone):
             return
 
-        def take() -> None:
+        def deliver() -> None:
             state.spread.on_service_answered()
             for document in newer:
                 state.spread.on_read(document)
 
-        self.at(
-            self.now + 2 * REGION_DELAY_S,
-            lambda: self.when_awake(host, take),
+        self.call_at(
+            self.now + 2 * INTER_ZONE_DELAY_S,
+            lambda: self.run_when_awake(host, deliver),
         )
 
     def _set_watch(
@@ -243,12 +245,12 @@
         if not is_wanted:
             return
         self.service.calls[name] += 2
-        if self.service.answers(host.entry.zone):
+        if self.service.is_reachable_from(host.entry.zone):
             self.service.watchers.add(name)
             return
-        self.at(
+        self.call_at(
             self.now + SERVICE_TIMEOUT_S,
-            lambda: self.when_awake(
+            lambda: self.run_when_awake(
                 host, lambda: state.spread.on_watch_ended(self.now)
             ),
         )
--- a/packages/standins/src/trefoilpulley_standins/measure/fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/fleet.py
@@ -98,9 +98,9 @@
 
 
 def _find_busiest(fleet: DocumentFleet) -> float:
-    fleet.take_service_down()
+    fleet.start_service_outage()
     fleet.run(SETTLE_S)
-    fleet.bring_service_up()
+    fleet.end_service_outage()
     made = []
     for _ in range(int(RETURN_S)):
         calls = fleet.service.calls.total()
--- a/packages/standins/src/trefoilpulley_standins/membership_fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/membership_fleet.py
@@ -26,10 +26,10 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-ZONE_DELAY_S = 0.0005
+INTRA_ZONE_DELAY_S = 0.0005
 """One-way delay inside a zone, in seconds."""
 
-REGION_DELAY_S = 0.005
+INTER_ZONE_DELAY_S = 0.005
 """One-way delay between zones, in seconds."""
 
 FRAME_OVERHEAD_BYTES = 60
@@ -83,7 +83,7 @@
     ----------
     seed : int
         Seed of every random choice.
-    is_counting : bool
+    is_measuring : bool
         Whether messages are encoded to count bytes and time.
     make_membership : Callable[..., Membership]
         Makes the decisions of a host.
@@ -92,7 +92,7 @@
     def __init__(
         self,
         seed: int = 0,
-        is_counting: bool = False,
+        is_measuring: bool = False,
         make_membership: Callable[..., Membership] = Membership,
     ) -> None:
         self.now = 0.0
@@ -105,7 +105,7 @@
         """Pairs of zones, or of hosts, without a link."""
 
         self._rng = random.Random(seed)
-        self.is_counting = is_counting
+        self.is_measuring = is_measuring
         """Whether messages are encoded to count bytes and time."""
 
         self._make_membership = make_membership
@@ -129,7 +129,7 @@
         host = self.hosts[name] = FleetHost(entry, membership)
         membership.on_host_list(listed)
         phase = self._rng.uniform(0, TICK_INTERVAL_S)
-        self.at(self.now + phase, lambda: self._tick(host))
+        self.call_at(self.now + phase, lambda: self._tick(host))
         return host
 
     def run(self, duration_s: float) -> None:
@@ -159,7 +159,7 @@
         """Let a host stand still for a time."""
         self.hosts[name].paused_until = self.now + duration_s
 
-    def cut(self, one: str, other: str) -> None:
+    def cut_link(self, one: str, other: str) -> None:
         """Cut the link between two zones or two hosts."""
         self.cuts.add(frozenset((one, other)))
 
@@ -172,22 +172,22 @@
         for host in self.hosts.values():
             host.traffic = Traffic()
 
-    def traffic_of_running(self) -> dict[str, Traffic]:
+    def running_host_traffic(self) -> dict[str, Traffic]:
         """Return what each running host has sent and spent."""
         return {n: h.traffic for n, h in self.hosts.items() if h.is_up}
 
-    def act(self, host: FleetHost, action: Callable[[], Any]) -> Any:
+    def run_action(self, host: FleetHost, action: Callable[[], Any]) -> Any:
         """Run an action of a host and carry out its commands."""
-        started = time.process_time() if self.is_counting else 0.0
+        started = time.process_time() if self.is_measuring else 0.0
         result = action()
         commands = host.membership.take_commands()
         for command in commands:
-            self.carry_out(host, command)
-        if self.is_counting:
+            self.execute_command(host, command)
+        if self.is_measuring:
             host.traffic.cpu_s += time.process_time() - started
         return result
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
+    def call_at(self, when: float, action: Callable[[], None]) -> None:
         """Run an action at a virtual time."""
         heapq.heappush(self._events, (when, next(self._order), action))
 
@@ -195,16 +195,16 @@
         if not host.is_up:
             return
         if host.paused_until > self.now:
-            self.at(host.paused_until, lambda: self._tick(host))
+            self.call_at(host.paused_until, lambda: self._tick(host))
             return
-        self.act(host, lambda: self.tick(host))
-        self.at(self.now + TICK_INTERVAL_S, lambda: self._tick(host))
+        self.run_action(host, lambda: self.tick(host))
+        self.call_at(self.now + TICK_INTERVAL_S, lambda: self._tick(host))
 
     def tick(self, host: FleetHost) -> None:
         """Let a host do what is due."""
         host.membership.on_tick(self.now)
 
-    def carry_out(self, host: FleetHost, command: Any) -> None:
+    def execute_command(self, host: FleetHost, command: Any) -> None:
         """Carry out a command of a host."""
         if isinstance(command, Call):
             self.call(
@@ -238,7 +238,7 @@
         def finish(action: Callable[[], None]) -> None:
             if not finished:
                 finished.append(True)
-                self.when_awake(host, action)
+                self.run_when_awake(host, action)
 
         def reply(target: FleetHost, answer: Any) -> None:
             self.send(
@@ -254,7 +254,7 @@
             call.message,
             lambda target, message: self.serve(target, message, reply),
         )
-        self.at(self.now + call.timeout_s, lambda: finish(on_failure))
+        self.call_at(self.now + call.timeout_s, lambda: finish(on_failure))
 
     def serve(
         self,
@@ -280,25 +280,31 @@
         deliver: Callable[[FleetHost, Any], None],
     ) -> None:
         """Send a message; a cut link or a stopped host drops it."""
-        self._count(sender, message)
+        self._count_message(sender, message)
         target = self.hosts.get(name)
         if target is None or self._is_cut(sender.entry, target.entry):
             return
-        is_near = sender.entry.zone == target.entry.zone
-        delay_s = ZONE_DELAY_S if is_near else REGION_DELAY_S
-        self.at(
+        is_same_zone = sender.entry.zone == target.entry.zone
+        delay_s = INTRA_ZONE_DELAY_S if is_same_zone else INTER_ZONE_DELAY_S
+        self.call_at(
             self.now + delay_s,
-            lambda: self.when_awake(target, lambda: deliver(target, message)),
+            lambda: self.run_when_awake(
+                target, lambda: deliver(target, message)
+            ),
         )
 
-    def when_awake(self, host: FleetHost, action: Callable[[], None]) -> None:
+    def run_when_awake(
+        self, host: FleetHost, action: Callable[[], None]
+    ) -> None:
         """Run an action of a host now, or when its pause ends."""
         if not host.is_up:
             return
         if host.paused_until > self.now:
-            self.at(host.paused_until, lambda: self.when_awake(host, action))
+            self.call_at(
+                host.paused_until, lambda: self.run_when_awake(host, action)
+            )
             return
-        self.act(host, action)
+        self.run_action(host, action)
 
     def _is_cut(self, one: HostEntry, other: HostEntry) -> bool:
         return (
@@ -306,8 +312,8 @@
             or frozenset((one.name, other.name)) in self.cuts
         )
 
-    def _count(self, sender: FleetHost, message: Any) -> None:
-        if not self.is_counting:
+    def _count_message(self, sender: FleetHost, message: Any) -> None:
+        if not self.is_measuring:
             return
         data = PEER_CODEC.encode(1, message)
         PEER_CODEC.decode(data)
--- a/packages/standins/src/trefoilpulley_standins/membership_measures.py
+++ b/packages/standins/src/trefoilpulley_standins/membership_measures.py
@@ -24,19 +24,19 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-SETTLE_S = 12.0
+SETTLE_DURATION_S = 12.0
 """Time from the start until a fleet is quiet, in seconds."""
 
-QUIET_S = 20.0
+IDLE_DURATION_S = 20.0
 """Time over which a quiet fleet is measured, in seconds."""
 
-LIMIT_S = 30.0
+EVENT_TIMEOUT_S = 30.0
 """Longest wait for a change to be seen, in seconds."""
 
 ZONES_PER_REGION = 4
 """Availability zones of one region."""
 
-TENANTS = 100
+TENANT_COUNT = 100
 """Tenants in the measured declarations."""
 
 
@@ -140,7 +140,7 @@
     entries = make_entries(zones, hosts, count_regions(zones))
     for entry in entries:
         fleet.add(entry.name, entry.zone, entry.region, entries)
-    fleet.run(SETTLE_S)
+    fleet.run(SETTLE_DURATION_S)
     return fleet
 
 
@@ -152,7 +152,7 @@
 def make_configuration(revision: int) -> Document:
     """Return declarations of a hundred tenants."""
     grants = (Grant('ledger', ('filing', 'lookup', 'booking')),)
-    tenants = tuple(Tenant(f'tenant-{n}', grants) for n in range(TENANTS))
+    tenants = tuple(Tenant(f'tenant-{n}', grants) for n in range(TENANT_COUNT))
     value = Configuration(
         revision, f'change-{revision}', Declarations((), tenants)
     )
@@ -161,32 +161,32 @@
     )
 
 
-def measure_quiet(zones: int, hosts: int) -> QuietCost:
+def measure_idle_cost(zones: int, hosts: int) -> QuietCost:
     """Measure a fleet in which nothing happens."""
     fleet = make_fleet(zones, hosts)
-    fleet.is_counting = True
+    fleet.is_measuring = True
     fleet.reset_traffic()
     fleet.service.calls.clear()
-    fleet.run(QUIET_S)
+    fleet.run(IDLE_DURATION_S)
     traffic = [h.traffic for h in fleet.hosts.values()]
-    messages = [t.messages / QUIET_S for t in traffic]
-    sent = [t.bytes_sent / QUIET_S for t in traffic]
-    core = [100 * t.cpu_s / QUIET_S for t in traffic]
+    messages = [t.messages / IDLE_DURATION_S for t in traffic]
+    bytes_sent_per_s = [t.bytes_sent / IDLE_DURATION_S for t in traffic]
+    cpu_percent = [100 * t.cpu_s / IDLE_DURATION_S for t in traffic]
     return QuietCost(
         hosts,
         zones,
         math.ceil(zones / count_regions(zones)),
         statistics.mean(messages),
         max(messages),
-        statistics.mean(sent),
-        max(sent),
-        statistics.mean(core),
-        max(core),
-        fleet.service.calls.total() / QUIET_S / zones,
+        statistics.mean(bytes_sent_per_s),
+        max(bytes_sent_per_s),
+        statistics.mean(cpu_percent),
+        max(cpu_percent),
+        fleet.service.calls.total() / IDLE_DURATION_S / zones,
     )
 
 
-def measure_spread(zones: int, hosts: int, runs: int) -> Spread:
+def measure_dissemination(zones: int, hosts: int, runs: int) -> Spread:
     """Measure how long a configuration takes to every host."""
     fleet = make_fleet(zones, hosts)
     times = []
@@ -194,19 +194,21 @@
         fleet.run(1.37)
         fleet.publish(make_configuration(revision))
         times.append(
-            fleet.run_until(lambda r=revision: _is_in_force(fleet, r), LIMIT_S)
+            fleet.run_until(
+                lambda r=revision: _is_in_force(fleet, r), EVENT_TIMEOUT_S
+            )
         )
     return _summarize(zones, hosts, times)
 
 
-def measure_death(zones: int, hosts: int, runs: int) -> Spread:
+def measure_crash_detection(zones: int, hosts: int, runs: int) -> Spread:
     """Measure how long a zone takes to notice a silent host."""
-    return _measure_events(zones, hosts, runs, _time_death)
+    return _measure_events(zones, hosts, runs, _time_crash_detection)
 
 
-def measure_lost_zone(zones: int, hosts: int, runs: int) -> Spread:
+def measure_zone_loss(zones: int, hosts: int, runs: int) -> Spread:
     """Measure how long a region takes to notice a lost zone."""
-    return _measure_events(zones, hosts, runs, _time_lost_zone)
+    return _measure_events(zones, hosts, runs, _time_zone_loss)
 
 
 def measure_leave(zones: int, hosts: int, runs: int) -> Spread:
@@ -215,39 +217,39 @@
 
 
 def measure_event(
-    event: str, act: Callable[[DocumentFleet], None]
+    event: str, run_action: Callable[[DocumentFleet], None]
 ) -> EventCost:
     """Measure what an event costs the other hosts of a large fleet."""
-    zones, hosts, time_s = 7, 62, 10.0
+    zones, hosts, duration_s = 7, 62, 10.0
     fleet = make_fleet(zones, hosts)
-    fleet.is_counting = True
+    fleet.is_measuring = True
     fleet.reset_traffic()
-    fleet.run(time_s)
-    quiet = fleet.traffic_of_running()
+    fleet.run(duration_s)
+    idle = fleet.running_host_traffic()
     fleet.reset_traffic()
-    act(fleet)
-    fleet.run(time_s)
-    busy = fleet.traffic_of_running()
+    run_action(fleet)
+    fleet.run(duration_s)
+    after_event = fleet.running_host_traffic()
     extra = [
-        busy[name].bytes_sent - quiet[name].bytes_sent
-        for name in busy
-        if name in quiet
+        after_event[name].bytes_sent - idle[name].bytes_sent
+        for name in after_event
+        if name in idle
     ]
     return EventCost(event, statistics.mean(extra), max(extra))
 
 
-def measure_memory(hosts_a_zone: int) -> TableSize:
+def measure_memory(hosts_per_zone: int) -> TableSize:
     """Measure the table of a host that knows 26 zones."""
     tracemalloc.start()
     table = MembershipTable('r0')
-    table.apply_list(make_entries(26, hosts_a_zone, 7))
+    table.apply_list(make_entries(26, hosts_per_zone, 7))
     assert table.live_hosts.zones
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return TableSize(26 * hosts_a_zone, size)
+    return TableSize(26 * hosts_per_zone, size)
 
 
-def fit(figure: str, xs: Sequence[float], ys: Sequence[float]) -> Slope:
+def fit_line(figure: str, xs: Sequence[float], ys: Sequence[float]) -> Slope:
     """Fit a straight line."""
     line = statistics.linear_regression(xs, ys)
     return Slope(figure, line.slope, line.intercept)
@@ -272,18 +274,22 @@
     return _summarize(zones, hosts, times)
 
 
-def _time_death(fleet: DocumentFleet) -> float | None:
+def _time_crash_detection(fleet: DocumentFleet) -> float | None:
     fleet.stop('z0-h1')
-    return fleet.run_until(lambda: _is_unseen(fleet, 'z0-h1', 'z0'), LIMIT_S)
+    return fleet.run_until(
+        lambda: _is_removed(fleet, 'z0-h1', 'z0'), EVENT_TIMEOUT_S
+    )
 
 
 def _time_leave(fleet: DocumentFleet) -> float | None:
     host = fleet.hosts['z0-h1']
-    fleet.act(host, host.membership.on_leave)
-    return fleet.run_until(lambda: _is_unseen(fleet, 'z0-h1', ''), LIMIT_S)
+    fleet.run_action(host, host.membership.on_leave)
+    return fleet.run_until(
+        lambda: _is_removed(fleet, 'z0-h1', ''), EVENT_TIMEOUT_S
+    )
 
 
-def _time_lost_zone(fleet: DocumentFleet) -> float | None:
+def _time_zone_loss(fleet: DocumentFleet) -> float | None:
     stop_zone(fleet)
     return fleet.run_until(
         lambda: (
@@ -294,7 +300,7 @@
                 for name in host.live
             )
         ),
-        LIMIT_S,
+        EVENT_TIMEOUT_S,
     )
 
 
@@ -313,7 +319,7 @@
 def replace_host(fleet: DocumentFleet) -> None:
     """Let one host leave and start another in its place."""
     host = fleet.hosts['z0-h1']
-    fleet.act(host, host.membership.on_leave)
+    fleet.run_action(host, host.membership.on_leave)
     entries = tuple(h.entry for h in fleet.hosts.values())
     fleet.add('z0-new', 'z0', 'r0', entries)
     fleet.stop('z0-h1')
@@ -324,7 +330,7 @@
     fleet.publish(make_configuration(1))
 
 
-def _is_unseen(fleet: DocumentFleet, name: str, zone: str) -> bool:
+def _is_removed(fleet: DocumentFleet, name: str, zone: str) -> bool:
     return all(
         name not in host.live
         for host in fleet.hosts.values()
@@ -335,7 +341,7 @@
 def _summarize(
     zones: int, hosts: int, times: Sequence[float | None]
 ) -> Spread:
-    reached = [t if t is not None else float('inf') for t in times]
+    delays_s = [t if t is not None else float('inf') for t in times]
     return Spread(
-        hosts, zones, statistics.median(reached), max(reached), len(times)
+        hosts, zones, statistics.median(delays_s), max(delays_s), len(times)
     )
--- a/packages/standins/src/trefoilpulley_standins/membership_replay.py
+++ b/packages/standins/src/trefoilpulley_standins/membership_replay.py
@@ -16,14 +16,14 @@
 import click
 
 from trefoilpulley_standins.membership_measures import change_configuration
-from trefoilpulley_standins.membership_measures import fit
-from trefoilpulley_standins.membership_measures import measure_death
+from trefoilpulley_standins.membership_measures import fit_line
+from trefoilpulley_standins.membership_measures import measure_crash_detection
+from trefoilpulley_standins.membership_measures import measure_dissemination
 from trefoilpulley_standins.membership_measures import measure_event
+from trefoilpulley_standins.membership_measures import measure_idle_cost
 from trefoilpulley_standins.membership_measures import measure_leave
-from trefoilpulley_standins.membership_measures import measure_lost_zone
 from trefoilpulley_standins.membership_measures import measure_memory
-from trefoilpulley_standins.membership_measures import measure_quiet
-from trefoilpulley_standins.membership_measures import measure_spread
+from trefoilpulley_standins.membership_measures import measure_zone_loss
 from trefoilpulley_standins.membership_measures import replace_host
 from trefoilpulley_standins.membership_measures import stop_host
 from trefoilpulley_standins.membership_measures import stop_zone
@@ -36,16 +36,16 @@
     from trefoilpulley_standins.membership_measures import Slope
     from trefoilpulley_standins.membership_measures import TableSize
 
-HOSTS_IN_ZONE = (4, 8, 16, 32, 64)
+ZONE_SIZES = (4, 8, 16, 32, 64)
 """Sizes of one zone."""
 
-ZONES = (1, 3, 7, 13, 26)
+ZONE_COUNTS = (1, 3, 7, 13, 26)
 """Numbers of zones."""
 
-HOSTS_A_ZONE = 8
+HOSTS_PER_ZONE = 8
 """Hosts of each zone where the number of zones is swept."""
 
-TABLE_HOSTS_A_ZONE = (8, 16, 32, 62)
+TABLE_HOSTS_PER_ZONE = (8, 16, 32, 62)
 """Hosts of each of 26 zones in the tables that are measured."""
 
 
@@ -68,22 +68,24 @@
 
 
 def _measure_all(runs: int) -> Iterator[tuple[str, Sequence[Any]]]:
-    by_hosts = [measure_quiet(1, n) for n in HOSTS_IN_ZONE]
+    by_hosts = [measure_idle_cost(1, n) for n in ZONE_SIZES]
     yield _report('quiet_by_hosts_in_zone', by_hosts)
-    by_zones = [measure_quiet(n, HOSTS_A_ZONE) for n in ZONES]
+    by_zones = [measure_idle_cost(n, HOSTS_PER_ZONE) for n in ZONE_COUNTS]
     yield _report('quiet_by_zones', by_zones)
-    tables = [measure_memory(n) for n in TABLE_HOSTS_A_ZONE]
+    tables = [measure_memory(n) for n in TABLE_HOSTS_PER_ZONE]
     yield _report('table_sizes', tables)
     yield _report('slopes', _fit_all(by_hosts, by_zones, tables))
-    spread = [measure_spread(1, n, runs) for n in HOSTS_IN_ZONE]
+    spread = [measure_dissemination(1, n, runs) for n in ZONE_SIZES]
     yield _report('spread_by_hosts_in_zone', spread)
-    spread = [measure_spread(n, HOSTS_A_ZONE, runs) for n in ZONES]
+    spread = [
+        measure_dissemination(n, HOSTS_PER_ZONE, runs) for n in ZONE_COUNTS
+    ]
     yield _report('spread_by_zones', spread)
-    deaths = [measure_death(1, n, runs) for n in HOSTS_IN_ZONE]
+    deaths = [measure_crash_detection(1, n, runs) for n in ZONE_SIZES]
     yield _report('death_seen_in_zone', deaths)
-    leaves = [measure_leave(n, HOSTS_A_ZONE, runs) for n in ZONES]
+    leaves = [measure_leave(n, HOSTS_PER_ZONE, runs) for n in ZONE_COUNTS]
     yield _report('leave_seen_everywhere', leaves)
-    losses = [measure_lost_zone(n, HOSTS_A_ZONE, runs) for n in (3, 4, 7)]
+    losses = [measure_zone_loss(n, HOSTS_PER_ZONE, runs) for n in (3, 4, 7)]
     yield _report('lost_zone_seen_everywhere', losses)
     events = [
         measure_event('a host dies', stop_host),
@@ -102,7 +104,7 @@
     slopes = []
     for figure in ('messages_mean', 'bytes_mean', 'core_percent_mean'):
         slopes.append(
-            fit(
+            fit_line(
                 f'{figure} against hosts in the zone',
                 [c.hosts for c in by_hosts],
                 [getattr(c, figure) for c in by_hosts],
@@ -110,14 +112,14 @@
         )
     for figure in ('messages_most', 'bytes_most', 'core_percent_most'):
         slopes.append(
-            fit(
+            fit_line(
                 f'{figure} against zones of the region',
                 [c.zones_in_region for c in by_zones],
                 [getattr(c, figure) for c in by_zones],
             )
         )
     slopes.append(
-        fit(
+        fit_line(
             'bytes of a table against known hosts',
             [t.known_hosts for t in tables],
             [t.bytes_in_use for t in tables],
