--- a/packages/standins/src/trefoilpulley_standins/document_fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/document_fleet.py
@@ -1,4 +1,4 @@
-"""Many hosts' membership and documents on one virtual clock."""
+"""Simulates membership and documents of many hosts on a virtual clock."""
 
 from __future__ import annotations
 
@@ -27,58 +27,58 @@
     from collections.abc import Callable
 
 FETCH_TIMEOUT_S = 1.0
-"""Longest wait for a peer's document, in seconds."""
+"""Longest wait for a document from a peer, in seconds."""
 
 SERVICE_TIMEOUT_S = 1.0
-"""Longest wait for an answer of the service, in seconds."""
+"""Longest wait for an answer of the platform service, in seconds."""
 
 
 @dataclass
 class FleetService:
-    """The platform's service, as far as the spread sees it."""
+    """Model of the platform service, as used to disseminate documents."""
 
     documents: dict[DocumentKind, Document] = field(default_factory=dict)
-    """Newest documents."""
+    """Newest document of each kind."""
 
     is_down: bool = False
-    """Whether nobody gets an answer."""
+    """Whether the service is down for all hosts."""
 
     cut_zones: set[str] = field(default_factory=set)
-    """Zones without a link to the service."""
+    """Zones whose link to the service is cut."""
 
     watchers: set[str] = field(default_factory=set)
-    """Hosts whose watches are in force."""
+    """Names of the hosts with an active watch."""
 
     calls: Counter[str] = field(default_factory=Counter)
-    """Calls by host; a watch is one for each prefix."""
+    """Number of calls by host; a watch counts once for each prefix."""
 
     def is_reachable_from(self, zone: str) -> bool:
-        """Return whether the hosts of a zone get answers."""
+        """Return whether the hosts of a zone can reach the service."""
         return not self.is_down and zone not in self.cut_zones
 
 
 @dataclass
 class DocumentState:
-    """Documents of one host."""
+    """Documents of one host and the dissemination decisions."""
 
     holder: ConfigurationStore
-    """Newest documents."""
+    """Newest documents that the host holds."""
 
     spread: DocumentDissemination
-    """Decisions."""
+    """Dissemination decisions of the host."""
 
 
 class DocumentFleet(Fleet):
-    """A fleet whose hosts hold the documents too.
+    """Fleet whose hosts also hold and disseminate documents.
 
     Parameters
     ----------
     seed : int
-        Seed of every random choice.
+        Seed of the random number generator.
     is_measuring : bool
-        Whether messages are encoded to count bytes and time.
+        Whether to encode messages to measure their bytes and time.
     make_holder : Callable[[], ConfigurationStore]
-        Makes a host's holder.
+        Factory of a host's configuration store.
     """
 
     def __init__(
@@ -89,24 +89,24 @@
     ) -> None:
         super().__init__(seed, is_measuring)
         self.service = FleetService()
-        """The platform's service."""
+        """Model of the platform service."""
 
         self.documents: dict[str, DocumentState] = {}
-        """Documents by host."""
+        """Documents and dissemination decisions, by host."""
 
         self._make_holder = make_holder
 
     def add(
         self, name: str, zone: str, *args: Any, **kwargs: Any
     ) -> FleetHost:
-        """Start a host, or start it again under the same name."""
+        """Start a host, or restart a host under the same name."""
         holder = self._make_holder()
         spread = DocumentDissemination(name, zone, holder)
         self.documents[name] = DocumentState(holder, spread)
         return super().add(name, zone, *args, **kwargs)
 
     def publish(self, document: Document) -> None:
-        """Write a document to the service, as another party would."""
+        """Write a document to the service and notify the watching hosts."""
         self.service.documents[document.kind] = document
         for name in self.service.watchers:
             host = self.hosts[name]
@@ -120,7 +120,7 @@
                 )
 
     def start_service_outage(self) -> None:
-        """Begin an outage of the service and break the watches."""
+        """Start an outage of the service and end all watches."""
         self.service.is_down = True
         watchers, self.service.watchers = self.service.watchers, set()
         for name in watchers:
@@ -134,7 +134,7 @@
         self.service.is_down = False
 
     def revisions(self, kind: DocumentKind) -> dict[str, int]:
-        """Return the revision that each running host holds."""
+        """Return each running host's revision of a document, by host."""
         return {
             name: self.documents[name].holder.revision_of(kind)
             for name, host in self.hosts.items()
@@ -142,18 +142,18 @@
         }
 
     def tick(self, host: FleetHost) -> None:
-        """Let a host do what is due."""
+        """Run a host's periodic tick."""
         super().tick(host)
         state = self.documents[host.entry.name]
         state.spread.on_live_hosts(host.membership.live_hosts)
         state.spread.on_tick(self.now)
 
     def run_action(self, host: FleetHost, action: Callable[[], Any]) -> Any:
-        """Run an action of a host and carry out its commands."""
+        """Run an action of a host and execute the resulting commands."""
         return super().run_action(host, lambda: self._run_action(host, action))
 
     def execute_command(self, host: FleetHost, command: Any) -> None:
-        """Carry out a command of a host."""
+        """Execute a command of a host."""
         super().execute_command(host, command)
         if isinstance(command, CompareVersions):
             self._compare_versions(host, command)
@@ -164,7 +164,7 @@
         message: Any,
         reply: Callable[[FleetHost, Any], None],
     ) -> None:
-        """Let a host serve a request."""
+        """Let a host answer a request."""
         super().serve(host, message, reply)
         if isinstance(message, FetchDocument):
             document = self.documents[host.entry.name].holder.find_document(
--- a/packages/standins/src/trefoilpulley_standins/membership_fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/membership_fleet.py
@@ -1,4 +1,4 @@
-"""Many hosts' membership decisions on one virtual clock."""
+"""Simulates the membership of many hosts on one virtual clock."""
 
 from __future__ import annotations
 
@@ -27,66 +27,66 @@
     from collections.abc import Sequence
 
 INTRA_ZONE_DELAY_S = 0.0005
-"""One-way delay inside a zone, in seconds."""
+"""One-way delay within an availability zone, in seconds."""
 
 INTER_ZONE_DELAY_S = 0.005
-"""One-way delay between zones, in seconds."""
+"""One-way delay between availability zones, in seconds."""
 
 FRAME_OVERHEAD_BYTES = 60
-"""WebSocket, TCP and IP headers of one small message."""
+"""Size of the WebSocket, TCP and IP headers of a small message."""
 
 
 @dataclass
 class Traffic:
-    """What one host has sent and spent."""
+    """Traffic and processor time of one host."""
 
     messages: int = 0
-    """Messages sent, answers too."""
+    """Number of messages sent, including answers."""
 
     bytes_sent: int = 0
-    """Bytes sent, with the headers."""
+    """Bytes sent, including the headers."""
 
     cpu_s: float = 0.0
-    """Processor time of decisions and codec, in seconds."""
+    """Processor time of the decisions and the codec, in seconds."""
 
 
 @dataclass
 class FleetHost:
-    """One host of the fleet."""
+    """Host of a simulated fleet."""
 
     entry: HostEntry
-    """Name and place."""
+    """Catalog entry of the host."""
 
     membership: Membership
-    """Decisions."""
+    """Membership decisions of the host."""
 
     is_up: bool = True
-    """Whether the process runs."""
+    """Whether the host's process is running."""
 
     paused_until: float = 0.0
-    """Virtual time until which the process stands still."""
+    """Virtual time until which the process is paused, in seconds."""
 
     traffic: Traffic = field(default_factory=Traffic)
-    """What it has sent and spent."""
+    """Traffic and processor time of the host."""
 
     @property
     def live(self) -> frozenset[str]:
-        """Names of the hosts that it takes for live."""
+        """Names of the hosts that this host regards as live."""
         zones = self.membership.live_hosts.zones
         return frozenset(h for zone in zones for h in zone.hosts)
 
 
 class Fleet:
-    """Hosts, links and a clock in one process.
+    """Simulates hosts and links on a virtual clock in one process.
 
     Parameters
     ----------
     seed : int
-        Seed of every random choice.
+        Seed of the random number generator.
     is_measuring : bool
-        Whether messages are encoded to count bytes and time.
+        Whether to encode messages to measure their bytes and time.
     make_membership : Callable[..., Membership]
-        Makes the decisions of a host.
+        Factory of a host's membership decisions.
     """
 
     def __init__(
@@ -96,17 +96,17 @@
         make_membership: Callable[..., Membership] = Membership,
     ) -> None:
         self.now = 0.0
-        """Virtual time in seconds."""
+        """Current virtual time, in seconds."""
 
         self.hosts: dict[str, FleetHost] = {}
-        """Hosts by name, those that have stopped too."""
+        """Hosts by name, including stopped hosts."""
 
         self.cuts: set[frozenset[str]] = set()
-        """Pairs of zones, or of hosts, without a link."""
+        """Pairs of zones or of hosts whose link is cut."""
 
         self._rng = random.Random(seed)
         self.is_measuring = is_measuring
-        """Whether messages are encoded to count bytes and time."""
+        """Whether messages are encoded to measure their bytes and time."""
 
         self._make_membership = make_membership
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -121,7 +121,7 @@
         listed: Sequence[HostEntry] = (),
         seeds: Sequence[str] = (),
     ) -> FleetHost:
-        """Start a host, or start it again under the same name."""
+        """Start a host, or restart a host under the same name."""
         entry = make_entry(name, zone, region)
         rng = random.Random(self._rng.random())
         incarnation = next(self._incarnations)
@@ -133,7 +133,7 @@
         return host
 
     def run(self, duration_s: float) -> None:
-        """Let virtual time pass."""
+        """Advance the virtual time and run all actions that are due."""
         end = self.now + duration_s
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
@@ -143,7 +143,21 @@
     def run_until(
         self, condition: Callable[[], bool], limit_s: float
     ) -> float | None:
-        """Return the time until a condition holds, or ``None``."""
+        """Run until a condition holds.
+
+        Parameters
+        ----------
+        condition : Callable[[], bool]
+            Condition, checked every 10 ms of virtual time.
+        limit_s : float
+            Longest virtual time to wait, in seconds.
+
+        Returns
+        -------
+        float | None
+            Time until the condition held, in seconds; ``None`` if it did
+            not hold within the limit.
+        """
         start = self.now
         while self.now - start < limit_s:
             if condition():
@@ -152,11 +166,11 @@
         return None
 
     def stop(self, name: str) -> None:
-        """Kill a host; nobody is told."""
+        """Stop a host without notifying the other hosts."""
         self.hosts[name].is_up = False
 
     def pause(self, name: str, duration_s: float) -> None:
-        """Let a host stand still for a time."""
+        """Pause a host's process."""
         self.hosts[name].paused_until = self.now + duration_s
 
     def cut_link(self, one: str, other: str) -> None:
@@ -164,20 +178,20 @@
         self.cuts.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """Bring every link back."""
+        """Restore all links."""
         self.cuts.clear()
 
     def reset_traffic(self) -> None:
-        """Count anew."""
+        """Reset the traffic counters of all hosts."""
         for host in self.hosts.values():
             host.traffic = Traffic()
 
     def running_host_traffic(self) -> dict[str, Traffic]:
-        """Return what each running host has sent and spent."""
+        """Return the traffic of each running host, by name."""
         return {n: h.traffic for n, h in self.hosts.items() if h.is_up}
 
     def run_action(self, host: FleetHost, action: Callable[[], Any]) -> Any:
-        """Run an action of a host and carry out its commands."""
+        """Run an action of a host and execute the resulting commands."""
         started = time.process_time() if self.is_measuring else 0.0
         result = action()
         commands = host.membership.take_commands()
@@ -188,7 +202,7 @@
         return result
 
     def call_at(self, when: float, action: Callable[[], None]) -> None:
-        """Run an action at a virtual time."""
+        """Schedule an action at a virtual time."""
         heapq.heappush(self._events, (when, next(self._order), action))
 
     def _tick(self, host: FleetHost) -> None:
@@ -201,11 +215,11 @@
         self.call_at(self.now + TICK_INTERVAL_S, lambda: self._tick(host))
 
     def tick(self, host: FleetHost) -> None:
-        """Let a host do what is due."""
+        """Run a host's periodic tick."""
         host.membership.on_tick(self.now)
 
     def execute_command(self, host: FleetHost, command: Any) -> None:
-        """Carry out a command of a host."""
+        """Execute a command of a host."""
         if isinstance(command, Call):
             self.call(
                 host,
@@ -232,7 +246,7 @@
         on_answer: Callable[[Any], None],
         on_failure: Callable[[], None],
     ) -> None:
-        """Send a request and hand its answer back, or its time-out."""
+        """Send a request and call back with the answer or at the timeout."""
         finished: list[bool] = []
 
         def finish(action: Callable[[], None]) -> None:
@@ -262,7 +276,7 @@
         message: Any,
         reply: Callable[[FleetHost, Any], None],
     ) -> None:
-        """Let a host serve a request."""
+        """Let a host answer a request."""
         if isinstance(message, Probe):
             reply(host, host.membership.on_probe(message, self.now))
         elif isinstance(message, Exchange):
@@ -279,7 +293,7 @@
         message: Any,
         deliver: Callable[[FleetHost, Any], None],
     ) -> None:
-        """Send a message; a cut link or a stopped host drops it."""
+        """Send a message; a cut link or a stopped host loses the message."""
         self._count_message(sender, message)
         target = self.hosts.get(name)
         if target is None or self._is_cut(sender.entry, target.entry):
@@ -296,7 +310,7 @@
     def run_when_awake(
         self, host: FleetHost, action: Callable[[], None]
     ) -> None:
-        """Run an action of a host now, or when its pause ends."""
+        """Run an action of a host now, or at the end of the host's pause."""
         if not host.is_up:
             return
         if host.paused_until > self.now:
@@ -322,7 +336,7 @@
 
 
 def make_entry(name: str, zone: str, region: str = 'region') -> HostEntry:
-    """Return the entry of a host of the fleet."""
+    """Return the catalog entry of a simulated host."""
     return HostEntry(
         name,
         region,
@@ -335,7 +349,7 @@
 def make_entries(
     zones: int, hosts: int, regions: int = 1
 ) -> tuple[HostEntry, ...]:
-    """Return the entries of a fleet of equal zones."""
+    """Return the catalog entries of a fleet with zones of equal size."""
     return tuple(
         make_entry(f'z{z}-h{h}', f'z{z}', f'r{z % regions}')
         for z in range(zones)
--- a/packages/standins/src/trefoilpulley_standins/membership_measures.py
+++ b/packages/standins/src/trefoilpulley_standins/membership_measures.py
@@ -1,4 +1,4 @@
-"""What membership and the spread of documents cost and how long they take."""
+"""Measures the cost and delay of membership and document dissemination."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
     from collections.abc import Sequence
 
 SETTLE_DURATION_S = 12.0
-"""Time from the start until a fleet is quiet, in seconds."""
+"""Time from the start until a fleet has settled, in seconds."""
 
 IDLE_DURATION_S = 20.0
-"""Time over which a quiet fleet is measured, in seconds."""
+"""Time over which an idle fleet is measured, in seconds."""
 
 EVENT_TIMEOUT_S = 30.0
-"""Longest wait for a change to be seen, in seconds."""
+"""Longest wait until all hosts have seen an event, in seconds."""
 
 ZONES_PER_REGION = 4
-"""Availability zones of one region."""
+"""Number of availability zones of a region."""
 
 TENANT_COUNT = 100
-"""Tenants in the measured declarations."""
+"""Number of tenants in the measured declarations."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuietCost:
-    """Cost of a quiet host, a second."""
+    """Cost per host and second of a fleet without events."""
 
     hosts: int
     """Hosts of each zone."""
@@ -51,33 +51,33 @@
     """Availability zones."""
 
     zones_in_region: int
-    """Most zones of one region."""
+    """Number of zones of the largest region."""
 
     messages_mean: float
-    """Messages sent."""
+    """Mean number of messages sent per host and second."""
 
     messages_most: float
-    """Messages sent by the busiest host."""
+    """Messages per second sent by the host that sends the most."""
 
     bytes_mean: float
-    """Bytes sent."""
+    """Mean number of bytes sent per host and second."""
 
     bytes_most: float
-    """Bytes sent by the busiest host."""
+    """Bytes per second sent by the host that sends the most."""
 
     core_percent_mean: float
-    """Processor time, in percent of a core."""
+    """Mean processor time per host, in percent of a core."""
 
     core_percent_most: float
-    """Processor time of the busiest host."""
+    """Highest processor time of a host, in percent of a core."""
 
     service_calls_a_zone: float
-    """Calls to the platform's service of one zone."""
+    """Calls of one zone to the platform service per second."""
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Times until a change is in force, or seen, in seconds."""
+    """Time until all hosts concerned have seen an event, over several runs."""
 
     hosts: int
     """Hosts of each zone."""
@@ -86,56 +86,56 @@
     """Availability zones."""
 
     median_s: float
-    """Median."""
+    """Median time, in seconds."""
 
     worst_s: float
-    """Worst."""
+    """Longest time, in seconds."""
 
     runs: int
-    """Runs."""
+    """Number of runs."""
 
 
 @dataclass(frozen=True, slots=True)
 class EventCost:
-    """Cost of one event to the other hosts, above their quiet cost."""
+    """Additional traffic that one event causes at the other hosts."""
 
     event: str
-    """What happened."""
+    """Description of the event."""
 
     bytes_mean: float
-    """Bytes sent by each other host."""
+    """Mean number of additional bytes sent per host."""
 
     bytes_most: float
-    """Bytes sent by the busiest host."""
+    """Highest number of additional bytes sent by a host."""
 
 
 @dataclass(frozen=True, slots=True)
 class TableSize:
-    """Memory of one host's table."""
+    """Memory of one host's membership table."""
 
     known_hosts: int
-    """Hosts in the table."""
+    """Number of hosts in the table."""
 
     bytes_in_use: int
-    """Memory in bytes."""
+    """Memory of the table, in bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """Straight line through measured points."""
+    """Straight line fitted to measured points."""
 
     figure: str
-    """What is measured, against what."""
+    """Names of the measured quantity and of the varied quantity."""
 
     slope: float
-    """Change for one more."""
+    """Change of the measured quantity per unit of the varied quantity."""
 
     intercept: float
-    """Value at none."""
+    """Value of the line at zero."""
 
 
 def make_fleet(zones: int, hosts: int, seed: int = 1) -> DocumentFleet:
-    """Start a fleet of equal zones and let it settle."""
+    """Start a fleet with zones of equal size and wait until it has settled."""
     fleet = DocumentFleet(seed)
     entries = make_entries(zones, hosts, count_regions(zones))
     for entry in entries:
@@ -145,12 +145,12 @@
 
 
 def count_regions(zones: int) -> int:
-    """Return the regions over which some zones are spread."""
+    """Return the number of regions of a number of zones."""
     return max(1, zones // ZONES_PER_REGION)
 
 
 def make_configuration(revision: int) -> Document:
-    """Return declarations of a hundred tenants."""
+    """Return a configuration document with `TENANT_COUNT` tenants."""
     grants = (Grant('ledger', ('filing', 'lookup', 'booking')),)
     tenants = tuple(Tenant(f'tenant-{n}', grants) for n in range(TENANT_COUNT))
     value = Configuration(
@@ -162,7 +162,7 @@
 
 
 def measure_idle_cost(zones: int, hosts: int) -> QuietCost:
-    """Measure a fleet in which nothing happens."""
+    """Measure the cost of a fleet without events."""
     fleet = make_fleet(zones, hosts)
     fleet.is_measuring = True
     fleet.reset_traffic()
@@ -187,7 +187,7 @@
 
 
 def measure_dissemination(zones: int, hosts: int, runs: int) -> Spread:
-    """Measure how long a configuration takes to every host."""
+    """Measure the time until every host has a new configuration."""
     fleet = make_fleet(zones, hosts)
     times = []
     for revision in range(1, runs + 1):
@@ -202,24 +202,24 @@
 
 
 def measure_crash_detection(zones: int, hosts: int, runs: int) -> Spread:
-    """Measure how long a zone takes to notice a silent host."""
+    """Measure the time until a zone has detected a crashed host."""
     return _measure_events(zones, hosts, runs, _time_crash_detection)
 
 
 def measure_zone_loss(zones: int, hosts: int, runs: int) -> Spread:
-    """Measure how long a region takes to notice a lost zone."""
+    """Measure the time until all running hosts have detected a zone's loss."""
     return _measure_events(zones, hosts, runs, _time_zone_loss)
 
 
 def measure_leave(zones: int, hosts: int, runs: int) -> Spread:
-    """Measure how long every host takes to see one leave."""
+    """Measure the time until every host has removed a leaving host."""
     return _measure_events(zones, hosts, runs, _time_leave)
 
 
 def measure_event(
     event: str, run_action: Callable[[DocumentFleet], None]
 ) -> EventCost:
-    """Measure what an event costs the other hosts of a large fleet."""
+    """Measure the traffic that an event causes in a fleet of 434 hosts."""
     zones, hosts, duration_s = 7, 62, 10.0
     fleet = make_fleet(zones, hosts)
     fleet.is_measuring = True
@@ -239,7 +239,7 @@
 
 
 def measure_memory(hosts_per_zone: int) -> TableSize:
-    """Measure the table of a host that knows 26 zones."""
+    """Measure the memory of a membership table with 26 zones."""
     tracemalloc.start()
     table = MembershipTable('r0')
     table.apply_list(make_entries(26, hosts_per_zone, 7))
@@ -250,7 +250,7 @@
 
 
 def fit_line(figure: str, xs: Sequence[float], ys: Sequence[float]) -> Slope:
-    """Fit a straight line."""
+    """Fit a straight line to points by linear regression."""
     line = statistics.linear_regression(xs, ys)
     return Slope(figure, line.slope, line.intercept)
 
@@ -305,19 +305,19 @@
 
 
 def stop_zone(fleet: DocumentFleet) -> None:
-    """Kill every host of the first zone."""
+    """Stop every host of the first zone."""
     for name, host in fleet.hosts.items():
         if host.entry.zone == 'z0':
             fleet.stop(name)
 
 
 def stop_host(fleet: DocumentFleet) -> None:
-    """Kill one host of the first zone."""
+    """Stop one host of the first zone."""
     fleet.stop('z0-h1')
 
 
 def replace_host(fleet: DocumentFleet) -> None:
-    """Let one host leave and start another in its place."""
+    """Let one host leave, and start a new host in the same zone."""
     host = fleet.hosts['z0-h1']
     fleet.run_action(host, host.membership.on_leave)
     entries = tuple(h.entry for h in fleet.hosts.values())
@@ -326,7 +326,7 @@
 
 
 def change_configuration(fleet: DocumentFleet) -> None:
-    """Write new declarations."""
+    """Publish a new configuration."""
     fleet.publish(make_configuration(1))
 
 
--- a/packages/standins/src/trefoilpulley_standins/membership_replay.py
+++ b/packages/standins/src/trefoilpulley_standins/membership_replay.py
@@ -1,8 +1,8 @@
-"""Measures membership and the spread of documents on a virtual clock.
+"""Measures membership and document dissemination on a virtual clock.
 
-Run as ``python -m trefoilpulley_standins.membership_replay``. Bytes are
-of the encoded messages with their headers; processor time is that of
-decisions and codec, without the sockets.
+Run as ``python -m trefoilpulley_standins.membership_replay``. The bytes
+are those of the encoded messages and their headers. The processor time
+covers the decisions and the codec, but not the sockets.
 """
 
 from __future__ import annotations
@@ -37,28 +37,28 @@
     from trefoilpulley_standins.membership_measures import TableSize
 
 ZONE_SIZES = (4, 8, 16, 32, 64)
-"""Sizes of one zone."""
+"""Numbers of hosts in the only zone, where the zone size is varied."""
 
 ZONE_COUNTS = (1, 3, 7, 13, 26)
-"""Numbers of zones."""
+"""Numbers of zones, where the number of zones is varied."""
 
 HOSTS_PER_ZONE = 8
-"""Hosts of each zone where the number of zones is swept."""
+"""Hosts of each zone, where the number of zones is varied."""
 
 TABLE_HOSTS_PER_ZONE = (8, 16, 32, 62)
-"""Hosts of each of 26 zones in the tables that are measured."""
+"""Hosts of each of the 26 zones in the measured tables."""
 
 
 @click.command()
-@click.option('--runs', default=20, help='Runs of each event.')
+@click.option('--runs', default=20, help='Number of runs of each event.')
 @click.option(
     '--output',
     type=click.Path(path_type=Path),
     default=Path('build/measure/membership.json'),
-    help='File of the results.',
+    help='Path of the JSON file with the results.',
 )
 def main(runs: int, output: Path) -> None:
-    """Measure and write the results."""
+    """Measure membership and document dissemination, and write the results."""
     results = {
         name: [asdict(row) for row in rows]
         for name, rows in _measure_all(runs)
