--- a/packages/standins/src/trefoilpulley_standins/_ports.py
+++ b/packages/standins/src/trefoilpulley_standins/_ports.py
@@ -10,7 +10,7 @@
 LOOPBACK = '127.0.0.1'
 """Address of every process of a deployment on one machine."""
 
-PORTS = range(12_000, 32_000)
+PORT_RANGE = range(12_000, 32_000)
 """Ports to choose from; connections get their own ports above them."""
 
 
@@ -23,27 +23,27 @@
 
     def __init__(self) -> None:
         self._rng = random.SystemRandom()
-        self._held: list[socket.socket] = []
+        self._reserved: list[socket.socket] = []
 
     def next(self) -> Endpoint:
         """Return an endpoint with a free port."""
         while True:
-            endpoint = Endpoint(LOOPBACK, self._rng.choice(PORTS))
-            if self._hold(endpoint):
+            endpoint = Endpoint(LOOPBACK, self._rng.choice(PORT_RANGE))
+            if self._reserve(endpoint):
                 return endpoint
 
     def release(self) -> None:
         """Free the ports for the processes that will listen on them."""
-        for sock in self._held:
+        for sock in self._reserved:
             sock.close()
-        self._held.clear()
+        self._reserved.clear()
 
-    def _hold(self, endpoint: Endpoint) -> bool:
+    def _reserve(self, endpoint: Endpoint) -> bool:
         sock = socket.socket()
         try:
             sock.bind((endpoint.address, endpoint.port))
         except OSError:
             sock.close()
             return False
-        self._held.append(sock)
+        self._reserved.append(sock)
         return True
--- a/packages/standins/src/trefoilpulley_standins/_process.py
+++ b/packages/standins/src/trefoilpulley_standins/_process.py
@@ -10,19 +10,19 @@
 from gevent.event import Event
 
 
-_LOOK_S = 3600.0
+_WAIT_INTERVAL_S = 3600.0
 
 
-def announce(name: str, **ports: int) -> None:
+def announce_ports(name: str, **ports: int) -> None:
     """Print one JSON line with the ports of something that now serves."""
     click.echo(json.dumps({'name': name, **ports}))
 
 
-def wait_until_ended() -> None:
+def wait_for_termination() -> None:
     """Wait for SIGTERM or SIGINT."""
-    ended = Event()
-    gevent.signal_handler(signal.SIGTERM, ended.set)
-    gevent.signal_handler(signal.SIGINT, ended.set)
+    terminated = Event()
+    gevent.signal_handler(signal.SIGTERM, terminated.set)
+    gevent.signal_handler(signal.SIGINT, terminated.set)
     # The timeout keeps the event loop alive in a process without sockets.
-    while not ended.wait(_LOOK_S):
+    while not terminated.wait(_WAIT_INTERVAL_S):
         continue
--- a/packages/standins/src/trefoilpulley_standins/demo/tenants.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/tenants.py
@@ -95,7 +95,7 @@
     databases = tuple(
         n
         for n in range(deployment.databases)
-        if grant.covers(deployment.ledger, deployment.name_of_database(n))
+        if grant.covers(deployment.ledger, deployment.database_name(n))
     )
     return TenantWork(
         tenant, by_kind[WorkKind.WRITE], by_kind[WorkKind.READ], databases
--- a/packages/standins/src/trefoilpulley_standins/deployment.py
+++ b/packages/standins/src/trefoilpulley_standins/deployment.py
@@ -66,15 +66,15 @@
     hosts: int = 8
     """Entry hosts."""
 
-    def name_of_database(self, number: int) -> str:
+    def database_name(self, number: int) -> str:
         """Return the name of a database."""
         return f'{self.ledger}/{number}'
 
-    def zone_of_host(self, number: int) -> str:
+    def host_zone(self, number: int) -> str:
         """Return the zone of an entry host."""
         return self.zones[number % len(self.zones)]
 
-    def zone_of_member(self, database: int, number: int) -> str:
+    def member_zone(self, database: int, number: int) -> str:
         """Return the zone of a member; home primaries are spread."""
         return self.zones[(database + number) % len(self.zones)]
 
--- a/packages/standins/src/trefoilpulley_standins/experiment/run.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/run.py
@@ -18,7 +18,7 @@
 from trefoilpulley_standins.experiment.result import dump_results
 from trefoilpulley_standins.experiment.result import PointResult
 from trefoilpulley_standins.experiment.result import RESULTS_FILE
-from trefoilpulley_standins.processes import ProcessFailed
+from trefoilpulley_standins.processes import ProcessError
 from trefoilpulley_standins.starting import make_layout
 
 if TYPE_CHECKING:
@@ -110,7 +110,7 @@
             processes.start()
             _wait_ready(layout, processes)
             return layout, processes
-        except (ProcessFailed, gevent.Timeout):
+        except (ProcessError, gevent.Timeout):
             # Another process may have taken a port that was free.
             processes.stop()
             if not attempts_left:
--- a/packages/standins/src/trefoilpulley_standins/launch.py
+++ b/packages/standins/src/trefoilpulley_standins/launch.py
@@ -8,7 +8,7 @@
 import click
 
 from trefoilpulley_standins._options import deployment_option
-from trefoilpulley_standins._process import wait_until_ended
+from trefoilpulley_standins._process import wait_for_termination
 from trefoilpulley_standins.deployment import find_deployment
 from trefoilpulley_standins.starting import make_layout
 from trefoilpulley_standins.starting import start_deployment
@@ -39,7 +39,7 @@
                 'pid': processes.pid_of(route.host),
             }
             click.echo(json.dumps(line))
-        wait_until_ended()
+        wait_for_termination()
     finally:
         processes.stop()
 
--- a/packages/standins/src/trefoilpulley_standins/layout.py
+++ b/packages/standins/src/trefoilpulley_standins/layout.py
@@ -41,10 +41,10 @@
     from trefoilpulley_core.declarations import Declarations
     from trefoilpulley_standins.deployment import Deployment
 
-CALLERS_ZONE = 'callers'
+CALLER_ZONE = 'callers'
 """Zone of the callers."""
 
-SEED_PEERS = 3
+SEED_PEER_COUNT = 3
 """Hosts that each host may ask while the service is out."""
 
 _SECRET_BYTES = 16
@@ -147,7 +147,9 @@
         hosts = tuple(self._make_node_settings(h, views) for h in self._hosts)
         routes = tuple(
             CallerRoute(
-                h.name, h.zone, self._reach(CALLERS_ZONE, h.zone, h.endpoint)
+                h.name,
+                h.zone,
+                self._reachable_endpoint(CALLER_ZONE, h.zone, h.endpoint),
             )
             for h in self._hosts
         )
@@ -176,11 +178,11 @@
 
     def _make_database(self, number: int) -> DatabaseEntry:
         dep = self._deployment
-        name = dep.name_of_database(number)
+        name = dep.database_name(number)
         members = tuple(
             MemberEntry(
                 f'{name}/{string.ascii_lowercase[i]}',
-                dep.zone_of_member(number, i),
+                dep.member_zone(number, i),
                 self._ports.next(),
                 dep.slots,
                 dep.connections,
@@ -195,7 +197,7 @@
             HostEntry(
                 f'host-{number}',
                 dep.region,
-                dep.zone_of_host(number),
+                dep.host_zone(number),
                 self._ports.next(),
                 self._ports.next(),
             )
@@ -218,7 +220,7 @@
         peers = tuple(
             MemberPeer(
                 other.name,
-                self._reach(
+                self._reachable_endpoint(
                     member.zone, other.zone, self._replication[other.name]
                 ),
             )
@@ -244,7 +246,10 @@
         ]
         targets.extend((h.zone, h.peer_endpoint) for h in self._hosts)
         routes = tuple(
-            PortRoute(endpoint.port, self._reach(zone, other, endpoint).port)
+            PortRoute(
+                endpoint.port,
+                self._reachable_endpoint(zone, other, endpoint).port,
+            )
             for other, endpoint in targets
             if other != zone
         )
@@ -280,8 +285,11 @@
         others = [h for h in self._hosts if h.name != host.name]
         others.sort(key=lambda h: (h.zone != host.zone, h.name))
         return tuple(
-            SeedPeer(h.name, self._reach(host.zone, h.zone, h.peer_endpoint))
-            for h in others[:SEED_PEERS]
+            SeedPeer(
+                h.name,
+                self._reachable_endpoint(host.zone, h.zone, h.peer_endpoint),
+            )
+            for h in others[:SEED_PEER_COUNT]
         )
 
     def _make_values(self) -> tuple[SeedValue, ...]:
@@ -295,19 +303,21 @@
 
     def _make_qualities(self) -> tuple[Quality, ...]:
         dep = self._deployment
-        between = [
+        qualities = [
             Quality(ZonePair(a, b), dep.zone_delay_ms, dep.jitter_ms, dep.loss)
             for a in dep.zones
             for b in dep.zones
             if a != b
         ]
         for zone in dep.zones:
-            pair = ZonePair(CALLERS_ZONE, zone)
-            between.append(Quality(pair, dep.client_delay_ms))
-            between.append(Quality(pair.reversed, dep.client_delay_ms))
-        return tuple(between)
-
-    def _reach(self, zone: str, other: str, target: Endpoint) -> Endpoint:
+            pair = ZonePair(CALLER_ZONE, zone)
+            qualities.append(Quality(pair, dep.client_delay_ms))
+            qualities.append(Quality(pair.reversed, dep.client_delay_ms))
+        return tuple(qualities)
+
+    def _reachable_endpoint(
+        self, zone: str, other: str, target: Endpoint
+    ) -> Endpoint:
         if zone == other:
             return target
         link = self._links.get((zone, target))
--- a/packages/standins/src/trefoilpulley_standins/links/__main__.py
+++ b/packages/standins/src/trefoilpulley_standins/links/__main__.py
@@ -7,8 +7,8 @@
 import click
 
 from trefoilpulley_node.settings_file import read_settings
-from trefoilpulley_standins._process import announce
-from trefoilpulley_standins._process import wait_until_ended
+from trefoilpulley_standins._process import announce_ports
+from trefoilpulley_standins._process import wait_for_termination
 from trefoilpulley_standins.links.server import LinksServer
 from trefoilpulley_standins.links.settings import LinksSettings
 
@@ -19,8 +19,8 @@
     """Carry the links of the settings file PATH."""
     server = LinksServer(read_settings(path, LinksSettings).unwrap())
     server.start()
-    announce('links', port=server.port)
-    wait_until_ended()
+    announce_ports('links', port=server.port)
+    wait_for_termination()
     server.stop()
 
 
--- a/packages/standins/src/trefoilpulley_standins/member/run.py
+++ b/packages/standins/src/trefoilpulley_standins/member/run.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from trefoilpulley_standins._process import announce
-from trefoilpulley_standins._process import wait_until_ended
+from trefoilpulley_standins._process import announce_ports
+from trefoilpulley_standins._process import wait_for_termination
 from trefoilpulley_standins.member.server import MemberServer
 
 if TYPE_CHECKING:
@@ -22,11 +22,11 @@
     servers = [MemberServer(cfg) for cfg in settings]
     for server in servers:
         server.start()
-        announce(
+        announce_ports(
             server.engine.name,
             port=server.port,
             replication_port=server.replication_port,
         )
-    wait_until_ended()
+    wait_for_termination()
     for server in servers:
         server.stop()
--- a/packages/standins/src/trefoilpulley_standins/platform/__main__.py
+++ b/packages/standins/src/trefoilpulley_standins/platform/__main__.py
@@ -8,8 +8,8 @@
 
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_node.settings_file import read_settings
-from trefoilpulley_standins._process import announce
-from trefoilpulley_standins._process import wait_until_ended
+from trefoilpulley_standins._process import announce_ports
+from trefoilpulley_standins._process import wait_for_termination
 from trefoilpulley_standins.platform.server import PlatformService
 from trefoilpulley_standins.platform.settings import PlatformSettings
 
@@ -28,8 +28,8 @@
         cfg = read_settings(seed_file, PlatformSettings).unwrap()
     service = PlatformService(Endpoint('127.0.0.1', port), cfg)
     service.start()
-    announce('platform', port=service.port)
-    wait_until_ended()
+    announce_ports('platform', port=service.port)
+    wait_for_termination()
     service.stop()
 
 
--- a/packages/standins/src/trefoilpulley_standins/processes.py
+++ b/packages/standins/src/trefoilpulley_standins/processes.py
@@ -23,10 +23,10 @@
 STOP_TIMEOUT_S = 5.0
 """Longest wait for a process to end, in seconds."""
 
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 
 
-class ProcessFailed(RuntimeError):
+class ProcessError(RuntimeError):
     """A process ended or did not serve in time."""
 
 
@@ -57,10 +57,10 @@
         self._start_module('links', self._directory / 'links.json')
         for member in self._layout.members.members:
             self.start_member(member.name)
-        self._wait_announced()
+        self._wait_until_announced()
         for host in self._layout.hosts:
             self.start_host(host.host)
-        self._wait_listening()
+        self._wait_until_listening()
 
     def start_member(self, name: str) -> None:
         """Start one member."""
@@ -93,7 +93,7 @@
         for process in self._running.values():
             process.terminate()
         for process in self._running.values():
-            _wait_ended(process)
+            _wait_for_exit(process)
         self._running.clear()
 
     def pid_of(self, name: str) -> int:
@@ -104,14 +104,14 @@
         self._start(key or module, f'trefoilpulley_standins.{module}', *args)
 
     def _start(self, key: str, module: str, *args: object) -> None:
-        path = self._output_of(key)
+        path = self._output_path(key)
         command = [sys.executable, '-m', module, *map(str, args)]
         with path.open('wb') as out:
             self._running[key] = subprocess.Popen(
                 command, stdout=out, stderr=subprocess.STDOUT
             )
 
-    def _output_of(self, key: str) -> Path:
+    def _output_path(self, key: str) -> Path:
         return self._directory / f'{key.replace("/", "-")}.out'
 
     def _write_settings(self) -> None:
@@ -132,16 +132,16 @@
         ) as file:
             file.write(text)
 
-    def _wait_announced(self) -> None:
+    def _wait_until_announced(self) -> None:
         for key, process in self._running.items():
-            path = self._output_of(key)
-            _wait_for(lambda p=path: _is_announced(p), key, process)
+            path = self._output_path(key)
+            _wait_until_ready(lambda p=path: _is_announced(p), key, process)
 
-    def _wait_listening(self) -> None:
+    def _wait_until_listening(self) -> None:
         listening = {h.host: h.listen.port for h in self._layout.hosts}
         for host, port in listening.items():
             process = self._running[host]
-            _wait_for(lambda p=port: is_listening(p), host, process)
+            _wait_until_ready(lambda p=port: is_listening(p), host, process)
 
 
 def is_listening(port: int) -> bool:
@@ -159,15 +159,15 @@
         return False
 
 
-def _wait_for(check, key: str, process: subprocess.Popen) -> None:
+def _wait_until_ready(is_ready, key: str, process: subprocess.Popen) -> None:
     deadline = time.monotonic() + READY_TIMEOUT_S
-    while not check():
+    while not is_ready():
         if process.poll() is not None or time.monotonic() > deadline:
-            raise ProcessFailed(key)
-        time.sleep(_POLL_S)
+            raise ProcessError(key)
+        time.sleep(_POLL_INTERVAL_S)
 
 
-def _wait_ended(process: subprocess.Popen) -> None:
+def _wait_for_exit(process: subprocess.Popen) -> None:
     try:
         process.wait(STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
--- a/packages/standins/src/trefoilpulley_standins/starting.py
+++ b/packages/standins/src/trefoilpulley_standins/starting.py
@@ -15,13 +15,13 @@
     from trefoilpulley_standins.deployment import Deployment
     from trefoilpulley_standins.layout import Layout
 
-EXAMPLES = Path('examples')
+EXAMPLES_DIR = Path('examples')
 """Directory of the declarations, from the root of the repository."""
 
 
 def load_declarations(deployment: Deployment) -> Declarations:
     """Return the declarations of a deployment's example."""
-    path = EXAMPLES / f'{deployment.name}.json'
+    path = EXAMPLES_DIR / f'{deployment.name}.json'
     return check_declarations(path.read_text(encoding='utf-8')).unwrap()
 
 
@@ -29,8 +29,8 @@
     """Return the layout of a deployment on free ports."""
     directory.mkdir(parents=True, exist_ok=True)
     for pattern in ('*.log', '*.out'):
-        for old in directory.glob(pattern):
-            old.unlink()
+        for stale in directory.glob(pattern):
+            stale.unlink()
     ports = PortAllocator()
     builder = LayoutBuilder(
         deployment, ports, load_declarations(deployment), directory, seed
