--- a/packages/standins/src/trefoilpulley_standins/__init__.py
+++ b/packages/standins/src/trefoilpulley_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for outside systems, and measuring tools."""
+"""Stand-ins for external systems, and measurement tools."""
--- a/packages/standins/src/trefoilpulley_standins/_options.py
+++ b/packages/standins/src/trefoilpulley_standins/_options.py
@@ -1,4 +1,4 @@
-"""Options that several commands share."""
+"""Command line options that several commands share."""
 
 from __future__ import annotations
 
@@ -13,4 +13,4 @@
     default='karamanlis',
     show_default=True,
 )
-"""Option that names one of the deployments."""
+"""Option that selects a deployment by name."""
--- a/packages/standins/src/trefoilpulley_standins/_ports.py
+++ b/packages/standins/src/trefoilpulley_standins/_ports.py
@@ -1,4 +1,4 @@
-"""Free TCP ports on loopback."""
+"""Allocates free TCP ports on the loopback interface."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from trefoilpulley_core.catalog import Endpoint
 
 LOOPBACK = '127.0.0.1'
-"""Address of every process of a deployment on one machine."""
+"""Address of all processes of a deployment on one machine."""
 
 PORT_RANGE = range(12_000, 32_000)
-"""Ports to choose from; connections get their own ports above them."""
+"""Ports to allocate, below the port range of outgoing connections."""
 
 
 class PortAllocator:
-    """Hands out free ports, none of them twice.
+    """Allocates free ports, each one only once.
 
-    A port stays bound until `release`, so that nobody else gets it in
-    the meantime.
+    Each port stays bound until `release`, so that no other process can
+    bind the port in the meantime.
     """
 
     def __init__(self) -> None:
@@ -26,14 +26,14 @@
         self._reserved: list[socket.socket] = []
 
     def next(self) -> Endpoint:
-        """Return an endpoint with a free port."""
+        """Return an endpoint with a newly allocated port."""
         while True:
             endpoint = Endpoint(LOOPBACK, self._rng.choice(PORT_RANGE))
             if self._reserve(endpoint):
                 return endpoint
 
     def release(self) -> None:
-        """Free the ports for the processes that will listen on them."""
+        """Unbind the ports so that the processes can bind them."""
         for sock in self._reserved:
             sock.close()
         self._reserved.clear()
--- a/packages/standins/src/trefoilpulley_standins/_process.py
+++ b/packages/standins/src/trefoilpulley_standins/_process.py
@@ -1,4 +1,4 @@
-"""Life of a stand-in process."""
+"""Start and termination of a stand-in process."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def announce_ports(name: str, **ports: int) -> None:
-    """Print one JSON line with the ports of something that now serves."""
+    """Print a JSON line with the ports on which a server now listens."""
     click.echo(json.dumps({'name': name, **ports}))
 
 
 def wait_for_termination() -> None:
-    """Wait for SIGTERM or SIGINT."""
+    """Wait until the process receives SIGTERM or SIGINT."""
     terminated = Event()
     gevent.signal_handler(signal.SIGTERM, terminated.set)
     gevent.signal_handler(signal.SIGINT, terminated.set)
--- a/packages/standins/src/trefoilpulley_standins/deployment.py
+++ b/packages/standins/src/trefoilpulley_standins/deployment.py
@@ -1,4 +1,4 @@
-"""Deployments that the stand-ins can start on one machine."""
+"""Deployments that the stand-ins can run on one machine."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Sizes and delays of one deployment."""
+    """Sizes, delays and workload of a deployment."""
 
     name: str
-    """Name of the deployment and of its declarations' example."""
+    """Name of the deployment, and of its file of example declarations."""
 
     region: str
-    """Region."""
+    """Region of all availability zones."""
 
     zones: tuple[str, ...]
     """Availability zones."""
@@ -22,10 +22,10 @@
     """Ledger that the databases belong to."""
 
     tenants: tuple[str, ...]
-    """Tenants with a secret each."""
+    """Tenants; each tenant gets a secret of its own."""
 
     schema: tuple[str, ...]
-    """Statements that lay out each database."""
+    """SQL statements that create the schema of each database."""
 
     table: str
     """Table that the workload uses."""
@@ -34,19 +34,19 @@
     """Class of work of the workload's transactions."""
 
     databases: int = 3
-    """Databases of the ledger."""
+    """Number of databases of the ledger."""
 
     members: int = 3
-    """Members of each database."""
+    """Number of members of each database."""
 
     slots: int = 2
-    """Slots of each member."""
+    """Number of slots of each member."""
 
     connections: int = 16
-    """Connections of each member."""
+    """Connection limit of each member."""
 
     connect_ms: float = 12.0
-    """Time that a new connection to a member costs, in milliseconds."""
+    """Time to open a connection to a member, in milliseconds."""
 
     zone_delay_ms: float = 3.0
     """One-way delay between availability zones, in milliseconds."""
@@ -55,27 +55,30 @@
     """One-way delay to callers, in milliseconds."""
 
     jitter_ms: float = 0.5
-    """Greatest delay added at random between zones, in milliseconds."""
+    """Maximum random delay added between zones, in milliseconds."""
 
     loss: float = 0.0005
-    """Share of the packets between zones that are sent again."""
+    """Share of the packets between zones that are lost and retransmitted."""
 
     lag_ms: float = 5.0
-    """Lag of the replicas in milliseconds."""
+    """Replication lag, in milliseconds."""
 
     hosts: int = 8
-    """Entry hosts."""
+    """Number of entry hosts."""
 
     def database_name(self, number: int) -> str:
         """Return the name of a database."""
         return f'{self.ledger}/{number}'
 
     def host_zone(self, number: int) -> str:
-        """Return the zone of an entry host."""
+        """Return the availability zone of an entry host."""
         return self.zones[number % len(self.zones)]
 
     def member_zone(self, database: int, number: int) -> str:
-        """Return the zone of a member; home primaries are spread."""
+        """Return the availability zone of a member.
+
+        The home primaries of the databases are distributed over the zones.
+        """
         return self.zones[(database + number) % len(self.zones)]
 
 
@@ -112,7 +115,7 @@
         zone_delay_ms=5.0,
     ),
 )
-"""Deployments by the sizes of today."""
+"""Available deployments."""
 
 
 def find_deployment(name: str) -> Deployment:
--- a/packages/standins/src/trefoilpulley_standins/launch.py
+++ b/packages/standins/src/trefoilpulley_standins/launch.py
@@ -1,4 +1,4 @@
-"""Command that starts a whole deployment on this machine."""
+"""Command that runs a whole deployment on this machine."""
 
 from __future__ import annotations
 
@@ -22,9 +22,11 @@
     type=click.Path(path_type=Path),
     default=Path('build/run'),
     show_default=True,
-    help='Directory of the settings files and logs.',
+    help='Directory of the settings files and log files.',
+)
+@click.option(
+    '--seed', default=1, help="Seed of the links' jitter and packet loss."
 )
-@click.option('--seed', default=1, help='Seed of the links.')
 def main(name: str, directory: Path, seed: int) -> None:
     """Run a deployment until SIGTERM or SIGINT."""
     layout = make_layout(find_deployment(name), directory, seed)
--- a/packages/standins/src/trefoilpulley_standins/layout.py
+++ b/packages/standins/src/trefoilpulley_standins/layout.py
@@ -1,4 +1,4 @@
-"""Addresses and settings of every process of a deployment."""
+"""Addresses and settings of all processes of a deployment."""
 
 from __future__ import annotations
 
@@ -42,17 +42,17 @@
     from trefoilpulley_standins.deployment import Deployment
 
 CALLER_ZONE = 'callers'
-"""Zone of the callers."""
+"""Name of the zone that the callers are in."""
 
 SEED_PEER_COUNT = 3
-"""Hosts that each host may ask while the service is out."""
+"""Number of peers that a host may ask during a platform service outage."""
 
 _SECRET_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRoute:
-    """Entry host as callers reach it."""
+    """Entry host with its address for callers."""
 
     host: str
     """Name of the host."""
@@ -61,21 +61,21 @@
     """Availability zone of the host."""
 
     endpoint: Endpoint
-    """Address of the link to the host."""
+    """Address of the caller's link to the host."""
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Settings of every process of a deployment."""
+    """Settings of all processes of a deployment."""
 
     deployment: Deployment
-    """Deployment."""
+    """Deployment that the processes belong to."""
 
     databases: tuple[DatabaseEntry, ...]
-    """Database groups with their own addresses."""
+    """Catalog entries of the databases, with the members' own addresses."""
 
     replication: dict[str, Endpoint]
-    """Replication address of each member."""
+    """Replication address of each member, by member name."""
 
     members: GroupSettings
     """Settings of the members."""
@@ -84,33 +84,33 @@
     """Settings of the entry hosts."""
 
     routes: tuple[CallerRoute, ...]
-    """Entry hosts as callers reach them."""
+    """Entry hosts with their addresses for callers."""
 
     platform_control: Endpoint
-    """Address for orders to the platform's service."""
+    """Control address of the platform service."""
 
     platform: PlatformSettings
-    """Settings of the platform's service."""
+    """Settings of the platform service."""
 
     links: LinksSettings
     """Settings of the links."""
 
 
 class LayoutBuilder:
-    """Assigns addresses, then derives every process's settings.
+    """Assigns addresses and derives the settings of all processes.
 
     Parameters
     ----------
     deployment : Deployment
-        Sizes and delays.
+        Sizes and delays of the deployment.
     ports : PortAllocator
-        Source of free ports.
+        Allocator of the ports.
     declarations : Declarations
-        Declarations in force at the start.
+        Declarations that are in force at the start.
     log_dir : Path
-        Directory of the hosts' logs.
+        Directory of the hosts' log files.
     seed : int
-        Seed of jitter and loss on the links.
+        Seed of the links' jitter and packet loss.
     """
 
     def __init__(
@@ -141,7 +141,7 @@
         self._operator_secret = secrets.token_hex(_SECRET_BYTES)
 
     def build(self) -> Layout:
-        """Return the settings of every process."""
+        """Return the settings of all processes."""
         members = self._make_member_settings()
         views = tuple(self._make_view(z) for z in self._deployment.zones)
         hosts = tuple(self._make_node_settings(h, views) for h in self._hosts)
--- a/packages/standins/src/trefoilpulley_standins/processes.py
+++ b/packages/standins/src/trefoilpulley_standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment on this machine."""
+"""Starts and stops the processes of a deployment on this machine."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
     from trefoilpulley_standins.layout import Layout
 
 READY_TIMEOUT_S = 15.0
-"""Longest wait for a process to serve, in seconds."""
+"""Longest wait until a process accepts connections, in seconds."""
 
 STOP_TIMEOUT_S = 5.0
-"""Longest wait for a process to end, in seconds."""
+"""Longest wait after SIGTERM until a process exits, in seconds."""
 
 _POLL_INTERVAL_S = 0.02
 
 
 class ProcessError(RuntimeError):
-    """A process ended or did not serve in time."""
+    """A process exited early, or was not ready in time."""
 
 
 class Processes:
-    """Starts and ends the processes of a layout.
+    """Starts and stops the processes of a layout.
 
     Parameters
     ----------
     layout : Layout
         Settings of the processes.
     directory : Path
-        Directory of the settings files and logs.
+        Directory of the settings files and log files.
     """
 
     def __init__(self, layout: Layout, directory: Path) -> None:
@@ -47,7 +47,7 @@
         self._running: dict[str, subprocess.Popen] = {}
 
     def start(self) -> None:
-        """Start all processes in the order of their needs."""
+        """Start all processes, in the order of their dependencies."""
         self._write_settings()
         control = str(self._layout.platform_control.port)
         platform = self._directory / 'platform.json'
@@ -63,12 +63,12 @@
         self._wait_until_listening()
 
     def start_member(self, name: str) -> None:
-        """Start one member."""
+        """Start a member."""
         path = self._directory / 'members.json'
         self._start_module('member', path, '--name', name, key=name)
 
     def restart_member(self, name: str) -> None:
-        """Start a member again that has lost its log."""
+        """Restart a member that has lost its log."""
         path = self._directory / 'rejoining.json'
         members = tuple(
             replace(m, is_rejoining=True) for m in self._layout.members.members
@@ -77,19 +77,19 @@
         self._start_module('member', path, '--name', name, key=name)
 
     def start_host(self, name: str) -> None:
-        """Start one entry host."""
+        """Start an entry host."""
         settings = self._directory / f'{name}.json'
         module = 'trefoilpulley_node.main'
         self._start(name, module, '--settings', settings)
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process and wait for its exit."""
         process = self._running.pop(name)
         process.kill()
         process.wait()
 
     def stop(self) -> None:
-        """End every process."""
+        """Terminate all processes, and kill those that do not exit in time."""
         for process in self._running.values():
             process.terminate()
         for process in self._running.values():
@@ -145,7 +145,7 @@
 
 
 def is_listening(port: int) -> bool:
-    """Return whether something accepts connections on a loopback port."""
+    """Return whether a process listens on a loopback port."""
     hexadecimal = f':{port:04X} 00000000:0000 0A'
     return hexadecimal in Path('/proc/net/tcp').read_text(encoding='ascii')
 
--- a/packages/standins/src/trefoilpulley_standins/starting.py
+++ b/packages/standins/src/trefoilpulley_standins/starting.py
@@ -1,4 +1,4 @@
-"""Starts a deployment from its example of declarations."""
+"""Starts a deployment with its example declarations."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     from trefoilpulley_standins.layout import Layout
 
 EXAMPLES_DIR = Path('examples')
-"""Directory of the declarations, from the root of the repository."""
+"""Directory of the example declarations, relative to the repository root."""
 
 
 def load_declarations(deployment: Deployment) -> Declarations:
-    """Return the declarations of a deployment's example."""
+    """Return the example declarations of a deployment."""
     path = EXAMPLES_DIR / f'{deployment.name}.json'
     return check_declarations(path.read_text(encoding='utf-8')).unwrap()
 
 
 def make_layout(deployment: Deployment, directory: Path, seed: int) -> Layout:
-    """Return the layout of a deployment on free ports."""
+    """Remove old logs and return a layout of a deployment on free ports."""
     directory.mkdir(parents=True, exist_ok=True)
     for pattern in ('*.log', '*.out'):
         for stale in directory.glob(pattern):
@@ -41,7 +41,7 @@
 
 
 def start_deployment(layout: Layout, directory: Path) -> Processes:
-    """Start every process of a layout."""
+    """Start all processes of a layout; stop them all if one fails."""
     processes = Processes(layout, directory)
     try:
         processes.start()
