--- a/packages/standins/src/trefoilpulley_standins/explore_host.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_host.py
@@ -96,7 +96,9 @@
         """Pause the process; the process does not notice the pause."""
         self._paused_until = self._cluster.now + duration_s
 
-    def _when_running(self, action: Callable[[], None]) -> Callable[[], None]:
+    def _defer_while_paused(
+        self, action: Callable[[], None]
+    ) -> Callable[[], None]:
         def run() -> None:
             if not self.is_up:
                 return
@@ -108,7 +110,7 @@
         return run
 
     def _tick(self) -> None:
-        self._when_running(self._tick_now)()
+        self._defer_while_paused(self._tick_now)()
 
     def _tick_now(self) -> None:
         cluster = self._cluster
@@ -167,7 +169,7 @@
             )
 
         def reply(result: Any) -> None:
-            self._when_running(lambda: finish(result))()
+            self._defer_while_paused(lambda: finish(result))()
 
         self._cluster.call_member(
             self.zone, call.member, call.message, call.timeout_s, reply
@@ -186,7 +188,7 @@
         if is_cut or not cluster.service.is_up:
             cluster.call_later(
                 SERVICE_TIMEOUT_S,
-                self._when_running(lambda: on_failure(False)),
+                self._defer_while_paused(lambda: on_failure(False)),
             )
             return
 
@@ -195,12 +197,12 @@
             if cluster.service.is_losing_answers:
                 cluster.call_later(
                     SERVICE_TIMEOUT_S,
-                    self._when_running(lambda: on_failure(True)),
+                    self._defer_while_paused(lambda: on_failure(True)),
                 )
                 return
             cluster.call_later(
                 cluster.service.delay_s / 2,
-                self._when_running(lambda: on_answer(answer)),
+                self._defer_while_paused(lambda: on_answer(answer)),
             )
 
         cluster.call_later(cluster.service.delay_s / 2, arrive)
--- a/packages/standins/src/trefoilpulley_standins/layout.py
+++ b/packages/standins/src/trefoilpulley_standins/layout.py
@@ -143,7 +143,7 @@
     def build(self) -> Layout:
         """Return the settings of all processes."""
         members = self._make_member_settings()
-        views = tuple(self._make_view(z) for z in self._deployment.zones)
+        views = tuple(self._make_zone_view(z) for z in self._deployment.zones)
         hosts = tuple(self._make_node_settings(h, views) for h in self._hosts)
         routes = tuple(
             CallerRoute(
@@ -161,7 +161,7 @@
             hosts,
             routes,
             self._ports.next(),
-            PlatformSettings(self._make_values(), views),
+            PlatformSettings(self._make_seed_values(), views),
             LinksSettings(
                 self._ports.next(),
                 tuple(self._links.values()),
@@ -177,31 +177,31 @@
         )
 
     def _make_database(self, number: int) -> DatabaseEntry:
-        dep = self._deployment
-        name = dep.database_name(number)
+        deployment = self._deployment
+        name = deployment.database_name(number)
         members = tuple(
             MemberEntry(
                 f'{name}/{string.ascii_lowercase[i]}',
-                dep.member_zone(number, i),
+                deployment.member_zone(number, i),
                 self._ports.next(),
-                dep.slots,
-                dep.connections,
+                deployment.slots,
+                deployment.connections,
             )
-            for i in range(dep.members)
+            for i in range(deployment.members)
         )
-        return DatabaseEntry(name, dep.ledger, members)
+        return DatabaseEntry(name, deployment.ledger, members)
 
     def _make_hosts(self) -> tuple[HostEntry, ...]:
-        dep = self._deployment
+        deployment = self._deployment
         return tuple(
             HostEntry(
                 f'host-{number}',
-                dep.region,
-                dep.host_zone(number),
+                deployment.region,
+                deployment.host_zone(number),
                 self._ports.next(),
                 self._ports.next(),
             )
-            for number in range(dep.hosts)
+            for number in range(deployment.hosts)
         )
 
     def _make_member_settings(self) -> GroupSettings:
@@ -216,7 +216,7 @@
     def _make_member(
         self, database: DatabaseEntry, member: MemberEntry
     ) -> MemberSettings:
-        dep = self._deployment
+        deployment = self._deployment
         peers = tuple(
             MemberPeer(
                 other.name,
@@ -233,14 +233,14 @@
             self._replication[member.name],
             database.members[0].name,
             peers,
-            dep.schema,
-            dep.slots,
-            dep.connections,
-            dep.connect_ms,
-            lag_ms=dep.lag_ms,
+            deployment.schema,
+            deployment.slots,
+            deployment.connections,
+            deployment.connect_ms,
+            lag_ms=deployment.lag_ms,
         )
 
-    def _make_view(self, zone: str) -> ZoneView:
+    def _make_zone_view(self, zone: str) -> ZoneView:
         targets = [
             (m.zone, m.endpoint) for d in self._databases for m in d.members
         ]
@@ -258,10 +258,10 @@
     def _make_node_settings(
         self, host: HostEntry, views: tuple[ZoneView, ...]
     ) -> NodeSettings:
-        dep = self._deployment
+        deployment = self._deployment
         platform = next(v.listen for v in views if v.zone == host.zone)
         return NodeSettings(
-            dep.name,
+            deployment.name,
             host.name,
             host.region,
             host.zone,
@@ -274,8 +274,8 @@
             self._secrets,
             self._make_seeds(host),
             tuple(
-                ZoneDistance(z, dep.zone_delay_ms)
-                for z in dep.zones
+                ZoneDistance(z, deployment.zone_delay_ms)
+                for z in deployment.zones
                 if z != host.zone
             ),
             log_path=str(self._log_dir / f'{host.name}.log'),
@@ -292,7 +292,7 @@
             for h in others[:SEED_PEER_COUNT]
         )
 
-    def _make_values(self) -> tuple[SeedValue, ...]:
+    def _make_seed_values(self) -> tuple[SeedValue, ...]:
         configuration = Configuration(1, 'start', self._declarations)
         values = {
             CATALOG_DATABASES_KEY: encode_databases(self._databases),
@@ -302,17 +302,24 @@
         return tuple(SeedValue(k, v.decode()) for k, v in values.items())
 
     def _make_qualities(self) -> tuple[Quality, ...]:
-        dep = self._deployment
+        deployment = self._deployment
         qualities = [
-            Quality(ZonePair(a, b), dep.zone_delay_ms, dep.jitter_ms, dep.loss)
-            for a in dep.zones
-            for b in dep.zones
+            Quality(
+                ZonePair(a, b),
+                deployment.zone_delay_ms,
+                deployment.jitter_ms,
+                deployment.loss,
+            )
+            for a in deployment.zones
+            for b in deployment.zones
             if a != b
         ]
-        for zone in dep.zones:
+        for zone in deployment.zones:
             pair = ZonePair(CALLER_ZONE, zone)
-            qualities.append(Quality(pair, dep.client_delay_ms))
-            qualities.append(Quality(pair.reversed, dep.client_delay_ms))
+            qualities.append(Quality(pair, deployment.client_delay_ms))
+            qualities.append(
+                Quality(pair.reversed, deployment.client_delay_ms)
+            )
         return tuple(qualities)
 
     def _reachable_endpoint(
