--- a/features/steps/routing_share_steps.py
+++ b/features/steps/routing_share_steps.py
@@ -24,12 +24,12 @@
 from trefoilpulley_core.routing import RouteRequest
 from trefoilpulley_core.routing_targets import TargetRouting
 from trefoilpulley_core.routing_thin import NearestRouting
-from trefoilpulley_standins.policy_cases import MEMBERS
-from trefoilpulley_standins.policy_cases import overload_of
+from trefoilpulley_standins.policy_cases import make_overload
+from trefoilpulley_standins.policy_cases import MEMBER_COUNT
 from trefoilpulley_standins.policy_deployment import DEPLOYMENTS
-from trefoilpulley_standins.policy_run import JUST_WRITTEN
 from trefoilpulley_standins.policy_run import Load
 from trefoilpulley_standins.policy_run import PolicyRun
+from trefoilpulley_standins.policy_run import READ_AFTER_WRITE
 
 if TYPE_CHECKING:
     from trefoilpulley_standins.policy_deployment import Deployment
@@ -80,7 +80,7 @@
     def replay_overload(context: Any, name: str) -> None:
         """Replay twice the load for which the deployment has slots."""
         deployment = _find_deployment(name)
-        _run(context, name, overload_of(deployment, 1.5))
+        _run(context, name, make_overload(deployment, 1.5))
 
     @staticmethod
     @when('{name} is replayed with a tenant that floods')
@@ -104,7 +104,7 @@
     )
     def check_reads_after_write(context: Any, share: float) -> None:
         """Compare the share of the reads after writes with the target."""
-        class_tally = context.tally[JUST_WRITTEN]
+        class_tally = context.tally[READ_AFTER_WRITE]
         assert class_tally.answered > 30
         assert class_tally.replica_share >= share, class_tally.replica_share
 
@@ -112,7 +112,7 @@
     @then('no read reported an age below the true age')
     def check_ages(context: Any) -> None:
         """Check that no reported age was below the true age."""
-        assert context.run.false_ages == 0
+        assert context.run.understated_ages == 0
 
     @staticmethod
     @then('every class meets its target')
@@ -213,7 +213,7 @@
         starts.append(TermStart(term, index + 1))
         index += draw(strategies.integers(1, 8))
     logs = [_truncated_log(starts, index)]
-    for _ in range(MEMBERS - 1):
+    for _ in range(MEMBER_COUNT - 1):
         logs.append(
             _truncated_log(starts, draw(strategies.integers(1, index)))
         )
--- a/packages/standins/src/trefoilpulley_standins/explore_faults.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_faults.py
@@ -1,4 +1,4 @@
-"""Faulty copies of the rules, which an exploration must find out."""
+"""Deliberate faults that an exploration must detect."""
 
 from __future__ import annotations
 
@@ -11,64 +11,64 @@
     from trefoilpulley_standins.explore_member import ModelMember
 
 
-class PromotionWithoutMajority(Promotion):
-    """Promotes as soon as one member is fenced."""
+class NoMajorityPromotion(Promotion):
+    """Promotes a member as soon as any one member is fenced."""
 
     def _is_fenced_enough(self, now: float) -> bool:
         return bool(self._fenced)
 
 
-class PromotionOfTheShortest(Promotion):
-    """Promotes the member whose log is the shortest."""
+class ShortestLogPromotion(Promotion):
+    """Promotes the fenced member with the shortest log."""
 
     def _most_advanced(self) -> str:
         return min(self._fenced, key=lambda n: self._fenced[n].history.last)
 
 
-class StateWithoutMajority(ExploredState):
-    """Uses `PromotionWithoutMajority`."""
+class NoMajorityState(ExploredState):
+    """Uses `NoMajorityPromotion`."""
 
     def make_promotion(
         self, term: int, names: list[str], now: float
     ) -> Promotion:
         """Return the faulty promotion."""
-        return PromotionWithoutMajority(self.entry, term, names, now)
+        return NoMajorityPromotion(self.entry, term, names, now)
 
 
-class StateWithTheShortest(ExploredState):
-    """Uses `PromotionOfTheShortest`."""
+class ShortestLogState(ExploredState):
+    """Uses `ShortestLogPromotion`."""
 
     def make_promotion(
         self, term: int, names: list[str], now: float
     ) -> Promotion:
         """Return the faulty promotion."""
-        return PromotionOfTheShortest(self.entry, term, names, now)
+        return ShortestLogPromotion(self.entry, term, names, now)
 
 
-class StateWithSharedTerms(ExploredState):
+class SharedTermsState(ExploredState):
     """Grants the same terms to both coordinators."""
 
     def next_term(self, index: int) -> int:
-        """Return a term that the other coordinator uses too."""
-        return 2 + self.used[index]
+        """Return a term that the other coordinator also uses."""
+        return 2 + self.promotion_counts[index]
 
 
-class StateWithOneCopy(ExploredState):
-    """Acknowledges what the primary alone holds."""
+class OneCopyState(ExploredState):
+    """Acknowledges writes that only the primary holds."""
 
     def copies_needed(self) -> int:
-        """Return too few members."""
+        """Return one, which is less than a majority."""
         return 1
 
     def on_write(self, primary: ModelMember) -> None:
-        """Acknowledge at once."""
-        self.count_copies(primary)
+        """Acknowledge the write without waiting for a replica."""
+        self.update_acknowledged(primary)
 
 
 FAULTY_RULES: dict[str, type[ExploredState]] = {
-    'no-majority': StateWithoutMajority,
-    'shortest-log': StateWithTheShortest,
-    'shared-terms': StateWithSharedTerms,
-    'one-copy': StateWithOneCopy,
+    'no-majority': NoMajorityState,
+    'shortest-log': ShortestLogState,
+    'shared-terms': SharedTermsState,
+    'one-copy': OneCopyState,
 }
-"""Faulty copies by name."""
+"""States with a deliberate fault, by the name of the fault."""
--- a/packages/standins/src/trefoilpulley_standins/explore_gaps.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_gaps.py
@@ -1,8 +1,8 @@
-"""Time without acknowledged writes on a virtual clock, over seeds.
+"""Measures the time without acknowledged writes on a virtual clock.
 
-``python -m trefoilpulley_standins.explore_gaps`` prints the median and
-the worst gap of failovers, returns and planned stops, and what the gap
-is made of, for both deployments.
+``python -m trefoilpulley_standins.explore_gaps`` prints the median
+and the worst gap of failovers, returns and planned stops over several
+seeds, and the parts of the gap, for both deployments.
 """
 
 from __future__ import annotations
@@ -15,157 +15,173 @@
 
 from trefoilpulley_core.coordination.commands import PrimaryPromoted
 from trefoilpulley_core.coordination.commands import PromotionBegan
-from trefoilpulley_standins.explore_script import Stage
+from trefoilpulley_standins.explore_script import ClusterSimulation
 from trefoilpulley_standins.explore_script import Step
 
-OUTAGE_S = 6.0
-"""Time at which the service goes out in the cases that need it."""
+SERVICE_OUTAGE_TIME_S = 6.0
+"""Time of the platform service's outage, in cases with an outage."""
 
-FAULT_S = 12.0
-"""Earliest time of the fault."""
+MIN_FAULT_TIME_S = 12.0
+"""Earliest time of the fault, in seconds."""
 
-SPREAD_S = 1.0
-"""Time over which the fault's moment is drawn."""
+FAULT_WINDOW_S = 1.0
+"""Window after the earliest time from which the fault's time is drawn."""
 
-WATCHED_S = 15.0
-"""Time for which writes are watched from the fault on."""
+OBSERVATION_DURATION_S = 15.0
+"""Time after the fault during which writes are observed, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Zones and hosts of one deployment."""
+    """Zones, delay and host count of one deployment."""
 
     name: str
-    """Name."""
+    """Name of the deployment."""
 
     zones: tuple[str, ...]
     """Availability zones."""
 
-    one_way_s: float
-    """Delay between two zones."""
+    one_way_delay_s: float
+    """One-way delay between two zones, in seconds."""
 
     host_count: int
-    """Entry hosts."""
+    """Number of entry hosts."""
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
-    """One kind of fault."""
+class FaultCase:
+    """Kind of fault to measure."""
 
     name: str
-    """Name."""
+    """Name of the case."""
 
     events: tuple[tuple[str, tuple[str, ...]], ...]
-    """What happens at the fault's time."""
+    """Events of the fault with their parties, in order."""
 
-    is_service_out: bool = False
-    """Whether the service is out before."""
+    is_service_down: bool = False
+    """Whether the platform service is down before the fault."""
 
     delay_s: float = 0.0
-    """Time from the first event to the others."""
+    """Time between two successive events, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class Gap:
-    """One gap and its parts, in milliseconds."""
+class WriteGap:
+    """Time without acknowledged writes and its parts, in milliseconds."""
 
     whole: float
-    """Last acknowledgement before to the first after the change."""
+    """Longest time between two successive acknowledgements."""
 
     detection: float
-    """Fault to the start of the promotion."""
+    """Time from the fault to the start of the promotion."""
 
     promotion: float
-    """Start of the promotion to the new primary."""
+    """Time from the start of the promotion to the new primary."""
 
     confirmation: float
-    """New primary to the first acknowledgement."""
+    """Time from the new primary to its first acknowledgement."""
 
     faults: int
-    """Breaches of what must always hold."""
+    """Number of violated invariants."""
 
 
 DEPLOYMENTS = (
     Deployment('karamanlis', ('a', 'b', 'c'), 0.003, 8),
     Deployment('sleevecraft', ('a', 'b', 'c', 'd'), 0.005, 7),
 )
-"""Sizes of today."""
+"""Deployments to measure."""
 
 _DOWN = ('member-down', ('ledger/0/a',))
 
 CASES = (
-    Case('primary dies', (_DOWN,)),
-    Case('primary isolated', (('member-isolated', ('ledger/0/a',)),)),
-    Case('primary cut from its zone', (('member-unpooled', ('ledger/0/a',)),)),
-    Case('zone of the primary cut off', (('zone-cut', ('a',)),)),
-    Case('coordinator dies with it', (('host-down', ('acting',)), _DOWN)),
-    Case('service out, primary dies', (_DOWN,), is_service_out=True),
-    Case(
+    FaultCase('primary dies', (_DOWN,)),
+    FaultCase('primary isolated', (('member-isolated', ('ledger/0/a',)),)),
+    FaultCase(
+        'primary cut from its zone', (('member-unpooled', ('ledger/0/a',)),)
+    ),
+    FaultCase('zone of the primary cut off', (('zone-cut', ('a',)),)),
+    FaultCase('coordinator dies with it', (('host-down', ('acting',)), _DOWN)),
+    FaultCase('service out, primary dies', (_DOWN,), is_service_down=True),
+    FaultCase(
         'service out, coordinator dies first',
         (('host-down', ('acting',)), _DOWN),
-        is_service_out=True,
+        is_service_down=True,
         delay_s=0.2,
     ),
-    Case('planned stop', (('stop-planned', ('a',)),)),
-    Case('primary leaves', (('member-leaving', ('ledger/0/a',)),)),
+    FaultCase('planned stop', (('stop-planned', ('a',)),)),
+    FaultCase('primary leaves', (('member-leaving', ('ledger/0/a',)),)),
 )
-"""Kinds of faults."""
-
-
-def measure(deployment: Deployment, case: Case, seed: int) -> Gap:
-    """Return the gap of one case for one seed."""
-    stage = Stage(
-        deployment.zones, deployment.one_way_s, seed, deployment.host_count
+"""Faults to measure."""
+
+
+def measure_gap(
+    deployment: Deployment, case: FaultCase, seed: int
+) -> WriteGap:
+    """Return the gap that a fault causes with one seed."""
+    simulation = ClusterSimulation(
+        deployment.zones,
+        deployment.one_way_delay_s,
+        seed,
+        deployment.host_count,
     )
-    at = FAULT_S + SPREAD_S * random.Random(seed).random()
-    if case.is_service_out:
-        stage.plan(Step(OUTAGE_S, 'service-down'))
+    fault_at = MIN_FAULT_TIME_S + FAULT_WINDOW_S * random.Random(seed).random()
+    if case.is_service_down:
+        simulation.schedule(Step(SERVICE_OUTAGE_TIME_S, 'service-down'))
     for index, (event, parties) in enumerate(case.events):
-        stage.plan(Step(at + index * case.delay_s, event, parties))
-    stage.world.run_until(at + WATCHED_S)
-    return _split(stage, at)
+        simulation.schedule(
+            Step(fault_at + index * case.delay_s, event, parties)
+        )
+    simulation.cluster.run_until(fault_at + OBSERVATION_DURATION_S)
+    return _measure_gap_parts(simulation, fault_at)
 
 
-def measure_return(deployment: Deployment, seed: int) -> Gap:
-    """Return the gap of the return after a failover."""
-    stage = Stage(
-        deployment.zones, deployment.one_way_s, seed, deployment.host_count
+def measure_return(deployment: Deployment, seed: int) -> WriteGap:
+    """Return the gap of the return to the home primary after a failover."""
+    simulation = ClusterSimulation(
+        deployment.zones,
+        deployment.one_way_delay_s,
+        seed,
+        deployment.host_count,
+    )
+    fault_at = MIN_FAULT_TIME_S + FAULT_WINDOW_S * random.Random(seed).random()
+    simulation.schedule(
+        Step(MIN_FAULT_TIME_S - 4.0, 'member-down', ('ledger/0/a',))
     )
-    at = FAULT_S + SPREAD_S * random.Random(seed).random()
-    stage.plan(Step(FAULT_S - 4.0, 'member-down', ('ledger/0/a',)))
-    stage.plan(Step(at, 'member-up', ('ledger/0/a',)))
-    stage.world.run_until(at + WATCHED_S)
-    return _split(stage, at)
+    simulation.schedule(Step(fault_at, 'member-up', ('ledger/0/a',)))
+    simulation.cluster.run_until(fault_at + OBSERVATION_DURATION_S)
+    return _measure_gap_parts(simulation, fault_at)
 
 
-def _split(stage: Stage, fault_at: float) -> Gap:
+def _measure_gap_parts(
+    simulation: ClusterSimulation, fault_at: float
+) -> WriteGap:
     notices = sorted(
         (
-            one
-            for host in stage.hosts
-            for one in host.notices
-            if one[0] >= fault_at
+            notice
+            for host in simulation.hosts
+            for notice in host.notices
+            if notice[0] >= fault_at
         ),
-        key=lambda one: one[0],
+        key=lambda notice: notice[0],
     )
-    began = [t for t, n in notices if isinstance(n, PromotionBegan)]
-    promoted = [t for t, n in notices if isinstance(n, PrimaryPromoted)]
-    history = stage.world.history
-    first = min(
-        (a.time for a in history.acknowledged if a.time > promoted[0]),
+    began_at = [t for t, n in notices if isinstance(n, PromotionBegan)]
+    promoted_at = [t for t, n in notices if isinstance(n, PrimaryPromoted)]
+    history = simulation.cluster.history
+    first_write_at = min(
+        (a.time for a in history.acknowledged if a.time > promoted_at[0]),
         default=float('inf'),
     )
-    members = stage.world.members.values()
-    return Gap(
-        1000 * history.gap_s(fault_at - 1.0),
-        1000 * (began[0] - fault_at),
-        1000 * (promoted[0] - began[0]),
-        1000 * (first - promoted[0]),
+    members = simulation.cluster.members.values()
+    return WriteGap(
+        1000 * history.longest_gap_s(fault_at - 1.0),
+        1000 * (began_at[0] - fault_at),
+        1000 * (promoted_at[0] - began_at[0]),
+        1000 * (first_write_at - promoted_at[0]),
         len(history.faults(members)),
     )
 
 
-def _describe(name: str, gaps: list[Gap]) -> str:
+def _format_gaps(name: str, gaps: list[WriteGap]) -> str:
     whole = [g.whole for g in gaps]
     parts = ' + '.join(
         f'{median(part):.0f}'
@@ -182,16 +198,16 @@
 
 
 @click.command()
-@click.option('--seeds', default=20, help='Seeds for each case.')
+@click.option('--seeds', default=20, help='Number of seeds for each case.')
 def main(seeds: int) -> None:
     """Print the gaps of every case, in milliseconds."""
     for deployment in DEPLOYMENTS:
         click.echo(f'{deployment.name}: fault to start + promote + confirm')
         for case in CASES:
-            gaps = [measure(deployment, case, s) for s in range(seeds)]
-            click.echo(_describe(case.name, gaps))
+            gaps = [measure_gap(deployment, case, s) for s in range(seeds)]
+            click.echo(_format_gaps(case.name, gaps))
         gaps = [measure_return(deployment, s) for s in range(seeds)]
-        click.echo(_describe('return', gaps))
+        click.echo(_format_gaps('return', gaps))
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/trefoilpulley_standins/explore_schedules.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_schedules.py
@@ -1,7 +1,8 @@
-"""Seeded schedules of several faults against the coordination.
+"""Runs the coordination against random schedules of several faults.
 
 ``python -m trefoilpulley_standins.explore_schedules --count 200`` runs
-so many schedules and prints each that breaks a rule, with its seed.
+that number of schedules. The command prints the seed and the verdict of
+each schedule that violates an invariant or does not settle.
 """
 
 from __future__ import annotations
@@ -12,23 +13,23 @@
 
 import click
 
-from trefoilpulley_standins.explore_script import Stage
+from trefoilpulley_standins.explore_script import ClusterSimulation
 from trefoilpulley_standins.explore_script import Step
 
-FAULTS_FROM_S = 8.0
-"""Time of the first fault."""
+FIRST_FAULT_TIME_S = 8.0
+"""Time of the first fault, in seconds."""
 
-FAULTS_UNTIL_S = 28.0
-"""Time of the last fault."""
+LAST_FAULT_TIME_S = 28.0
+"""Latest time of a fault, in seconds."""
 
-HEALED_S = 40.0
-"""Time at which every fault ends."""
+HEAL_TIME_S = 40.0
+"""Time at which all faults end, in seconds."""
 
-SETTLED_S = 160.0
-"""Time by which the home layout must stand again."""
+SETTLE_TIMEOUT_S = 160.0
+"""Time by which the home primary must lead again, in seconds."""
 
 ZONES = ('a', 'b', 'c', 'd')
-"""Availability zones; the first three have members."""
+"""Availability zones; each of the first three has a member."""
 
 
 _MEMBERS = tuple(f'ledger/0/{zone}' for zone in ZONES[:3])
@@ -41,7 +42,7 @@
     ('stop-planned', ('a',)),
     ('member-leaving', ('primary',)),
 )
-"""Events that begin a promotion or a handover, with their parties."""
+"""Events that cause a promotion or a handover, with their parties."""
 
 FAULTS = (
     ('member-down', ('primary',)),
@@ -58,9 +59,9 @@
     *(('stop-planned', (zone,)) for zone in ZONES),
     *(('link-cut', pair) for pair in combinations(ZONES, 2)),
 )
-"""Events that strike in the middle, with their parties."""
+"""Events that occur during a promotion or handover, with their parties."""
 
-ENDS = (
+FAULT_ENDS = (
     ('healed', ()),
     ('service-up', ()),
     *(('zone-joined', (zone,)) for zone in ZONES),
@@ -74,69 +75,71 @@
     """Outcome of one schedule."""
 
     faults: tuple[str, ...]
-    """Breaches of what must always hold."""
+    """Descriptions of the violated invariants."""
 
     is_settled: bool
-    """Whether the home primary leads and writes are acknowledged."""
+    """Whether the home primary leads and writes are acknowledged again."""
 
     promotions: int
-    """Promotions that began."""
+    """Number of promotions that began."""
 
 
 def make_schedule(rng: random.Random, fault_count: int) -> tuple[Step, ...]:
-    """Return faults at random times, the first one a lost primary."""
-    steps = [Step(FAULTS_FROM_S, *rng.choice(FIRST_FAULTS))]
+    """Return faults at random times after one that moves the primary."""
+    steps = [Step(FIRST_FAULT_TIME_S, *rng.choice(FIRST_FAULTS))]
     for _ in range(fault_count):
-        time = rng.uniform(FAULTS_FROM_S - 1.0, FAULTS_UNTIL_S)
+        time = rng.uniform(FIRST_FAULT_TIME_S - 1.0, LAST_FAULT_TIME_S)
         steps.append(Step(round(time, 3), *rng.choice(FAULTS)))
         end = time + rng.choice((0.2, 1.0, 4.0, 12.0))
-        steps.append(Step(round(end, 3), *rng.choice(ENDS)))
+        steps.append(Step(round(end, 3), *rng.choice(FAULT_ENDS)))
     return tuple(sorted(steps, key=lambda s: s.time))
 
 
-def play_schedule(steps: tuple[Step, ...], seed: int) -> Stage:
-    """Play a schedule, end the faults and let things settle."""
-    stage = Stage(ZONES, 0.005, seed, write_every_s=0.1)
+def run_schedule(steps: tuple[Step, ...], seed: int) -> ClusterSimulation:
+    """Run a schedule, end all faults and wait for the cluster to settle."""
+    simulation = ClusterSimulation(ZONES, 0.005, seed, write_interval_s=0.1)
     for step in steps:
-        stage.plan(step)
-    stage.plan(Step(HEALED_S, 'healed'))
+        simulation.schedule(step)
+    simulation.schedule(Step(HEAL_TIME_S, 'healed'))
     for zone in ZONES:
-        stage.plan(Step(HEALED_S, 'stop-cancelled', (zone,)))
-    for member in stage.world.entry.members:
-        stage.plan(Step(HEALED_S, 'member-staying', (member.name,)))
-    stage.world.run_until(SETTLED_S)
-    return stage
-
-
-def judge(stage: Stage) -> Verdict:
-    """Return what came of a stage."""
-    world = stage.world
-    leader = world.leader()
-    last = world.history.acknowledged[-1].time
-    home = world.entry.members[0].name
+        simulation.schedule(Step(HEAL_TIME_S, 'stop-cancelled', (zone,)))
+    for member in simulation.cluster.entry.members:
+        simulation.schedule(
+            Step(HEAL_TIME_S, 'member-staying', (member.name,))
+        )
+    simulation.cluster.run_until(SETTLE_TIMEOUT_S)
+    return simulation
+
+
+def evaluate(simulation: ClusterSimulation) -> Verdict:
+    """Return the verdict on a finished simulation."""
+    cluster = simulation.cluster
+    leader = cluster.leader()
+    last = cluster.history.acknowledged[-1].time
+    home = cluster.entry.members[0].name
     is_home = leader is not None and leader.name == home
-    names = [type(n).__name__ for h in stage.hosts for _, n in h.notices]
+    names = [type(n).__name__ for h in simulation.hosts for _, n in h.notices]
     return Verdict(
-        tuple(world.history.faults(world.members.values())),
-        is_home and last > world.now - 1.0,
+        tuple(cluster.history.faults(cluster.members.values())),
+        is_home and last > cluster.now - 1.0,
         names.count('PromotionBegan'),
     )
 
 
 @click.command()
-@click.option('--count', default=200, help='Schedules to run.')
-@click.option('--first-seed', default=0, help='Seed of the first one.')
+@click.option('--count', default=200, help='Number of schedules to run.')
+@click.option('--first-seed', default=0, help='Seed of the first schedule.')
 def main(count: int, first_seed: int) -> None:
-    """Run schedules of two and three faults and print the breaches."""
-    broken = 0
+    """Run schedules of two and three faults and print the failed ones."""
+    broken_count = 0
     for seed in range(first_seed, first_seed + count):
         steps = make_schedule(random.Random(seed), 1 + seed % 2)
-        verdict = judge(play_schedule(steps, seed))
+        verdict = evaluate(run_schedule(steps, seed))
         if verdict.faults or not verdict.is_settled:
-            broken += 1
+            broken_count += 1
             click.echo(f'seed {seed}: {verdict}')
-    click.echo(f'{count} schedules, {broken} broken')
-    raise SystemExit(broken > 0)
+    click.echo(f'{count} schedules, {broken_count} broken')
+    raise SystemExit(broken_count > 0)
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/trefoilpulley_standins/explore_state.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_state.py
@@ -1,7 +1,7 @@
 """State of a bounded exploration: members, two coordinators, messages.
 
-Time stands still but for the ticks that a coordinator is given, so that
-a state is reached by any order of the same events once only.
+Time advances only by a coordinator's ticks. Different orders of the same
+events can therefore lead to the same state, which is visited only once.
 """
 
 from __future__ import annotations
@@ -45,41 +45,41 @@
     from trefoilpulley_standins.explore_member import ModelMember
 
 TICK_S = 0.2
-"""Time that a tick lets pass for a coordinator."""
+"""Time by which one tick advances a coordinator's clock, in seconds."""
 
-EXPIRY_S = 2.1
-"""Time after which a coordinator gives its attempt up."""
+ATTEMPT_TIMEOUT_S = 2.1
+"""Time after which a coordinator abandons an attempt, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class Flight:
-    """One message on its way."""
+class InFlightCall:
+    """Call from a coordinator to a member, or the reply, in transit."""
 
     coordinator: int
-    """Coordinator that sent it."""
+    """Index of the coordinator that sent the call."""
 
     call: CallMember
-    """The call."""
+    """Call to the member."""
 
     sent_at: float
-    """The coordinator's time when it left."""
+    """Time on the coordinator's clock when the call was sent, in seconds."""
 
     reply: Any = None
-    """Result on its way back; ``None`` on the way there."""
+    """Result in transit to the coordinator; ``None`` before execution."""
 
     is_late: bool = False
-    """Whether the coordinator has given up waiting for it."""
+    """Whether the call has already timed out at the coordinator."""
 
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """Progress of a replica on its way to its primary."""
+    """Confirmation from a replica to its primary, in transit."""
 
     primary: str
-    """Primary."""
+    """Name of the primary."""
 
     member: str
-    """Replica."""
+    """Name of the replica."""
 
     term: int
     """Term that the replica follows."""
@@ -89,8 +89,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
-    """Events that may still happen."""
+class EventBudget:
+    """Number of events of each kind that may still happen."""
 
     starts: tuple[int, int] = (1, 1)
     """Promotions that each coordinator may begin."""
@@ -99,144 +99,144 @@
     """Handovers that the first coordinator may begin."""
 
     writes: int = 1
-    """Writes of the callers."""
+    """Writes that the callers may send."""
 
-    losses: int = 1
-    """Messages whose sender gives up waiting."""
+    call_timeouts: int = 1
+    """Calls that may time out at the coordinator."""
 
     outages: int = 1
-    """Times at which the first primary is cut off."""
+    """Outages that may cut off the first primary."""
 
     ticks: int = 1
-    """Ticks of the coordinators."""
+    """Ticks that the coordinators may make."""
 
     delays: int = 0
-    """Replies that other events may overtake."""
+    """Replies and confirmations that other events may overtake."""
 
-    expiries: int = 0
-    """Attempts that are given up for taking too long."""
+    attempt_timeouts: int = 0
+    """Attempts that a coordinator may abandon for taking too long."""
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """One write that a primary has taken."""
+    """Write that a primary has appended to its log."""
 
     member: str
-    """Primary."""
+    """Name of the primary."""
 
     position: Position
-    """Place in its log."""
+    """Position of the write in the primary's log."""
 
     value: str
-    """Content."""
+    """Content of the write."""
 
 
 class ExploredState:
-    """Everything that a step of the exploration may change.
+    """All values that a step of the exploration may change.
 
     Parameters
     ----------
     entry : DatabaseEntry
         Members of the database.
     members : dict[str, ModelMember]
-        Models of the members.
-    budget : Budget
-        Events that may happen.
+        Models of the members, by name.
+    budget : EventBudget
+        Bound on the events.
     """
 
     def __init__(
         self,
         entry: DatabaseEntry,
         members: dict[str, ModelMember],
-        budget: Budget,
+        budget: EventBudget,
     ) -> None:
         self.entry = entry
         """Members of the database."""
 
         self.members = members
-        """Models of the members."""
+        """Models of the members, by name."""
 
         self.budget = budget
-        """Events that may still happen."""
+        """Bound on the events that may still happen."""
 
-        self.cut_off: frozenset[str] = frozenset()
-        """Members that nothing reaches."""
+        self.cut_off_members: frozenset[str] = frozenset()
+        """Members that no message can reach."""
 
-        self.flights: frozenset[Flight] = frozenset()
-        """Control messages on their way."""
+        self.in_flight_calls: frozenset[InFlightCall] = frozenset()
+        """Calls and replies in transit."""
 
         self.confirmations: frozenset[Confirmation] = frozenset()
-        """Confirmations on their way."""
+        """Confirmations in transit."""
 
-        self.times = [0.0, 0.0]
-        """Time of each coordinator."""
+        self.coordinator_times = [0.0, 0.0]
+        """Clock of each coordinator, in seconds."""
 
-        self.used = [0, 0]
-        """Promotions that each coordinator has begun."""
+        self.promotion_counts = [0, 0]
+        """Number of promotions that each coordinator has begun."""
 
         self.promotions: list[Promotion | None] = [None, None]
-        """Promotion of each coordinator."""
+        """Current promotion of each coordinator."""
 
         self.handover: Handover | None = None
-        """Handover of the first coordinator."""
+        """Current handover of the first coordinator."""
 
-        self.hold = False
-        """Whether the first primary's writes are held."""
+        self.are_writes_paused = False
+        """Whether the first primary's writes are paused."""
 
         self.writes: tuple[Write, ...] = ()
-        """Writes that primaries have taken."""
+        """Writes that primaries have appended to their logs."""
 
         self.acknowledged: frozenset[Write] = frozenset()
-        """Writes that callers were told of."""
+        """Writes that were acknowledged to the callers."""
 
-        self.late: frozenset[Write] = frozenset()
-        """Writes acknowledged after a later term had its majority."""
+        self.late_acknowledged: frozenset[Write] = frozenset()
+        """Writes that were acknowledged after a later term had a majority."""
 
-        self.leads: frozenset[tuple[int, str]] = frozenset()
-        """Terms and the members that collected a majority for them."""
+        self.majorities: frozenset[tuple[int, str]] = frozenset()
+        """Terms with a majority, each with the member that leads the term."""
 
     def clone(self) -> ExploredState:
-        """Return a copy that may be changed."""
-        other = copy.copy(self)
-        other.members = {n: clone_member(m) for n, m in self.members.items()}
-        other.times = list(self.times)
-        other.used = list(self.used)
-        other.promotions = [clone_operation(p) for p in self.promotions]
-        other.handover = clone_operation(self.handover)
-        return other
+        """Return an independent copy of the state."""
+        copied = copy.copy(self)
+        copied.members = {n: clone_member(m) for n, m in self.members.items()}
+        copied.coordinator_times = list(self.coordinator_times)
+        copied.promotion_counts = list(self.promotion_counts)
+        copied.promotions = [clone_operation(p) for p in self.promotions]
+        copied.handover = clone_operation(self.handover)
+        return copied
 
     def key(self) -> tuple[Any, ...]:
-        """Return what tells this state from others."""
+        """Return a hashable key that identifies the state."""
         return (
             tuple(member_key(m) for m in self.members.values()),
-            self.cut_off,
-            self.flights,
+            self.cut_off_members,
+            self.in_flight_calls,
             self.confirmations,
-            tuple(self.times),
+            tuple(self.coordinator_times),
             tuple(operation_key(p) for p in self.promotions),
             operation_key(self.handover),
-            self.hold,
+            self.are_writes_paused,
             self.writes,
             self.acknowledged,
-            self.late,
-            self.leads,
+            self.late_acknowledged,
+            self.majorities,
             self.budget,
         )
 
-    def spend(self, **changes: Any) -> None:
-        """Take events from the budget."""
+    def consume_budget(self, **changes: Any) -> None:
+        """Change the numbers of events that may still happen."""
         self.budget = replace(self.budget, **changes)
 
     def send(self, coordinator: int, commands: tuple[Any, ...]) -> None:
-        """Put a coordinator's calls on their way."""
-        sent_at = self.times[coordinator]
+        """Send a coordinator's calls to members."""
+        sent_at = self.coordinator_times[coordinator]
         for command in commands:
             if isinstance(command, CallMember):
-                flight = Flight(coordinator, command, sent_at)
-                self.flights |= {flight}
+                in_flight = InFlightCall(coordinator, command, sent_at)
+                self.in_flight_calls |= {in_flight}
 
-    def serve(self, call: CallMember) -> Any:
-        """Have a member carry out a call; return the result."""
+    def apply_call(self, call: CallMember) -> Any:
+        """Execute a call at its member; return the result."""
         member = self.members[call.member]
         match call.message:
             case FenceMember(_, term):
@@ -246,10 +246,10 @@
             case FollowMember(_, term, primary):
                 is_done = member.follow(term, primary, 0.0)
             case PauseWrites():
-                self.hold = True
+                self.are_writes_paused = True
                 return Success(PauseReport(0))
             case ResumeWrites():
-                self.hold = False
+                self.are_writes_paused = False
                 return Success(PooledDone())
             case WarmConnections():
                 return Success(PooledDone())
@@ -259,34 +259,38 @@
             return Failed(StaleTerm())
         return Success(StatusReport(member.status(0.0)))
 
-    def finish(self, flight: Flight, result: Any) -> None:
-        """Tell a coordinator the outcome of its call."""
-        self.flights -= {flight}
-        index = flight.coordinator
-        now = self.times[index]
-        done = CallDone(flight.call, flight.sent_at, result)
+    def complete_call(self, in_flight: InFlightCall, result: Any) -> None:
+        """Deliver the result of a call to its coordinator."""
+        self.in_flight_calls -= {in_flight}
+        index = in_flight.coordinator
+        now = self.coordinator_times[index]
+        done = CallDone(in_flight.call, in_flight.sent_at, result)
         promotion = self.promotions[index]
         if promotion is not None:
             self.send(index, promotion.on_call_done(done, now))
         elif index == 0 and self.handover is not None:
             self.send(0, self.handover.on_call_done(done, now))
-        self.settle(index)
+        self.advance(index)
 
-    def give_up(self, flight: Flight) -> None:
-        """Have a coordinator stop to wait for a call."""
-        self.finish(flight, Failed(PeerUnreachable()))
-        if flight.reply is None:
-            self.flights |= {replace(flight, is_late=True)}
+    def time_out_call(self, in_flight: InFlightCall) -> None:
+        """Let a call time out at its coordinator.
 
-    def settle(self, index: int) -> None:
-        """Move a coordinator to what follows its last step."""
+        A call that its member has not yet executed stays in transit and
+        may still be executed.
+        """
+        self.complete_call(in_flight, Failed(PeerUnreachable()))
+        if in_flight.reply is None:
+            self.in_flight_calls |= {replace(in_flight, is_late=True)}
+
+    def advance(self, index: int) -> None:
+        """Remove a finished promotion, and advance the handover."""
         promotion = self.promotions[index]
         if promotion is not None and promotion.stage.is_over:
             self.promotions[index] = None
         if index == 0 and self.handover is not None:
-            self._settle_handover()
+            self._advance_handover()
 
-    def _settle_handover(self) -> None:
+    def _advance_handover(self) -> None:
         stage = self.handover.stage
         if stage is HandoverStage.ABANDONED:
             self.handover = None
@@ -295,84 +299,92 @@
             self.handover = None
             self.begin_promotion(0, target)
 
-    def begin_promotion(self, index: int, wanted: str) -> None:
-        """Have a coordinator begin its next term."""
+    def begin_promotion(self, index: int, preferred: str) -> None:
+        """Begin a promotion with a coordinator's next term."""
         term = self.next_term(index)
-        self.used[index] += 1
+        self.promotion_counts[index] += 1
         names = [m.name for m in self.entry.members]
-        names.sort(key=lambda n: n != wanted)
-        promotion = self.make_promotion(term, names, self.times[index])
+        names.sort(key=lambda n: n != preferred)
+        promotion = self.make_promotion(
+            term, names, self.coordinator_times[index]
+        )
         self.promotions[index] = promotion
-        self.send(index, promotion.on_tick(self.times[index]))
+        self.send(index, promotion.on_tick(self.coordinator_times[index]))
 
     def next_term(self, index: int) -> int:
-        """Return the next term granted to a coordinator."""
-        return 2 + index + 2 * self.used[index]
+        """Return a coordinator's next term; no term is used by both."""
+        return 2 + index + 2 * self.promotion_counts[index]
 
     def make_promotion(
         self, term: int, names: list[str], now: float
     ) -> Promotion:
-        """Return a promotion by the product's rule."""
+        """Return a promotion with the production rules."""
         return Promotion(self.entry, term, names, now)
 
     def begin_handover(self, target: str) -> None:
-        """Have the first coordinator begin a handover."""
+        """Begin a handover by the first coordinator."""
         source = self.entry.members[0].name
         record = HandoverRecord('h', 'c0', source, target)
-        self.handover = Handover(self.entry, record, self.times[0])
+        self.handover = Handover(self.entry, record, self.coordinator_times[0])
         self.handover.begin()
         self._record_handover(record)
-        self.times[0] += EXPIRY_S
-        self.handover.on_tick(self.times[0])
-        marked = replace(record, step=HandoverStep.SWITCHING)
-        self._record_handover(marked)
+        self.coordinator_times[0] += ATTEMPT_TIMEOUT_S
+        self.handover.on_tick(self.coordinator_times[0])
+        switching = replace(record, step=HandoverStep.SWITCHING)
+        self._record_handover(switching)
 
     def _record_handover(self, record: HandoverRecord) -> None:
         stored = DatabaseRecord(self.entry.name, handover=record)
-        self.send(0, self.handover.on_record(stored, self.times[0]))
+        self.send(
+            0, self.handover.on_record(stored, self.coordinator_times[0])
+        )
 
-    def tick(self, index: int, passed_s: float) -> None:
-        """Let time pass for a coordinator."""
-        self.times[index] = round(self.times[index] + passed_s, 3)
-        now = self.times[index]
+    def tick(self, index: int, elapsed_s: float) -> None:
+        """Advance a coordinator's clock by a time in seconds."""
+        self.coordinator_times[index] = round(
+            self.coordinator_times[index] + elapsed_s, 3
+        )
+        now = self.coordinator_times[index]
         promotion = self.promotions[index]
         if promotion is not None:
             self.send(index, promotion.on_tick(now))
         elif index == 0 and self.handover is not None:
             self.send(0, self.handover.on_tick(now))
-        self.settle(index)
+        self.advance(index)
 
     def confirm(self, message: Confirmation) -> None:
-        """Tell a primary of a replica's progress."""
+        """Deliver a replica's confirmation to its primary."""
         self.confirmations -= {message}
         primary = self.members[message.primary]
         primary.confirm(message.member, message.term, message.position)
         if primary.is_primary:
-            self.count_copies(primary)
+            self.update_acknowledged(primary)
 
     def copies_needed(self) -> int:
-        """Return the members that must hold a write."""
+        """Return the number of members that must hold a write."""
         return self.entry.majority
 
     def on_write(self, primary: ModelMember) -> None:
-        """Note that a primary has taken a write."""
+        """Handle a write that a primary has appended to its log."""
 
-    def count_copies(self, primary: ModelMember) -> None:
-        """Acknowledge the writes of a primary that have their copies."""
+    def update_acknowledged(self, primary: ModelMember) -> None:
+        """Acknowledge the writes of a primary that have enough copies."""
         copies = self.copies_needed()
         has_term = any(
             p.term == primary.term for p in primary.confirmed.values()
         )
         if has_term or copies == 1:
-            self.leads |= {(primary.term, primary.name)}
+            self.majorities |= {(primary.term, primary.name)}
         ready = frozenset(
             w
             for w in self.writes
             if w.member == primary.name
             and w.position.term == primary.term
-            and primary.copies_of(w.position) >= copies
+            and primary.copy_count(w.position) >= copies
         )
-        fresh = ready - self.acknowledged
-        if fresh and any(term > primary.term for term, _ in self.leads):
-            self.late |= fresh
+        newly_acknowledged = ready - self.acknowledged
+        if newly_acknowledged and any(
+            term > primary.term for term, _ in self.majorities
+        ):
+            self.late_acknowledged |= newly_acknowledged
         self.acknowledged |= ready
--- a/packages/standins/src/trefoilpulley_standins/layout.py
+++ b/packages/standins/src/trefoilpulley_standins/layout.py
@@ -1,4 +1,4 @@
-"""Addresses and settings of every process of a deployment."""
+"""Addresses and settings of all processes of a deployment."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
     from trefoilpulley_core.declarations import Declarations
     from trefoilpulley_standins.deployment import Deployment
 
-CALLERS_ZONE = 'callers'
-"""Zone of the callers."""
+CALLER_ZONE = 'callers'
+"""Name of the zone that the callers are in."""
 
-SEED_PEERS = 3
-"""Hosts that each host may ask while the service is out."""
+SEED_PEER_COUNT = 3
+"""Number of peers that a host may ask during a platform service outage."""
 
 _SECRET_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRoute:
-    """Entry host as callers reach it."""
+    """Entry host with its address for callers."""
 
     host: str
     """Name of the host."""
@@ -61,21 +61,21 @@
     """Availability zone of the host."""
 
     endpoint: Endpoint
-    """Address of the link to the host."""
+    """Address of the caller's link to the host."""
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Settings of every process of a deployment."""
+    """Settings of all processes of a deployment."""
 
     deployment: Deployment
-    """Deployment."""
+    """Deployment that the processes belong to."""
 
     databases: tuple[DatabaseEntry, ...]
-    """Database groups with their own addresses."""
+    """Catalog entries of the databases, with the members' own addresses."""
 
     replication: dict[str, Endpoint]
-    """Replication address of each member."""
+    """Replication address of each member, by member name."""
 
     members: GroupSettings
     """Settings of the members."""
@@ -84,33 +84,33 @@
     """Settings of the entry hosts."""
 
     routes: tuple[CallerRoute, ...]
-    """Entry hosts as callers reach them."""
+    """Entry hosts with their addresses for callers."""
 
     platform_control: Endpoint
-    """Address for orders to the platform's service."""
+    """Control address of the platform service."""
 
     platform: PlatformSettings
-    """Settings of the platform's service."""
+    """Settings of the platform service."""
 
     links: LinksSettings
     """Settings of the links."""
 
 
 class LayoutBuilder:
-    """Assigns addresses, then derives every process's settings.
+    """Assigns addresses and derives the settings of all processes.
 
     Parameters
     ----------
     deployment : Deployment
-        Sizes and delays.
+        Sizes and delays of the deployment.
     ports : PortAllocator
-        Source of free ports.
+        Allocator of the ports.
     declarations : Declarations
-        Declarations in force at the start.
+        Declarations that are in force at the start.
     log_dir : Path
-        Directory of the hosts' logs.
+        Directory of the hosts' log files.
     seed : int
-        Seed of jitter and loss on the links.
+        Seed of the links' jitter and packet loss.
     """
 
     def __init__(
@@ -141,13 +141,15 @@
         self._operator_secret = secrets.token_hex(_SECRET_BYTES)
 
     def build(self) -> Layout:
-        """Return the settings of every process."""
+        """Return the settings of all processes."""
         members = self._make_member_settings()
-        views = tuple(self._make_view(z) for z in self._deployment.zones)
+        views = tuple(self._make_zone_view(z) for z in self._deployment.zones)
         hosts = tuple(self._make_node_settings(h, views) for h in self._hosts)
         routes = tuple(
             CallerRoute(
-                h.name, h.zone, self._reach(CALLERS_ZONE, h.zone, h.endpoint)
+                h.name,
+                h.zone,
+                self._reachable_endpoint(CALLER_ZONE, h.zone, h.endpoint),
             )
             for h in self._hosts
         )
@@ -159,7 +161,7 @@
             hosts,
             routes,
             self._ports.next(),
-            PlatformSettings(self._make_values(), views),
+            PlatformSettings(self._make_seed_values(), views),
             LinksSettings(
                 self._ports.next(),
                 tuple(self._links.values()),
@@ -175,31 +177,31 @@
         )
 
     def _make_database(self, number: int) -> DatabaseEntry:
-        dep = self._deployment
-        name = dep.name_of_database(number)
+        deployment = self._deployment
+        name = deployment.database_name(number)
         members = tuple(
             MemberEntry(
                 f'{name}/{string.ascii_lowercase[i]}',
-                dep.zone_of_member(number, i),
+                deployment.member_zone(number, i),
                 self._ports.next(),
-                dep.slots,
-                dep.connections,
+                deployment.slots,
+                deployment.connections,
             )
-            for i in range(dep.members)
+            for i in range(deployment.members)
         )
-        return DatabaseEntry(name, dep.ledger, members)
+        return DatabaseEntry(name, deployment.ledger, members)
 
     def _make_hosts(self) -> tuple[HostEntry, ...]:
-        dep = self._deployment
+        deployment = self._deployment
         return tuple(
             HostEntry(
                 f'host-{number}',
-                dep.region,
-                dep.zone_of_host(number),
+                deployment.region,
+                deployment.host_zone(number),
                 self._ports.next(),
                 self._ports.next(),
             )
-            for number in range(dep.hosts)
+            for number in range(deployment.hosts)
         )
 
     def _make_member_settings(self) -> GroupSettings:
@@ -214,11 +216,11 @@
     def _make_member(
         self, database: DatabaseEntry, member: MemberEntry
     ) -> MemberSettings:
-        dep = self._deployment
+        deployment = self._deployment
         peers = tuple(
             MemberPeer(
                 other.name,
-                self._reach(
+                self._reachable_endpoint(
                     member.zone, other.zone, self._replication[other.name]
                 ),
             )
@@ -231,20 +233,23 @@
             self._replication[member.name],
             database.members[0].name,
             peers,
-            dep.schema,
-            dep.slots,
-            dep.connections,
-            dep.connect_ms,
-            lag_ms=dep.lag_ms,
+            deployment.schema,
+            deployment.slots,
+            deployment.connections,
+            deployment.connect_ms,
+            lag_ms=deployment.lag_ms,
         )
 
-    def _make_view(self, zone: str) -> ZoneView:
+    def _make_zone_view(self, zone: str) -> ZoneView:
         targets = [
             (m.zone, m.endpoint) for d in self._databases for m in d.members
         ]
         targets.extend((h.zone, h.peer_endpoint) for h in self._hosts)
         routes = tuple(
-            PortRoute(endpoint.port, self._reach(zone, other, endpoint).port)
+            PortRoute(
+                endpoint.port,
+                self._reachable_endpoint(zone, other, endpoint).port,
+            )
             for other, endpoint in targets
             if other != zone
         )
@@ -253,10 +258,10 @@
     def _make_node_settings(
         self, host: HostEntry, views: tuple[ZoneView, ...]
     ) -> NodeSettings:
-        dep = self._deployment
+        deployment = self._deployment
         platform = next(v.listen for v in views if v.zone == host.zone)
         return NodeSettings(
-            dep.name,
+            deployment.name,
             host.name,
             host.region,
             host.zone,
@@ -269,8 +274,8 @@
             self._secrets,
             self._make_seeds(host),
             tuple(
-                ZoneDistance(z, dep.zone_delay_ms)
-                for z in dep.zones
+                ZoneDistance(z, deployment.zone_delay_ms)
+                for z in deployment.zones
                 if z != host.zone
             ),
             log_path=str(self._log_dir / f'{host.name}.log'),
@@ -280,11 +285,14 @@
         others = [h for h in self._hosts if h.name != host.name]
         others.sort(key=lambda h: (h.zone != host.zone, h.name))
         return tuple(
-            SeedPeer(h.name, self._reach(host.zone, h.zone, h.peer_endpoint))
-            for h in others[:SEED_PEERS]
+            SeedPeer(
+                h.name,
+                self._reachable_endpoint(host.zone, h.zone, h.peer_endpoint),
+            )
+            for h in others[:SEED_PEER_COUNT]
         )
 
-    def _make_values(self) -> tuple[SeedValue, ...]:
+    def _make_seed_values(self) -> tuple[SeedValue, ...]:
         configuration = Configuration(1, 'start', self._declarations)
         values = {
             CATALOG_DATABASES_KEY: encode_databases(self._databases),
@@ -294,20 +302,29 @@
         return tuple(SeedValue(k, v.decode()) for k, v in values.items())
 
     def _make_qualities(self) -> tuple[Quality, ...]:
-        dep = self._deployment
-        between = [
-            Quality(ZonePair(a, b), dep.zone_delay_ms, dep.jitter_ms, dep.loss)
-            for a in dep.zones
-            for b in dep.zones
+        deployment = self._deployment
+        qualities = [
+            Quality(
+                ZonePair(a, b),
+                deployment.zone_delay_ms,
+                deployment.jitter_ms,
+                deployment.loss,
+            )
+            for a in deployment.zones
+            for b in deployment.zones
             if a != b
         ]
-        for zone in dep.zones:
-            pair = ZonePair(CALLERS_ZONE, zone)
-            between.append(Quality(pair, dep.client_delay_ms))
-            between.append(Quality(pair.reversed, dep.client_delay_ms))
-        return tuple(between)
+        for zone in deployment.zones:
+            pair = ZonePair(CALLER_ZONE, zone)
+            qualities.append(Quality(pair, deployment.client_delay_ms))
+            qualities.append(
+                Quality(pair.reversed, deployment.client_delay_ms)
+            )
+        return tuple(qualities)
 
-    def _reach(self, zone: str, other: str, target: Endpoint) -> Endpoint:
+    def _reachable_endpoint(
+        self, zone: str, other: str, target: Endpoint
+    ) -> Endpoint:
         if zone == other:
             return target
         link = self._links.get((zone, target))
--- a/packages/standins/src/trefoilpulley_standins/measure/fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/fleet.py
@@ -107,9 +107,9 @@
 
 
 def _measure_busiest_second(fleet: DocumentFleet) -> float:
-    fleet.take_service_down()
+    fleet.start_service_outage()
     fleet.run(SETTLE_DURATION_S)
-    fleet.bring_service_up()
+    fleet.end_service_outage()
     calls_per_s = []
     for _ in range(int(RECOVERY_DURATION_S)):
         calls = fleet.service.calls.total()
--- a/packages/standins/src/trefoilpulley_standins/membership_fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/membership_fleet.py
@@ -1,4 +1,4 @@
-"""Many hosts' membership decisions on one virtual clock."""
+"""Simulates the membership of many hosts on one virtual clock."""
 
 from __future__ import annotations
 
@@ -26,87 +26,87 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-ZONE_DELAY_S = 0.0005
-"""One-way delay inside a zone, in seconds."""
+INTRA_ZONE_DELAY_S = 0.0005
+"""One-way delay within an availability zone, in seconds."""
 
-REGION_DELAY_S = 0.005
-"""One-way delay between zones, in seconds."""
+INTER_ZONE_DELAY_S = 0.005
+"""One-way delay between availability zones, in seconds."""
 
 FRAME_OVERHEAD_BYTES = 60
-"""WebSocket, TCP and IP headers of one small message."""
+"""Size of the WebSocket, TCP and IP headers of a small message."""
 
 
 @dataclass
 class Traffic:
-    """What one host has sent and spent."""
+    """Traffic and processor time of one host."""
 
     messages: int = 0
-    """Messages sent, answers too."""
+    """Number of messages sent, including answers."""
 
     bytes_sent: int = 0
-    """Bytes sent, with the headers."""
+    """Bytes sent, including the headers."""
 
     cpu_s: float = 0.0
-    """Processor time of decisions and codec, in seconds."""
+    """Processor time of the decisions and the codec, in seconds."""
 
 
 @dataclass
 class FleetHost:
-    """One host of the fleet."""
+    """Host of a simulated fleet."""
 
     entry: HostEntry
-    """Name and place."""
+    """Catalog entry of the host."""
 
     membership: Membership
-    """Decisions."""
+    """Membership decisions of the host."""
 
     is_up: bool = True
-    """Whether the process runs."""
+    """Whether the host's process is running."""
 
     paused_until: float = 0.0
-    """Virtual time until which the process stands still."""
+    """Virtual time until which the process is paused, in seconds."""
 
     traffic: Traffic = field(default_factory=Traffic)
-    """What it has sent and spent."""
+    """Traffic and processor time of the host."""
 
     @property
     def live(self) -> frozenset[str]:
-        """Names of the hosts that it takes for live."""
+        """Names of the hosts that this host regards as live."""
         zones = self.membership.live_hosts.zones
         return frozenset(h for zone in zones for h in zone.hosts)
 
 
 class Fleet:
-    """Hosts, links and a clock in one process.
+    """Simulates hosts and links on a virtual clock in one process.
 
     Parameters
     ----------
     seed : int
-        Seed of every random choice.
-    is_counting : bool
-        Whether messages are encoded to count bytes and time.
+        Seed of the random number generator.
+    is_measuring : bool
+        Whether to encode messages to measure their bytes and time.
     make_membership : Callable[..., Membership]
-        Makes the decisions of a host.
+        Factory of a host's membership decisions.
     """
 
     def __init__(
         self,
         seed: int = 0,
-        is_counting: bool = False,
+        is_measuring: bool = False,
         make_membership: Callable[..., Membership] = Membership,
     ) -> None:
         self.now = 0.0
-        """Virtual time in seconds."""
+        """Current virtual time, in seconds."""
 
         self.hosts: dict[str, FleetHost] = {}
-        """Hosts by name, those that have stopped too."""
+        """Hosts by name, including stopped hosts."""
 
         self.cuts: set[frozenset[str]] = set()
-        """Pairs of zones, or of hosts, without a link."""
+        """Pairs of zones or of hosts whose link is cut."""
 
         self._rng = random.Random(seed)
-        self.is_counting = is_counting
-        """Whether messages are encoded to count bytes and time."""
+        self.is_measuring = is_measuring
+        """Whether messages are encoded to measure their bytes and time."""
 
         self._make_membership = make_membership
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -121,7 +121,7 @@
         listed: Sequence[HostEntry] = (),
         seeds: Sequence[str] = (),
     ) -> FleetHost:
-        """Start a host, or start it again under the same name."""
+        """Start a host, or restart a host under the same name."""
         entry = make_entry(name, zone, region)
         rng = random.Random(self._rng.random())
         incarnation = next(self._incarnations)
@@ -129,11 +129,11 @@
         host = self.hosts[name] = FleetHost(entry, membership)
         membership.on_host_list(listed)
         phase = self._rng.uniform(0, TICK_INTERVAL_S)
-        self.at(self.now + phase, lambda: self._tick(host))
+        self.call_at(self.now + phase, lambda: self._tick(host))
         return host
 
     def run(self, duration_s: float) -> None:
-        """Let virtual time pass."""
+        """Advance the virtual time and run all actions that are due."""
         end = self.now + duration_s
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
@@ -143,7 +143,21 @@
     def run_until(
         self, condition: Callable[[], bool], limit_s: float
     ) -> float | None:
-        """Return the time until a condition holds, or ``None``."""
+        """Run until a condition holds.
+
+        Parameters
+        ----------
+        condition : Callable[[], bool]
+            Condition, checked every 10 ms of virtual time.
+        limit_s : float
+            Longest virtual time to wait, in seconds.
+
+        Returns
+        -------
+        float | None
+            Time until the condition held, in seconds; ``None`` if it did
+            not hold within the limit.
+        """
         start = self.now
         while self.now - start < limit_s:
             if condition():
@@ -152,60 +166,60 @@
         return None
 
     def stop(self, name: str) -> None:
-        """Kill a host; nobody is told."""
+        """Stop a host without notifying the other hosts."""
         self.hosts[name].is_up = False
 
     def pause(self, name: str, duration_s: float) -> None:
-        """Let a host stand still for a time."""
+        """Pause a host's process."""
         self.hosts[name].paused_until = self.now + duration_s
 
-    def cut(self, one: str, other: str) -> None:
+    def cut_link(self, one: str, other: str) -> None:
         """Cut the link between two zones or two hosts."""
         self.cuts.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """Bring every link back."""
+        """Restore all links."""
         self.cuts.clear()
 
     def reset_traffic(self) -> None:
-        """Count anew."""
+        """Reset the traffic counters of all hosts."""
         for host in self.hosts.values():
             host.traffic = Traffic()
 
-    def traffic_of_running(self) -> dict[str, Traffic]:
-        """Return what each running host has sent and spent."""
+    def running_host_traffic(self) -> dict[str, Traffic]:
+        """Return the traffic of each running host, by name."""
         return {n: h.traffic for n, h in self.hosts.items() if h.is_up}
 
-    def act(self, host: FleetHost, action: Callable[[], Any]) -> Any:
-        """Run an action of a host and carry out its commands."""
-        started = time.process_time() if self.is_counting else 0.0
+    def run_action(self, host: FleetHost, action: Callable[[], Any]) -> Any:
+        """Run an action of a host and execute the resulting commands."""
+        started = time.process_time() if self.is_measuring else 0.0
         result = action()
         commands = host.membership.take_commands()
         for command in commands:
-            self.carry_out(host, command)
-        if self.is_counting:
+            self.execute_command(host, command)
+        if self.is_measuring:
             host.traffic.cpu_s += time.process_time() - started
         return result
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
-        """Run an action at a virtual time."""
+    def call_at(self, when: float, action: Callable[[], None]) -> None:
+        """Schedule an action at a virtual time."""
         heapq.heappush(self._events, (when, next(self._order), action))
 
     def _tick(self, host: FleetHost) -> None:
         if not host.is_up:
             return
         if host.paused_until > self.now:
-            self.at(host.paused_until, lambda: self._tick(host))
+            self.call_at(host.paused_until, lambda: self._tick(host))
             return
-        self.act(host, lambda: self.tick(host))
-        self.at(self.now + TICK_INTERVAL_S, lambda: self._tick(host))
+        self.run_action(host, lambda: self.tick(host))
+        self.call_at(self.now + TICK_INTERVAL_S, lambda: self._tick(host))
 
     def tick(self, host: FleetHost) -> None:
-        """Let a host do what is due."""
+        """Run a host's periodic tick."""
         host.membership.on_tick(self.now)
 
-    def carry_out(self, host: FleetHost, command: Any) -> None:
-        """Carry out a command of a host."""
+    def execute_command(self, host: FleetHost, command: Any) -> None:
+        """Execute a command of a host."""
         if isinstance(command, Call):
             self.call(
                 host,
@@ -232,13 +246,13 @@
         on_answer: Callable[[Any], None],
         on_failure: Callable[[], None],
     ) -> None:
-        """Send a request and hand its answer back, or its time-out."""
+        """Send a request and call back with the answer or at the timeout."""
         finished: list[bool] = []
 
         def finish(action: Callable[[], None]) -> None:
             if not finished:
                 finished.append(True)
-                self.when_awake(host, action)
+                self.run_when_awake(host, action)
 
         def reply(target: FleetHost, answer: Any) -> None:
             self.send(
@@ -254,7 +268,7 @@
             call.message,
             lambda target, message: self.serve(target, message, reply),
         )
-        self.at(self.now + call.timeout_s, lambda: finish(on_failure))
+        self.call_at(self.now + call.timeout_s, lambda: finish(on_failure))
 
     def serve(
         self,
@@ -262,7 +276,7 @@
         message: Any,
         reply: Callable[[FleetHost, Any], None],
     ) -> None:
-        """Let a host serve a request."""
+        """Let a host answer a request."""
         if isinstance(message, Probe):
             reply(host, host.membership.on_probe(message, self.now))
         elif isinstance(message, Exchange):
@@ -279,26 +293,32 @@
         message: Any,
         deliver: Callable[[FleetHost, Any], None],
     ) -> None:
-        """Send a message; a cut link or a stopped host drops it."""
-        self._count(sender, message)
+        """Send a message; a cut link or a stopped host loses the message."""
+        self._count_message(sender, message)
         target = self.hosts.get(name)
         if target is None or self._is_cut(sender.entry, target.entry):
             return
-        is_near = sender.entry.zone == target.entry.zone
-        delay_s = ZONE_DELAY_S if is_near else REGION_DELAY_S
-        self.at(
+        is_same_zone = sender.entry.zone == target.entry.zone
+        delay_s = INTRA_ZONE_DELAY_S if is_same_zone else INTER_ZONE_DELAY_S
+        self.call_at(
             self.now + delay_s,
-            lambda: self.when_awake(target, lambda: deliver(target, message)),
+            lambda: self.run_when_awake(
+                target, lambda: deliver(target, message)
+            ),
         )
 
-    def when_awake(self, host: FleetHost, action: Callable[[], None]) -> None:
-        """Run an action of a host now, or when its pause ends."""
+    def run_when_awake(
+        self, host: FleetHost, action: Callable[[], None]
+    ) -> None:
+        """Run an action of a host now, or at the end of the host's pause."""
         if not host.is_up:
             return
         if host.paused_until > self.now:
-            self.at(host.paused_until, lambda: self.when_awake(host, action))
+            self.call_at(
+                host.paused_until, lambda: self.run_when_awake(host, action)
+            )
             return
-        self.act(host, action)
+        self.run_action(host, action)
 
     def _is_cut(self, one: HostEntry, other: HostEntry) -> bool:
         return (
@@ -306,8 +326,8 @@
             or frozenset((one.name, other.name)) in self.cuts
         )
 
-    def _count(self, sender: FleetHost, message: Any) -> None:
-        if not self.is_counting:
+    def _count_message(self, sender: FleetHost, message: Any) -> None:
+        if not self.is_measuring:
             return
         data = PEER_CODEC.encode(1, message)
         PEER_CODEC.decode(data)
@@ -316,7 +336,7 @@
 
 
 def make_entry(name: str, zone: str, region: str = 'region') -> HostEntry:
-    """Return the entry of a host of the fleet."""
+    """Return the catalog entry of a simulated host."""
     return HostEntry(
         name,
         region,
@@ -329,7 +349,7 @@
 def make_entries(
     zones: int, hosts: int, regions: int = 1
 ) -> tuple[HostEntry, ...]:
-    """Return the entries of a fleet of equal zones."""
+    """Return the catalog entries of a fleet with zones of equal size."""
     return tuple(
         make_entry(f'z{z}-h{h}', f'z{z}', f'r{z % regions}')
         for z in range(zones)
--- a/packages/standins/src/trefoilpulley_standins/membership_measures.py
+++ b/packages/standins/src/trefoilpulley_standins/membership_measures.py
@@ -1,4 +1,4 @@
-"""What membership and the spread of documents cost and how long they take."""
+"""Measures the cost and delay of membership and document dissemination."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-SETTLE_S = 12.0
-"""Time from the start until a fleet is quiet, in seconds."""
+SETTLE_DURATION_S = 12.0
+"""Time from the start until a fleet has settled, in seconds."""
 
-QUIET_S = 20.0
-"""Time over which a quiet fleet is measured, in seconds."""
+IDLE_DURATION_S = 20.0
+"""Time over which an idle fleet is measured, in seconds."""
 
-LIMIT_S = 30.0
-"""Longest wait for a change to be seen, in seconds."""
+EVENT_TIMEOUT_S = 30.0
+"""Longest wait until all hosts have seen an event, in seconds."""
 
 ZONES_PER_REGION = 4
-"""Availability zones of one region."""
+"""Number of availability zones of a region."""
 
-TENANTS = 100
-"""Tenants in the measured declarations."""
+TENANT_COUNT = 100
+"""Number of tenants in the measured declarations."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuietCost:
-    """Cost of a quiet host, a second."""
+    """Cost per host and second of a fleet without events."""
 
     hosts: int
     """Hosts of each zone."""
@@ -51,33 +51,33 @@
     """Availability zones."""
 
     zones_in_region: int
-    """Most zones of one region."""
+    """Number of zones of the largest region."""
 
     messages_mean: float
-    """Messages sent."""
+    """Mean number of messages sent per host and second."""
 
     messages_most: float
-    """Messages sent by the busiest host."""
+    """Messages per second sent by the host that sends the most."""
 
     bytes_mean: float
-    """Bytes sent."""
+    """Mean number of bytes sent per host and second."""
 
     bytes_most: float
-    """Bytes sent by the busiest host."""
+    """Bytes per second sent by the host that sends the most."""
 
     core_percent_mean: float
-    """Processor time, in percent of a core."""
+    """Mean processor time per host, in percent of a core."""
 
     core_percent_most: float
-    """Processor time of the busiest host."""
+    """Highest processor time of a host, in percent of a core."""
 
     service_calls_a_zone: float
-    """Calls to the platform's service of one zone."""
+    """Calls of one zone to the platform service per second."""
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Times until a change is in force, or seen, in seconds."""
+    """Time until all hosts concerned have seen an event, over several runs."""
 
     hosts: int
     """Hosts of each zone."""
@@ -86,73 +86,73 @@
     """Availability zones."""
 
     median_s: float
-    """Median."""
+    """Median time, in seconds."""
 
     worst_s: float
-    """Worst."""
+    """Longest time, in seconds."""
 
     runs: int
-    """Runs."""
+    """Number of runs."""
 
 
 @dataclass(frozen=True, slots=True)
 class EventCost:
-    """Cost of one event to the other hosts, above their quiet cost."""
+    """Additional traffic that one event causes at the other hosts."""
 
     event: str
-    """What happened."""
+    """Description of the event."""
 
     bytes_mean: float
-    """Bytes sent by each other host."""
+    """Mean number of additional bytes sent per host."""
 
     bytes_most: float
-    """Bytes sent by the busiest host."""
+    """Highest number of additional bytes sent by a host."""
 
 
 @dataclass(frozen=True, slots=True)
 class TableSize:
-    """Memory of one host's table."""
+    """Memory of one host's membership table."""
 
     known_hosts: int
-    """Hosts in the table."""
+    """Number of hosts in the table."""
 
     bytes_in_use: int
-    """Memory in bytes."""
+    """Memory of the table, in bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """Straight line through measured points."""
+    """Straight line fitted to measured points."""
 
     figure: str
-    """What is measured, against what."""
+    """Names of the measured quantity and of the varied quantity."""
 
     slope: float
-    """Change for one more."""
+    """Change of the measured quantity per unit of the varied quantity."""
 
     intercept: float
-    """Value at none."""
+    """Value of the line at zero."""
 
 
 def make_fleet(zones: int, hosts: int, seed: int = 1) -> DocumentFleet:
-    """Start a fleet of equal zones and let it settle."""
+    """Start a fleet with zones of equal size and wait until it has settled."""
     fleet = DocumentFleet(seed)
     entries = make_entries(zones, hosts, count_regions(zones))
     for entry in entries:
         fleet.add(entry.name, entry.zone, entry.region, entries)
-    fleet.run(SETTLE_S)
+    fleet.run(SETTLE_DURATION_S)
     return fleet
 
 
 def count_regions(zones: int) -> int:
-    """Return the regions over which some zones are spread."""
+    """Return the number of regions of a number of zones."""
     return max(1, zones // ZONES_PER_REGION)
 
 
 def make_configuration(revision: int) -> Document:
-    """Return declarations of a hundred tenants."""
+    """Return a configuration document with `TENANT_COUNT` tenants."""
     grants = (Grant('ledger', ('filing', 'lookup', 'booking')),)
-    tenants = tuple(Tenant(f'tenant-{n}', grants) for n in range(TENANTS))
+    tenants = tuple(Tenant(f'tenant-{n}', grants) for n in range(TENANT_COUNT))
     value = Configuration(
         revision, f'change-{revision}', Declarations((), tenants)
     )
@@ -161,94 +161,96 @@
     )
 
 
-def measure_quiet(zones: int, hosts: int) -> QuietCost:
-    """Measure a fleet in which nothing happens."""
+def measure_idle_cost(zones: int, hosts: int) -> QuietCost:
+    """Measure the cost of a fleet without events."""
     fleet = make_fleet(zones, hosts)
-    fleet.is_counting = True
+    fleet.is_measuring = True
     fleet.reset_traffic()
     fleet.service.calls.clear()
-    fleet.run(QUIET_S)
+    fleet.run(IDLE_DURATION_S)
     traffic = [h.traffic for h in fleet.hosts.values()]
-    messages = [t.messages / QUIET_S for t in traffic]
-    sent = [t.bytes_sent / QUIET_S for t in traffic]
-    core = [100 * t.cpu_s / QUIET_S for t in traffic]
+    messages = [t.messages / IDLE_DURATION_S for t in traffic]
+    bytes_sent_per_s = [t.bytes_sent / IDLE_DURATION_S for t in traffic]
+    cpu_percent = [100 * t.cpu_s / IDLE_DURATION_S for t in traffic]
     return QuietCost(
         hosts,
         zones,
         math.ceil(zones / count_regions(zones)),
         statistics.mean(messages),
         max(messages),
-        statistics.mean(sent),
-        max(sent),
-        statistics.mean(core),
-        max(core),
-        fleet.service.calls.total() / QUIET_S / zones,
+        statistics.mean(bytes_sent_per_s),
+        max(bytes_sent_per_s),
+        statistics.mean(cpu_percent),
+        max(cpu_percent),
+        fleet.service.calls.total() / IDLE_DURATION_S / zones,
     )
 
 
-def measure_spread(zones: int, hosts: int, runs: int) -> Spread:
-    """Measure how long a configuration takes to every host."""
+def measure_dissemination(zones: int, hosts: int, runs: int) -> Spread:
+    """Measure the time until every host has a new configuration."""
     fleet = make_fleet(zones, hosts)
     times = []
     for revision in range(1, runs + 1):
         fleet.run(1.37)
         fleet.publish(make_configuration(revision))
         times.append(
-            fleet.run_until(lambda r=revision: _is_in_force(fleet, r), LIMIT_S)
+            fleet.run_until(
+                lambda r=revision: _is_in_force(fleet, r), EVENT_TIMEOUT_S
+            )
         )
     return _summarize(zones, hosts, times)
 
 
-def measure_death(zones: int, hosts: int, runs: int) -> Spread:
-    """Measure how long a zone takes to notice a silent host."""
-    return _measure_events(zones, hosts, runs, _time_death)
+def measure_crash_detection(zones: int, hosts: int, runs: int) -> Spread:
+    """Measure the time until a zone has detected a crashed host."""
+    return _measure_events(zones, hosts, runs, _time_crash_detection)
 
 
-def measure_lost_zone(zones: int, hosts: int, runs: int) -> Spread:
-    """Measure how long a region takes to notice a lost zone."""
-    return _measure_events(zones, hosts, runs, _time_lost_zone)
+def measure_zone_loss(zones: int, hosts: int, runs: int) -> Spread:
+    """Measure the time until all running hosts have detected a zone's loss."""
+    return _measure_events(zones, hosts, runs, _time_zone_loss)
 
 
 def measure_leave(zones: int, hosts: int, runs: int) -> Spread:
-    """Measure how long every host takes to see one leave."""
+    """Measure the time until every host has removed a leaving host."""
     return _measure_events(zones, hosts, runs, _time_leave)
 
 
 def measure_event(
-    event: str, act: Callable[[DocumentFleet], None]
+    event: str, run_action: Callable[[DocumentFleet], None]
 ) -> EventCost:
-    """Measure what an event costs the other hosts of a large fleet."""
-    zones, hosts, time_s = 7, 62, 10.0
+    """Measure the traffic that an event causes in a fleet of 434 hosts."""
+    zones, hosts, duration_s = 7, 62, 10.0
     fleet = make_fleet(zones, hosts)
-    fleet.is_counting = True
+    fleet.is_measuring = True
     fleet.reset_traffic()
-    fleet.run(time_s)
-    quiet = fleet.traffic_of_running()
+    fleet.run(duration_s)
+    idle = fleet.running_host_traffic()
     fleet.reset_traffic()
-    act(fleet)
-    fleet.run(time_s)
-    busy = fleet.traffic_of_running()
+    run_action(fleet)
+    fleet.run(duration_s)
+    after_event = fleet.running_host_traffic()
     extra = [
-        busy[name].bytes_sent - quiet[name].bytes_sent
-        for name in busy
-        if name in quiet
+        after_event[name].bytes_sent - idle[name].bytes_sent
+        for name in after_event
+        if name in idle
     ]
     return EventCost(event, statistics.mean(extra), max(extra))
 
 
-def measure_memory(hosts_a_zone: int) -> TableSize:
-    """Measure the table of a host that knows 26 zones."""
+def measure_memory(hosts_per_zone: int) -> TableSize:
+    """Measure the memory of a membership table with 26 zones."""
     tracemalloc.start()
     table = MembershipTable('r0')
-    table.apply_list(make_entries(26, hosts_a_zone, 7))
+    table.apply_list(make_entries(26, hosts_per_zone, 7))
     assert table.live_hosts.zones
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return TableSize(26 * hosts_a_zone, size)
+    return TableSize(26 * hosts_per_zone, size)
 
 
-def fit(figure: str, xs: Sequence[float], ys: Sequence[float]) -> Slope:
-    """Fit a straight line."""
+def fit_line(figure: str, xs: Sequence[float], ys: Sequence[float]) -> Slope:
+    """Fit a straight line to points by linear regression."""
     line = statistics.linear_regression(xs, ys)
     return Slope(figure, line.slope, line.intercept)
 
@@ -272,18 +274,22 @@
     return _summarize(zones, hosts, times)
 
 
-def _time_death(fleet: DocumentFleet) -> float | None:
+def _time_crash_detection(fleet: DocumentFleet) -> float | None:
     fleet.stop('z0-h1')
-    return fleet.run_until(lambda: _is_unseen(fleet, 'z0-h1', 'z0'), LIMIT_S)
+    return fleet.run_until(
+        lambda: _is_removed(fleet, 'z0-h1', 'z0'), EVENT_TIMEOUT_S
+    )
 
 
 def _time_leave(fleet: DocumentFleet) -> float | None:
     host = fleet.hosts['z0-h1']
-    fleet.act(host, host.membership.on_leave)
-    return fleet.run_until(lambda: _is_unseen(fleet, 'z0-h1', ''), LIMIT_S)
+    fleet.run_action(host, host.membership.on_leave)
+    return fleet.run_until(
+        lambda: _is_removed(fleet, 'z0-h1', ''), EVENT_TIMEOUT_S
+    )
 
 
-def _time_lost_zone(fleet: DocumentFleet) -> float | None:
+def _time_zone_loss(fleet: DocumentFleet) -> float | None:
     stop_zone(fleet)
     return fleet.run_until(
         lambda: (
@@ -294,37 +300,37 @@
                 for name in host.live
             )
         ),
-        LIMIT_S,
+        EVENT_TIMEOUT_S,
     )
 
 
 def stop_zone(fleet: DocumentFleet) -> None:
-    """Kill every host of the first zone."""
+    """Stop every host of the first zone."""
     for name, host in fleet.hosts.items():
         if host.entry.zone == 'z0':
             fleet.stop(name)
 
 
 def stop_host(fleet: DocumentFleet) -> None:
-    """Kill one host of the first zone."""
+    """Stop one host of the first zone."""
     fleet.stop('z0-h1')
 
 
 def replace_host(fleet: DocumentFleet) -> None:
-    """Let one host leave and start another in its place."""
+    """Let one host leave, and start a new host in the same zone."""
     host = fleet.hosts['z0-h1']
-    fleet.act(host, host.membership.on_leave)
+    fleet.run_action(host, host.membership.on_leave)
     entries = tuple(h.entry for h in fleet.hosts.values())
     fleet.add('z0-new', 'z0', 'r0', entries)
     fleet.stop('z0-h1')
 
 
 def change_configuration(fleet: DocumentFleet) -> None:
-    """Write new declarations."""
+    """Publish a new configuration."""
     fleet.publish(make_configuration(1))
 
 
-def _is_unseen(fleet: DocumentFleet, name: str, zone: str) -> bool:
+def _is_removed(fleet: DocumentFleet, name: str, zone: str) -> bool:
     return all(
         name not in host.live
         for host in fleet.hosts.values()
@@ -335,7 +341,7 @@
 def _summarize(
     zones: int, hosts: int, times: Sequence[float | None]
 ) -> Spread:
-    reached = [t if t is not None else float('inf') for t in times]
+    delays_s = [t if t is not None else float('inf') for t in times]
     return Spread(
-        hosts, zones, statistics.median(reached), max(reached), len(times)
+        hosts, zones, statistics.median(delays_s), max(delays_s), len(times)
     )
--- a/packages/standins/src/trefoilpulley_standins/policy_replay.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_replay.py
@@ -1,4 +1,4 @@
-"""Replays the policies on a virtual clock and prints their figures.
+"""Simulates the policies on a virtual clock and prints their figures.
 
 ``python -m trefoilpulley_standins.policy_replay`` writes
 ``build/measure/policy.json``.
@@ -24,34 +24,34 @@
     from trefoilpulley_standins.policy_cases import Figure
 
 OUTPUT = Path('build/measure/policy.json')
-"""File that the figures are written to."""
+"""Path of the JSON file with the figures."""
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """One figure over all seeds."""
+    """Statistics of one figure over all seeds."""
 
     case: str
-    """Deployment and load."""
+    """Deployment and kind of load."""
 
     policy: str
-    """Policy that was replayed."""
+    """Name of the simulated policy."""
 
     name: str
-    """What is measured."""
+    """Name of the measured quantity."""
 
     median: float
-    """Median over the seeds."""
+    """Median over all seeds."""
 
     worst: float
-    """Worst over the seeds."""
+    """Worst value over all seeds."""
 
     seeds: int
     """Number of seeds."""
 
 
 def summarize(figures: Iterable[Figure]) -> tuple[Summary, ...]:
-    """Return the median and the worst of each figure."""
+    """Return the median and the worst value of each figure."""
     grouped: dict[tuple[str, str, str], list[Figure]] = {}
     for figure in figures:
         key = (figure.case, figure.name, figure.policy)
@@ -62,7 +62,7 @@
 def _summarize_one(group: list[Figure]) -> Summary:
     first = group[0]
     values = [figure.value for figure in group]
-    worst = max(values) if first.is_worst_high else min(values)
+    worst = max(values) if first.is_higher_worse else min(values)
     return Summary(
         first.case,
         first.policy,
@@ -75,13 +75,13 @@
 
 def _print(summaries: Iterable[Summary]) -> None:
     case = ''
-    for found in summaries:
-        if found.case != case:
-            case = found.case
+    for summary in summaries:
+        if summary.case != case:
+            case = summary.case
             click.echo(f'\n{case}')
-        median = f'{found.median:10.3f}'
-        worst = f'{found.worst:10.3f}'
-        click.echo(f'  {found.name:32}{found.policy:14}{median}{worst}')
+        median = f'{summary.median:10.3f}'
+        worst = f'{summary.worst:10.3f}'
+        click.echo(f'  {summary.name:32}{summary.policy:14}{median}{worst}')
 
 
 @click.command()
@@ -89,7 +89,7 @@
 @click.option('--first-seed', default=1, help='First seed.')
 @click.option('--workers', default=2, help='Seeds replayed at once.')
 def main(seeds: int, first_seed: int, workers: int) -> None:
-    """Print the figures of the policies, median and worst."""
+    """Print the median and the worst value of each policy's figures."""
     numbers = range(first_seed, first_seed + seeds)
     with ProcessPoolExecutor(max_workers=workers) as executor:
         runs = list(executor.map(measure_seed, numbers))
--- a/packages/standins/src/trefoilpulley_standins/policy_timing.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_timing.py
@@ -1,7 +1,8 @@
-"""Times the decisions of routing and of the slots.
+"""Measures the processor time of routing and slot queue decisions.
 
-``python -m trefoilpulley_standins.policy_timing`` prints processor time
-a call in microseconds, the best and the median of several rounds.
+``python -m trefoilpulley_standins.policy_timing`` prints the
+processor time per call in microseconds: the minimum and the median of
+several rounds.
 """
 
 from __future__ import annotations
@@ -26,17 +27,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-ROUNDS = 7
-"""Rounds of each timing."""
+ROUND_COUNT = 7
+"""Number of rounds of each measurement."""
 
-CALLS = 4000
-"""Calls a round."""
+CALLS_PER_ROUND = 4000
+"""Number of calls in each round."""
 
 PRIMARY_INDEX = 100
-"""End of the primary's log."""
+"""Index of the last record in the primary's log."""
 
 REPLICA_INDEX = 98
-"""End of the replicas' logs."""
+"""Index of the last record in the replicas' logs."""
 
 
 def _make_targets() -> ClassTargets:
@@ -63,22 +64,22 @@
     zone = KARAMANLIS.zones[1]
     req = RouteRequest(KARAMANLIS.aged_read, floor, zone, 0.25)
     started_at = time.process_time()
-    for _ in range(CALLS):
+    for _ in range(CALLS_PER_ROUND):
         policy.choose(view, req, 0.01)
     return time.process_time() - started_at
 
 
-def _fill(queue: DeadlineQueue) -> float:
+def _time_fill(queue: DeadlineQueue) -> float:
     classes = KARAMANLIS.classes
     tickets = [
         Ticket(
             number,
             f'tenant-{number % 7}',
             classes[number % len(classes)].name,
-            1000.0 + number / CALLS,
+            1000.0 + number / CALLS_PER_ROUND,
             number % len(classes) == 0,
         )
-        for number in range(CALLS)
+        for number in range(CALLS_PER_ROUND)
     ]
     started_at = time.process_time()
     for ticket in tickets:
@@ -87,15 +88,15 @@
 
 
 def _time_offer() -> float:
-    return _fill(DeadlineQueue(KARAMANLIS.slots, _make_targets()))
+    return _time_fill(DeadlineQueue(KARAMANLIS.slots, _make_targets()))
 
 
 def _time_take() -> float:
     queue = DeadlineQueue(KARAMANLIS.slots, _make_targets())
-    _fill(queue)
+    _time_fill(queue)
     name = KARAMANLIS.aged_read.name
     started_at = time.process_time()
-    for _ in range(CALLS):
+    for _ in range(CALLS_PER_ROUND):
         queue.take(0.001, True)
         queue.record_service(name, 0.004, True)
     return time.process_time() - started_at
@@ -103,7 +104,7 @@
 
 @click.command()
 def main() -> None:
-    """Print processor time a call."""
+    """Print the processor time per call."""
     timings: tuple[tuple[str, Callable[[], float]], ...] = (
         ('choose, floor held', lambda: _time_choose(REPLICA_INDEX)),
         ('choose, floor to come', lambda: _time_choose(PRIMARY_INDEX)),
@@ -111,9 +112,11 @@
         ('take and record_service', _time_take),
     )
     for name, run in timings:
-        found = [1e6 * run() / CALLS for _ in range(ROUNDS)]
-        median = statistics.median(found)
-        click.echo(f'{name:26}{min(found):8.1f}{median:8.1f} us')
+        timings_us = [
+            1e6 * run() / CALLS_PER_ROUND for _ in range(ROUND_COUNT)
+        ]
+        median = statistics.median(timings_us)
+        click.echo(f'{name:26}{min(timings_us):8.1f}{median:8.1f} us')
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/trefoilpulley_standins/processes.py
+++ b/packages/standins/src/trefoilpulley_standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a deployment on this machine."""
+"""Starts and stops the processes of a deployment on this machine."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
     from trefoilpulley_standins.layout import Layout
 
 READY_TIMEOUT_S = 15.0
-"""Longest wait for a process to serve, in seconds."""
+"""Longest wait until a process accepts connections, in seconds."""
 
 STOP_TIMEOUT_S = 5.0
-"""Longest wait for a process to end, in seconds."""
+"""Longest wait after SIGTERM until a process exits, in seconds."""
 
-_POLL_S = 0.02
+_POLL_INTERVAL_S = 0.02
 
 
-class ProcessFailed(RuntimeError):
-    """A process ended or did not serve in time."""
+class ProcessError(RuntimeError):
+    """A process exited early, or was not ready in time."""
 
 
 class Processes:
-    """Starts and ends the processes of a layout.
+    """Starts and stops the processes of a layout.
 
     Parameters
     ----------
     layout : Layout
         Settings of the processes.
     directory : Path
-        Directory of the settings files and logs.
+        Directory of the settings files and log files.
     """
 
     def __init__(self, layout: Layout, directory: Path) -> None:
@@ -47,7 +47,7 @@
         self._running: dict[str, subprocess.Popen] = {}
 
     def start(self) -> None:
-        """Start all processes in the order of their needs."""
+        """Start all processes, in the order of their dependencies."""
         self._write_settings()
         control = str(self._layout.platform_control.port)
         platform = self._directory / 'platform.json'
@@ -57,18 +57,18 @@
         self._start_module('links', self._directory / 'links.json')
         for member in self._layout.members.members:
             self.start_member(member.name)
-        self._wait_announced()
+        self._wait_until_announced()
         for host in self._layout.hosts:
             self.start_host(host.host)
-        self._wait_listening()
+        self._wait_until_listening()
 
     def start_member(self, name: str) -> None:
-        """Start one member."""
+        """Start a member."""
         path = self._directory / 'members.json'
         self._start_module('member', path, '--name', name, key=name)
 
     def restart_member(self, name: str) -> None:
-        """Start a member again that has lost its log."""
+        """Restart a member that has lost its log."""
         path = self._directory / 'rejoining.json'
         members = tuple(
             replace(m, is_rejoining=True) for m in self._layout.members.members
@@ -77,23 +77,23 @@
         self._start_module('member', path, '--name', name, key=name)
 
     def start_host(self, name: str) -> None:
-        """Start one entry host."""
+        """Start an entry host."""
         settings = self._directory / f'{name}.json'
         module = 'trefoilpulley_node.main'
         self._start(name, module, '--settings', settings)
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process and wait for its exit."""
         process = self._running.pop(name)
         process.kill()
         process.wait()
 
     def stop(self) -> None:
-        """End every process."""
+        """Terminate all processes, and kill those that do not exit in time."""
         for process in self._running.values():
             process.terminate()
         for process in self._running.values():
-            _wait_ended(process)
+            _wait_for_exit(process)
         self._running.clear()
 
     def pid_of(self, name: str) -> int:
@@ -104,14 +104,14 @@
         self._start(key or module, f'trefoilpulley_standins.{module}', *args)
 
     def _start(self, key: str, module: str, *args: object) -> None:
-        path = self._output_of(key)
+        path = self._output_path(key)
         command = [sys.executable, '-m', module, *map(str, args)]
         with path.open('wb') as out:
             self._running[key] = subprocess.Popen(
                 command, stdout=out, stderr=subprocess.STDOUT
             )
 
-    def _output_of(self, key: str) -> Path:
+    def _output_path(self, key: str) -> Path:
         return self._directory / f'{key.replace("/", "-")}.out'
 
     def _write_settings(self) -> None:
@@ -132,20 +132,20 @@
         ) as file:
             file.write(text)
 
-    def _wait_announced(self) -> None:
+    def _wait_until_announced(self) -> None:
         for key, process in self._running.items():
-            path = self._output_of(key)
-            _wait_for(lambda p=path: _is_announced(p), key, process)
+            path = self._output_path(key)
+            _wait_until_ready(lambda p=path: _is_announced(p), key, process)
 
-    def _wait_listening(self) -> None:
+    def _wait_until_listening(self) -> None:
         listening = {h.host: h.listen.port for h in self._layout.hosts}
         for host, port in listening.items():
             process = self._running[host]
-            _wait_for(lambda p=port: is_listening(p), host, process)
+            _wait_until_ready(lambda p=port: is_listening(p), host, process)
 
 
 def is_listening(port: int) -> bool:
-    """Return whether something accepts connections on a loopback port."""
+    """Return whether a process listens on a loopback port."""
     hexadecimal = f':{port:04X} 00000000:0000 0A'
     return hexadecimal in Path('/proc/net/tcp').read_text(encoding='ascii')
 
@@ -159,15 +159,15 @@
         return False
 
 
-def _wait_for(check, key: str, process: subprocess.Popen) -> None:
+def _wait_until_ready(is_ready, key: str, process: subprocess.Popen) -> None:
     deadline = time.monotonic() + READY_TIMEOUT_S
-    while not check():
+    while not is_ready():
         if process.poll() is not None or time.monotonic() > deadline:
-            raise ProcessFailed(key)
-        time.sleep(_POLL_S)
+            raise ProcessError(key)
+        time.sleep(_POLL_INTERVAL_S)
 
 
-def _wait_ended(process: subprocess.Popen) -> None:
+def _wait_for_exit(process: subprocess.Popen) -> None:
     try:
         process.wait(STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
