--- a/features/steps/proxy_hedge_steps.py
+++ b/features/steps/proxy_hedge_steps.py
@@ -202,7 +202,9 @@
             context.clock,
             metrics,
         )
-        context.group.state.no_failover_until = context.clock.now() + 1000.0
+        context.group.state.no_primary_change_until = (
+            context.clock.now() + 1000.0
+        )
         done = runner.write(PrimaryWaitSteps.make_work(context))
         assert done.failure().run_state is RunState.NOT_RUN, done
 
@@ -256,7 +258,7 @@
     def pause(context: Any) -> None:
         """Note that no change is coming for a long while."""
         until = context.clock.now() + 1000.0
-        context.group.state.no_failover_until = until
+        context.group.state.no_primary_change_until = until
 
     @staticmethod
     @then('the write is refused without a wait')
@@ -268,8 +270,8 @@
     @when('another host claims the change')
     def claim(context: Any) -> None:
         """Note that a change is on its way."""
-        context.group.state.no_failover_until = float('-inf')
-        context.group.state.failover_due_at = context.clock.now() + 0.5
+        context.group.state.no_primary_change_until = float('-inf')
+        context.group.state.primary_change_due_at = context.clock.now() + 0.5
 
     @staticmethod
     @when('the new primary proves itself')
--- a/packages/core/src/trefoilpulley_core/proxy/group_state.py
+++ b/packages/core/src/trefoilpulley_core/proxy/group_state.py
@@ -128,7 +128,7 @@
 
     def on_served(self, duration_s: float, now: float) -> None:
         """Record the latency of a statement."""
-        self.latency_s = self.expected_s(now)
+        self.latency_s = self.expected_latency_s(now)
         self.latency_s += LATENCY_WEIGHT * (duration_s - self.latency_s)
         self.last_served_at = now
 
@@ -141,7 +141,7 @@
         self.latency_s = expected_s
         self.last_served_at = now
 
-    def expected_s(self, now: float) -> float:
+    def expected_latency_s(self, now: float) -> float:
         """Return the expected latency of a statement, in seconds.
 
         The estimate decays to the initial latency while the member is not
@@ -219,10 +219,10 @@
         self.last_proof_at = float('-inf')
         """Time at which the last proving request was sent, in seconds."""
 
-        self.failover_due_at = float('-inf')
+        self.primary_change_due_at = float('-inf')
         """Time at which a change of primary should be complete, in seconds."""
 
-        self.no_failover_until = float('-inf')
+        self.no_primary_change_until = float('-inf')
         """Time until which no change of primary is expected, in seconds."""
 
         self.asked_at = float('-inf')
--- a/packages/core/src/trefoilpulley_core/proxy/placement.py
+++ b/packages/core/src/trefoilpulley_core/proxy/placement.py
@@ -98,7 +98,9 @@
 
 
 def _cost_s(health: MemberHealth, zone: str, now: float) -> float:
-    cost_s = health.expected_s(now) * (1 + IN_FLIGHT_WEIGHT * health.in_flight)
+    cost_s = health.expected_latency_s(now) * (
+        1 + IN_FLIGHT_WEIGHT * health.in_flight
+    )
     if health.record.zone != zone:
         cost_s += OTHER_ZONE_COST_S
     if now < health.avoid_until:
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -145,7 +145,7 @@
         _record_proofs(lease, message, replies, sent_at)
         return RelayedReplies(
             tuple(pack_reply(r) for r in replies),
-            round(1000 * lease.access.health.expected_s(now), 1),
+            round(1000 * lease.access.health.expected_latency_s(now), 1),
             make_report(lease.group.state.evidence.newest, now),
         )
 
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -241,7 +241,9 @@
         if any(isinstance(r.failure, Overloaded) for r in replies):
             self.in_flight_limit.on_busy(in_flight, now)
         else:
-            self.in_flight_limit.on_served(self.health.expected_s(now), now)
+            self.in_flight_limit.on_served(
+                self.health.expected_latency_s(now), now
+            )
 
     def discard(self, conn: PooledSession) -> None:
         """Close a connection; the member rolls back an open transaction."""
@@ -342,7 +344,7 @@
             servers, mean_hold_s = self._open, self._queue.mean_hold_s
         else:
             servers = self.in_flight_limit.value
-            mean_hold_s = self.health.expected_s(now)
+            mean_hold_s = self.health.expected_latency_s(now)
         return self._queue.enqueue(
             priority,
             admission_deadline,
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -146,7 +146,7 @@
         """
         now = self._clock.now()
         state = group.state
-        if now < state.failover_due_at:
+        if now < state.primary_change_due_at:
             return
         if now < self._backoff_until.get(state.group, now):
             return
@@ -195,7 +195,7 @@
     def hand_over(self, group: Group, leaving: str) -> None:
         """Promote another member before the present primary stops."""
         state = group.state
-        if self._clock.now() < state.failover_due_at:
+        if self._clock.now() < state.primary_change_due_at:
             return
         after_round = self._claims.last_round(state.group)
         if not self._wait_turn(group, after_round, is_service_out=False):
@@ -232,7 +232,7 @@
         """Suspend failovers of a group, and let no request wait for one."""
         deadline = self._clock.now() + FAILOVER_BACKOFF_S
         self._backoff_until[group.state.group] = deadline
-        group.state.no_failover_until = deadline
+        group.state.no_primary_change_until = deadline
 
     def _choose_complete_replica(
         self,
@@ -289,7 +289,7 @@
         gevent.sleep(delay_s)
         if self._claims.last_round(state.group) != after_round:
             return False
-        return self._clock.now() >= state.failover_due_at
+        return self._clock.now() >= state.primary_change_due_at
 
     def _has_leader(
         self,
@@ -334,7 +334,7 @@
         began_at = self._clock.now()
         if not self._order_promotion(group, target, round_number):
             return
-        state.failover_due_at = self._clock.now() + EXPECTED_PROMOTION_S
+        state.primary_change_due_at = self._clock.now() + EXPECTED_PROMOTION_S
         if old_status is not None:
             self._demote_after_delay(group, *old_status)
         has_taken_effect = self._wait_for_lead(group, target)
@@ -349,7 +349,7 @@
                 took_ms=round(1000 * duration_s),
             )
             self._announce_leader(group, target, round_number)
-        state.failover_due_at = float('-inf')
+        state.primary_change_due_at = float('-inf')
 
     def _announce_leader(
         self, group: Group, member: str, round_number: int
@@ -387,7 +387,7 @@
             return claimed.unwrap()
         if isinstance(failure, RevisionConflict):
             # Another host holds the claim and needs time to finish the change.
-            group.state.failover_due_at = (
+            group.state.primary_change_due_at = (
                 self._clock.now() + CLAIM_HOLDER_TIMEOUT_S
             )
         return None
@@ -407,7 +407,7 @@
         continues once a member leads.
         """
         if (
-            self._clock.now() < group.state.failover_due_at
+            self._clock.now() < group.state.primary_change_due_at
             or lost_primary is None
         ):
             return None
--- a/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
@@ -77,7 +77,7 @@
     def wait(self, request: StatementRequest) -> bool:
         """Wait for a primary; return whether one was found in time."""
         now = self._clock.now()
-        if now < request.group.state.no_failover_until:
+        if now < request.group.state.no_primary_change_until:
             return False
         spare_s = RUN_TIME_FACTOR * (request.deadline - request.arrived_at)
         wait_until = request.deadline - spare_s
@@ -87,8 +87,8 @@
 
     def _expected_at(self, group: Group, now: float) -> float:
         state = group.state
-        if state.failover_due_at > now:
-            return state.failover_due_at
+        if state.primary_change_due_at > now:
+            return state.primary_change_due_at
         health = state.members.get(state.primary or '')
         if health is not None and health.failing_since is not None:
             return max(
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -362,10 +362,10 @@
         # A claim from before the start of this host belongs to a change that
         # is over.
         if self._follower.is_synchronized:
-            group.state.failover_due_at = (
+            group.state.primary_change_due_at = (
                 self._clock.now() + CLAIM_HOLDER_TIMEOUT_S
             )
-            group.state.no_failover_until = float('-inf')
+            group.state.no_primary_change_until = float('-inf')
             group.check_requested.set()
 
     def _register_gauges(self) -> None:
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
@@ -151,7 +151,7 @@
         health.record.zone,
         health.record.is_leaving,
         None if failing is None else round(1000 * (now - failing)),
-        round(1000 * health.expected_s(now), 1),
+        round(1000 * health.expected_latency_s(now), 1),
         round(1000 * health.expected_lag_s(now)),
         f'{health.position.term}.{health.position.index}',
         access.local_pool.open_connections,
--- a/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
@@ -226,7 +226,7 @@
             if health is not None:
                 hedge_delay_s = max(
                     MIN_HEDGE_DELAY_S,
-                    HEDGE_DELAY_FACTOR * health.expected_s(now),
+                    HEDGE_DELAY_FACTOR * health.expected_latency_s(now),
                 )
                 timeout_s = min(timeout_s, hedge_delay_s)
         try:
