--- a/packages/core/src/trefoilpulley_core/configuration/change.py
+++ b/packages/core/src/trefoilpulley_core/configuration/change.py
@@ -56,10 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeConflict(ChangeNotApplied):
-    """Another change replaced the expected revision first.
-
-    This change is not in force.
-    """
+    """Another change was stored first; this change is not in force."""
 
     code = 'change-conflict'
     is_repeatable = False
