--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -233,7 +233,9 @@
     def check_returned(context: Any) -> None:
         """Wait until every lease has ended."""
         for host in context.deployment.hosts:
-            wait_until(lambda host=host: host.proxy.relay_server.leases == 0)
+            wait_until(
+                lambda host=host: host.proxy.relay_server.lease_count == 0
+            )
 
     @staticmethod
     @given(
@@ -378,7 +380,7 @@
     def check_unsent(context: Any) -> None:
         """Check the connection."""
         assert context.dialer.upstream.sent == []
-        assert context.relay_server.leases == 0
+        assert context.relay_server.lease_count == 0
 
     @staticmethod
     @when('another host opens a transaction and its connection breaks')
@@ -386,7 +388,7 @@
         """Open a transaction, then lose the borrower."""
         opening = _calls(OpenTransaction(is_read_only=False))
         context.relay_server.on_calls(opening, LenderSteps.BORROWER)
-        assert context.relay_server.leases == 1
+        assert context.relay_server.lease_count == 1
         context.relay_server.on_peer_closed(LenderSteps.BORROWER)
 
     @staticmethod
@@ -394,7 +396,7 @@
     def check_closed(context: Any) -> None:
         """Check that the member rolls back."""
         assert not context.dialer.upstream.is_open
-        assert context.relay_server.leases == 0
+        assert context.relay_server.lease_count == 0
 
     @staticmethod
     @when('the host sends a write of that transaction again')
@@ -472,13 +474,13 @@
     @when('the host is told to stop and the transaction stays open')
     def stop_busy(context: Any) -> None:
         """Drain while a lease stays."""
-        StoppingSteps._drain(context, leases=1)
+        StoppingSteps._drain(context, lease_count=1)
 
     @staticmethod
     @when('the host is told to stop and the transaction has ended')
     def stop_idle(context: Any) -> None:
         """Drain without a lease."""
-        StoppingSteps._drain(context, leases=0)
+        StoppingSteps._drain(context, lease_count=0)
 
     @staticmethod
     @then('it waits until its grace is over')
@@ -493,10 +495,10 @@
         assert context.is_complete
 
     @staticmethod
-    def _drain(context: Any, leases: int) -> None:
+    def _drain(context: Any, lease_count: int) -> None:
         registry = SessionRegistry(context.clock)
         context.is_complete = registry.drain(
-            StoppingSteps.GRACE_S, lambda: leases
+            StoppingSteps.GRACE_S, lambda: lease_count
         )
 
 
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -102,7 +102,7 @@
         self._ended_leases: dict[tuple[int, int], float] = {}
 
     @property
-    def leases(self) -> int:
+    def lease_count(self) -> int:
         """Number of active requests and open transactions of other hosts."""
         return len(self._leases)
 
@@ -172,9 +172,9 @@
             for k, t in self._ended_leases.items()
             if now - t < ENDED_LEASE_TTL_S
         }
-        oldest = now - transaction_idle_timeout_s - LEASE_MARGIN_S
+        oldest_used_at = now - transaction_idle_timeout_s - LEASE_MARGIN_S
         for key, lease in list(self._leases.items()):
-            if lease.used_at < oldest and not lease.is_busy:
+            if lease.used_at < oldest_used_at and not lease.is_busy:
                 self._abandon(key)
 
     def _open_lease(
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -39,7 +39,7 @@
 from trefoilpulley_node.proxy.primary_watch import PrimaryWatch
 from trefoilpulley_node.proxy.proxy_state import make_state
 from trefoilpulley_node.proxy.proxy_state import ProxyState
-from trefoilpulley_node.proxy.session_registry import BALANCER_NOTICE_S
+from trefoilpulley_node.proxy.session_registry import BALANCER_DETECTION_S
 from trefoilpulley_node.proxy.session_registry import SessionRegistry
 from trefoilpulley_node.proxy.statement_runner import StatementRunner
 from trefoilpulley_wire.listener import Listener
@@ -108,7 +108,7 @@
         self._rng = random.Random(self._incarnation)
         self._watches: list[PrimaryWatch] = []
         self._isolation = IsolationDetector()
-        self._is_cut_off = False
+        self._is_isolated = False
         self._maintenance: gevent.Greenlet | None = None
 
     def start(self) -> None:
@@ -150,7 +150,7 @@
         )
         leave = gevent.spawn(self._membership.leave)
         self.sessions.drain(
-            self._cfg.grace_s, lambda: self.relay_server.leases
+            self._cfg.grace_s, lambda: self.relay_server.lease_count
         )
         leave.join(timeout=0)
         self.stop()
@@ -378,7 +378,7 @@
                 p.local_pool.open_connections for p in self._accesses()
             ),
         )
-        register('leases', lambda: self.relay_server.leases)
+        register('leases', lambda: self.relay_server.lease_count)
         register(
             'waiting',
             lambda: sum(p.local_pool.waiting for p in self._accesses()),
@@ -410,7 +410,7 @@
             len(self.sessions),
             self._live_hosts(),
             self._registered_hosts(),
-            self._is_cut_off,
+            self._is_isolated,
             self._clock.now(),
         )
 
@@ -451,9 +451,9 @@
             ),
             now,
         )
-        cut_off_s = self._isolation.duration_s(now)
-        if self._is_cut_off != (cut_off_s > 0):
-            self._is_cut_off = cut_off_s > 0
-            events.ISOLATION_CHANGED.log(is_cut_off=cut_off_s > 0)
-        if cut_off_s > BALANCER_NOTICE_S:
+        isolated_s = self._isolation.duration_s(now)
+        if self._is_isolated != (isolated_s > 0):
+            self._is_isolated = isolated_s > 0
+            events.ISOLATION_CHANGED.log(is_cut_off=isolated_s > 0)
+        if isolated_s > BALANCER_DETECTION_S:
             self.sessions.close_idle()
--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/proxy/session_registry.py
@@ -13,7 +13,7 @@
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_node.proxy.caller_session import CallerSession
 
-BALANCER_NOTICE_S = 2.2
+BALANCER_DETECTION_S = 2.2
 """Time until the balancer detects that this host is not ready, in seconds.
 
 The balancer checks once a second and removes a host after two failed checks.
@@ -75,7 +75,7 @@
         """Whether each session is closed after its next reply."""
 
         self.is_refusing = False
-        """Whether new requests are refused, as they may not finish in time."""
+        """Whether new requests are refused, since they might end too late."""
 
     def __len__(self) -> int:
         return len(self._sessions)
@@ -130,7 +130,7 @@
         """
         self.is_draining = True
         began_at = self._clock.now()
-        gevent.sleep(min(BALANCER_NOTICE_S, grace_s / 2))
+        gevent.sleep(min(BALANCER_DETECTION_S, grace_s / 2))
         self.is_closing = True
         quiet_since = self._clock.now()
         while True:
