--- a/packages/core/src/trefoilpulley_core/proxy/flight_limit.py
+++ b/packages/core/src/trefoilpulley_core/proxy/flight_limit.py
@@ -89,8 +89,10 @@
         now : float
             Current time in seconds.
         """
-        reached = float(max(1, in_flight))
-        self._decrease(min(self._limit or self._max_limit, reached), now)
+        in_flight_count = float(max(1, in_flight))
+        self._decrease(
+            min(self._limit or self._max_limit, in_flight_count), now
+        )
 
     def _decrease(self, limit: float, now: float) -> None:
         if now - self._decreased_at >= MIN_DECREASE_INTERVAL_S:
--- a/packages/core/src/trefoilpulley_core/proxy/group_state.py
+++ b/packages/core/src/trefoilpulley_core/proxy/group_state.py
@@ -225,7 +225,7 @@
         self.no_primary_change_until = float('-inf')
         """Time until which no change of primary is expected, in seconds."""
 
-        self.asked_at = float('-inf')
+        self.last_request_at = float('-inf')
         """Time of the last request for the group, in seconds."""
 
     def update(self, records: Iterable[MemberRecord]) -> None:
@@ -233,16 +233,16 @@
         by_name = {r.member: r for r in records}
         self._remove_absent(by_name)
         for record in by_name.values():
-            known = self.members.get(record.member)
-            if known is None:
+            health = self.members.get(record.member)
+            if health is None:
                 self.members[record.member] = MemberHealth(record)
                 continue
-            if known.record.incarnation != record.incarnation:
-                known = self.members[record.member] = MemberHealth(record)
+            if health.record.incarnation != record.incarnation:
+                health = self.members[record.member] = MemberHealth(record)
                 continue
-            if record.is_primary and not known.record.is_primary:
+            if record.is_primary and not health.record.is_primary:
                 self.primary = record.member
-            known.record = record
+            health.record = record
         if self.primary not in self.members:
             self.primary = self._listed_primary()
 
--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_session.py
@@ -293,7 +293,7 @@
         if group is None:
             return None
         now = self._factory.clock.now()
-        group.state.asked_at = now
+        group.state.last_request_at = now
         return StatementRequest(
             run,
             prepared,
--- a/packages/node/src/trefoilpulley_node/proxy/claims.py
+++ b/packages/node/src/trefoilpulley_node/proxy/claims.py
@@ -53,50 +53,53 @@
     def __init__(self, host: str, platform: Platform) -> None:
         self._host = host
         self._platform = platform
-        self._known: dict[str, KnownClaim] = {}
+        self._newest_claims: dict[str, KnownClaim] = {}
         self._unpublished: set[str] = set()
 
     def last_round(self, group: str) -> int:
         """Return the round of a group's newest claim, or 0."""
-        known = self._known.get(group)
-        return known.claim.round if known else 0
+        newest = self._newest_claims.get(group)
+        return newest.claim.round if newest else 0
 
     def record_claim(self, group: str, claim: Claim, revision: int) -> bool:
-        """Record a claim; return whether it is newer than the known claim."""
-        known = self._known.get(group)
-        if known is not None and known.revision >= revision:
+        """Record a claim; return whether the claim is newer than the last."""
+        newest = self._newest_claims.get(group)
+        if newest is not None and newest.revision >= revision:
             return False
-        if known is not None and known.claim.round > claim.round:
-            # A round used while the service was out exceeds the stored round.
-            self._known[group] = KnownClaim(known.claim, revision)
+        if newest is not None and newest.claim.round > claim.round:
+            # A round used while the service was unavailable is higher than
+            # the stored round.
+            self._newest_claims[group] = KnownClaim(newest.claim, revision)
             self._unpublished.add(group)
             return False
-        self._known[group] = KnownClaim(claim, revision)
+        self._newest_claims[group] = KnownClaim(claim, revision)
         return True
 
     def advance_round(self, group: str, round_number: int) -> None:
         """Record a round that was used without a claim in the service."""
-        known = self._known.get(group)
-        revision = known.revision if known else 0
+        newest = self._newest_claims.get(group)
+        revision = newest.revision if newest else 0
         if round_number > self.last_round(group):
             claim = Claim(self._host, round_number, '')
-            self._known[group] = KnownClaim(claim, revision)
+            self._newest_claims[group] = KnownClaim(claim, revision)
             self._unpublished.add(group)
 
     def publish(self) -> None:
-        """Write the rounds that were used while the service was out.
+        """Write the rounds that were used without the service.
 
         A host that was cut off in the meantime then can't claim one of these
         rounds.
         """
         for group in tuple(self._unpublished):
-            known = self._known[group]
-            value = json.dumps(asdict(known.claim)).encode()
+            newest = self._newest_claims[group]
+            value = json.dumps(asdict(newest.claim)).encode()
             result = self._platform.compare_and_swap(
-                claim_key(group), known.revision, value
+                claim_key(group), newest.revision, value
             )
             if isinstance(result, Success):
-                self._known[group] = KnownClaim(known.claim, result.unwrap())
+                self._newest_claims[group] = KnownClaim(
+                    newest.claim, result.unwrap()
+                )
                 self._unpublished.discard(group)
             elif isinstance(result.failure(), RevisionConflict):
                 # Another host has published the same or a later round.
@@ -116,13 +119,13 @@
         """
         if self.last_round(group) != after_round:
             return Failed(RevisionConflict(group))
-        known = self._known.get(group)
+        newest = self._newest_claims.get(group)
         claim = Claim(self._host, after_round + 1, target)
         value = json.dumps(asdict(claim)).encode()
         result = None
         with gevent.Timeout(CLAIM_TIMEOUT_S, False):
             result = self._platform.compare_and_swap(
-                claim_key(group), known.revision if known else 0, value
+                claim_key(group), newest.revision if newest else 0, value
             )
         if result is None:
             return Failed(PlatformAnswerLost('no answer in time'))
--- a/packages/node/src/trefoilpulley_node/proxy/directory.py
+++ b/packages/node/src/trefoilpulley_node/proxy/directory.py
@@ -173,7 +173,7 @@
             self._update_group(record.group)
 
     def trim(self) -> None:
-        """Close idle connections that are not needed."""
+        """Close unneeded connections and open connections ahead of use."""
         now = self._clock.now()
         for group in self.groups.values():
             for member, access in group.accesses.items():
--- a/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
@@ -27,7 +27,10 @@
     from trefoilpulley_node.proxy.directory import Group
 
 MAX_HOSTS_ASKED = 2
-"""Hosts that are asked at once, since one alone may lack evidence too."""
+"""Maximum number of hosts asked at once.
+
+More than one host is asked, since a single host may lack evidence too.
+"""
 
 ANSWER_TIMEOUT_S = 0.2
 """Timeout of an evidence request to another host, in seconds."""
@@ -69,7 +72,7 @@
         self._rng = rng
 
     def request_evidence(self, group: Group) -> None:
-        """Request the evidence of other hosts and record what is newer."""
+        """Request evidence from other hosts and record newer evidence."""
         access = group.find_access(group.state.primary or '')
         if access is not None and access.is_relayed:
             # The holder that relays this host's statements has an open
@@ -92,7 +95,7 @@
         if group is not None:
             # A request of another host counts as use of the group, so that
             # this host keeps its evidence recent.
-            group.state.asked_at = self._clock.now()
+            group.state.last_request_at = self._clock.now()
         newest = group.state.evidence.newest if group else None
         return make_report(newest, self._clock.now())
 
@@ -103,6 +106,6 @@
         report = result.value_or(None)
         if not isinstance(report, EvidenceReport):
             return
-        found = read_report(report, asked_at)
-        if found is not None:
-            group.state.evidence.record(found.at, found.position)
+        evidence = read_report(report, asked_at)
+        if evidence is not None:
+            group.state.evidence.record(evidence.at, evidence.position)
--- a/packages/node/src/trefoilpulley_node/proxy/host_registration.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_registration.py
@@ -89,8 +89,12 @@
 
     def _run(self) -> None:
         while True:
-            is_listed = self._renew() if self._lease_id else self._register()
-            gevent.sleep(RENEW_INTERVAL_S if is_listed else RETRY_INTERVAL_S)
+            is_registered = (
+                self._renew() if self._lease_id else self._register()
+            )
+            gevent.sleep(
+                RENEW_INTERVAL_S if is_registered else RETRY_INTERVAL_S
+            )
 
     def _register(self) -> bool:
         granted = self._platform.grant_lease(LEASE_TTL_S)
@@ -111,10 +115,10 @@
             return result
         if not isinstance(result.failure(), RevisionConflict):
             return result
-        found = self._platform.get(key)
-        if not isinstance(found, Success):
-            return found
-        entry = found.unwrap()
+        current = self._platform.get(key)
+        if not isinstance(current, Success):
+            return current
+        entry = current.unwrap()
         revision = entry.mod_revision if entry else 0
         return self._platform.compare_and_swap(key, revision, value, lease_id)
 
--- a/packages/node/src/trefoilpulley_node/proxy/host_vote.py
+++ b/packages/node/src/trefoilpulley_node/proxy/host_vote.py
@@ -36,7 +36,7 @@
 
 
 class HostVote:
-    """Collects what the voters of a group report on a member.
+    """Collects the reports of a group's voters on a member.
 
     Parameters
     ----------
@@ -90,7 +90,9 @@
             if not isinstance(report, ReachReport):
                 continue
             reports = (*reports, report)
-            if self.is_lost(group, lost_member, reports, is_claimed=False):
+            if self.is_lost(
+                group, lost_member, reports, is_service_available=False
+            ):
                 # The outcome is decided: no outstanding report can change it.
                 break
         gevent.killall(greenlets, block=False)
@@ -124,12 +126,14 @@
         group: Group,
         lost_member: str,
         reports: Sequence[ReachReport],
-        is_claimed: bool,
+        is_service_available: bool,
     ) -> bool:
         """Return whether enough voters can't reach a member."""
         health = group.state.members.get(lost_member)
         zone = health.record.zone if health else ''
-        return has_loss_quorum(reports, self.voters(group), zone, is_claimed)
+        return has_loss_quorum(
+            reports, self.voters(group), zone, is_service_available
+        )
 
     def on_reach_question(self, question: ReachQuestion) -> ReachReport:
         """Return whether this host reaches a member."""
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -127,14 +127,14 @@
         self._clock = clock
         self._idle: list[PooledSession] = []
         self._queue = ConnectionQueue()
-        self._open = 0
-        self._assigned = 0
+        self._open_count = 0
+        self._assigned_count = 0
         self._is_closed = False
 
     @property
     def open_connections(self) -> int:
         """Number of connections that are open or being opened."""
-        return self._open
+        return self._open_count
 
     @property
     def waiting(self) -> int:
@@ -179,13 +179,13 @@
                     return Success(conn)
                 if now >= deadline:
                     break
-                if self._open < self.share.limit(now):
+                if self._open_count < self.share.limit(now):
                     dialled = self._dial(deadline)
                     failure = _failure_of(dialled)
                     if not isinstance(failure, ConnectionLimitReached):
                         return dialled
                     self.share.on_refused(now)
-                    if self._open == 0:
+                    if self._open_count == 0:
                         wait_s = min(LIMIT_RETRY_INTERVAL_S, deadline - now)
                         conn = self._wait_for_retry(priority, deadline, wait_s)
                         if conn is not None:
@@ -208,7 +208,7 @@
         if not conn.is_usable or self._is_closed:
             self._close_connection(conn)
             return
-        if self._open > self.share.max_open:
+        if self._open_count > self.share.max_open:
             self._close_connection(conn)
             return
         conn.since = now
@@ -219,7 +219,7 @@
         """Wake waiting requests while the member has capacity for them."""
         now = self._clock.now()
         while len(self._queue) and self._has_room:
-            can_dial = self._open < self.share.limit(now)
+            can_dial = self._open_count < self.share.limit(now)
             if not self._idle and not can_dial:
                 return
             waiter = self._queue.pop(now)
@@ -228,7 +228,7 @@
             conn = self._idle.pop() if self._idle else None
             if conn is not None:
                 conn.since = now
-            self._assigned += 1
+            self._assigned_count += 1
             waiter.handle.set(conn)
             if conn is None:
                 # The waiting request dials or waits again itself, and there
@@ -251,14 +251,14 @@
 
     def open_ahead(self) -> None:
         """Open a connection before a request needs it, where none is open."""
-        if self._open or not self.is_idle_kept or self._is_closed:
+        if self._open_count or not self.is_idle_kept or self._is_closed:
             return
         if self.health.failing_since is None:
             gevent.spawn(self._open_ahead)
 
     def trim(self, now: float) -> None:
         """Close idle connections above the number that stays open."""
-        while self._idle and self._open > self._max_kept:
+        while self._idle and self._open_count > self._max_kept:
             if now - self._idle[0].since < EXCESS_IDLE_TIMEOUT_S:
                 return
             self._close_connection(self._idle.pop(0))
@@ -271,10 +271,10 @@
         self._is_closed = True
         for conn in self._idle:
             conn.close()
-            self._open -= 1
+            self._open_count -= 1
         self._idle.clear()
         for waiter in self._queue.drain():
-            self._assigned += 1
+            self._assigned_count += 1
             waiter.handle.set(None)
 
     @property
@@ -297,7 +297,7 @@
         return self._idle.pop()
 
     def _dial(self, deadline: float) -> Result[PooledSession, Failure]:
-        self._open += 1
+        self._open_count += 1
         now = self._clock.now()
         timeout_s = min(DIAL_TIMEOUT_S, deadline - now)
         dialled = self._dialer.dial(self.health.record, timeout_s)
@@ -305,7 +305,7 @@
         if isinstance(dialled, Success):
             self.health.on_answer(now, self.health.position)
             return Success(PooledSession(dialled.unwrap(), since=now))
-        self._open -= 1
+        self._open_count -= 1
         failure = dialled.failure()
         if isinstance(failure, ConnectionLimitReached):
             self.health.on_answer(now, self.health.position)
@@ -323,17 +323,18 @@
 
     def _wake_waiters(self) -> None:
         """Wake the waiting requests, so that each of them fails early."""
-        if self._open:
+        if self._open_count:
             return
         for waiter in self._queue.drain():
-            self._assigned += 1
+            self._assigned_count += 1
             waiter.handle.set(None)
 
     @property
     def _has_room(self) -> bool:
         """Whether one more statement may be sent to the member."""
         return (
-            self.health.in_flight + self._assigned < self.in_flight_limit.value
+            self.health.in_flight + self._assigned_count
+            < self.in_flight_limit.value
         )
 
     def _enqueue(
@@ -341,7 +342,7 @@
     ) -> QueuedWork | None:
         """Queue a request, or return ``None`` where it would wait too long."""
         if self._has_room:
-            servers, mean_hold_s = self._open, self._queue.mean_hold_s
+            servers, mean_hold_s = self._open_count, self._queue.mean_hold_s
         else:
             servers = self.in_flight_limit.value
             mean_hold_s = self.health.expected_latency_s(now)
@@ -379,15 +380,15 @@
         except gevent.GreenletExit:
             self._abandon(waiter)
             raise
-        self._assigned -= 1
+        self._assigned_count -= 1
         return conn
 
     def _abandon(self, waiter: QueuedWork) -> None:
-        """Take back what was handed to a greenlet that has been killed."""
+        """Take back the turn and connection of a greenlet that was killed."""
         if not waiter.is_done:
             self._queue.remove(waiter)
             return
-        self._assigned -= 1
+        self._assigned_count -= 1
         conn = waiter.handle.get()
         if conn is None:
             self.serve_queue()
@@ -396,7 +397,7 @@
 
     def _close_connection(self, conn: PooledSession) -> None:
         conn.close()
-        self._open -= 1
+        self._open_count -= 1
         self.serve_queue()
 
 
--- a/packages/node/src/trefoilpulley_node/proxy/member_prober.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_prober.py
@@ -31,7 +31,7 @@
     from trefoilpulley_node.proxy.exchange import Exchanger
 
 PROBE_PRIORITY = -1
-"""Priority of the system's own requests, ahead of every route's."""
+"""Priority of this host's own requests, above that of every route."""
 
 PROBE_TIMEOUT_S = 0.25
 """Timeout of a request to a member, in seconds."""
@@ -81,7 +81,7 @@
         return True
 
     def find_leader(self, group: Group) -> bool:
-        """Ask all members at once; return whether a primary is known then."""
+        """Ask all members at once; return whether the group has a primary."""
         greenlets = [
             gevent.spawn(self.verify_leader, group, member)
             for member in group.state.members
@@ -153,18 +153,18 @@
         greenlets = {
             m: gevent.spawn(self.read_status, group, m, call) for m in members
         }
-        enough = len(group.state.members) // 2 + 1
-        answers = 0
+        majority = len(group.state.members) // 2 + 1
+        answer_count = 0
         for greenlet in gevent.iwait(
             list(greenlets.values()), timeout=2 * PROBE_TIMEOUT_S
         ):
-            answers += greenlet.value is not None
-            if answers >= enough:
+            answer_count += greenlet.value is not None
+            if answer_count >= majority:
                 break
         gevent.joinall(list(greenlets.values()), timeout=LAST_STATUS_TIMEOUT_S)
-        found = {m: g.value for m, g in greenlets.items()}
+        statuses = {m: g.value for m, g in greenlets.items()}
         gevent.killall(list(greenlets.values()), block=False)
-        return {m: s for m, s in found.items() if s is not None}
+        return {m: s for m, s in statuses.items() if s is not None}
 
     def demote(self, group: Group, member: str, term: int) -> LogStatus | None:
         """Demote a primary of a lower term; return its log status."""
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -71,9 +71,9 @@
 DEMOTION_DELAY_S = 0.42
 """Delay from the promotion order to the old primary's demotion, in seconds.
 
-The platform takes some hundred milliseconds longer to finish the promotion. In
-this remaining time, the last records reach the new primary, and writes wait no
-longer than this.
+The platform takes some hundred milliseconds longer to finish the promotion.
+During that time, the last log records reach the new primary. Writes wait no
+longer than that time.
 """
 
 
@@ -400,7 +400,7 @@
         lost_primary: str | None,
         reports: Sequence[ReachReport],
     ) -> int | None:
-        """Return a round that is used while the platform's service is out.
+        """Return a round to use while the platform's service is unavailable.
 
         Only a host on the side of a network partition that has a majority of
         all hosts may continue without a claim. The hosts take turns, and none
@@ -412,7 +412,7 @@
         ):
             return None
         if not self._vote.is_lost(
-            group, lost_primary, reports, is_claimed=False
+            group, lost_primary, reports, is_service_available=False
         ):
             return None
         if not self._wait_turn(group, after_round, is_service_out=True):
--- a/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
@@ -16,13 +16,13 @@
     from trefoilpulley_node.proxy.work import StatementRequest
 
 EXPECTED_FAILOVER_S = 1.3
-"""Expected time from the loss of a primary to the next, in seconds.
+"""Expected time until a new primary leads after a loss, in seconds.
 
 Covers detection, the vote and the platform's promotion.
 """
 
 EXPECTED_SEARCH_S = 0.15
-"""Expected time to find a primary that has changed, in seconds."""
+"""Expected time to find the new primary after a change, in seconds."""
 
 LOST_TIMEOUT_S = 0.1
 """Time after which a failing primary counts as lost, in seconds.
@@ -60,11 +60,13 @@
         if health is None:
             return True
         now = self._clock.now()
-        leaving = health.leaving_since
-        if leaving is not None and now - leaving > MAX_LEAVING_S:
+        leaving_since = health.leaving_since
+        if leaving_since is not None and now - leaving_since > MAX_LEAVING_S:
             return True
-        failing = health.failing_since
-        return failing is not None and now - failing > LOST_TIMEOUT_S
+        failing_since = health.failing_since
+        return (
+            failing_since is not None and now - failing_since > LOST_TIMEOUT_S
+        )
 
     def is_serving(self, group: Group) -> bool:
         """Return whether the primary answers and no change is expected."""
@@ -79,8 +81,8 @@
         now = self._clock.now()
         if now < request.group.state.no_primary_change_until:
             return False
-        spare_s = RUN_TIME_FACTOR * (request.deadline - request.arrived_at)
-        wait_until = request.deadline - spare_s
+        run_time_s = RUN_TIME_FACTOR * (request.deadline - request.arrived_at)
+        wait_until = request.deadline - run_time_s
         if self._expected_at(request.group, now) > wait_until:
             return False
         return request.group.primary_changed.wait(max(0.0, wait_until - now))
--- a/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
@@ -81,7 +81,7 @@
 """
 
 MAX_HOSTS_PER_ROLE = 2
-"""Holders, and voters, that are asked to check one member at once."""
+"""Maximum number of holders, and of voters, asked to check a member."""
 
 LOG_INTERVAL_S = 1.0
 """Time between two log events about one unreachable primary, in seconds."""
@@ -161,9 +161,8 @@
             self._group.check_requested.clear()
             try:
                 self._check_primary()
-            except (
-                Exception
-            ) as exc:  # An unexpected error must not end the monitoring.
+            # An unexpected error must not end the monitoring.
+            except Exception as exc:
                 events.HANDLER_CRASHED.log(
                     message='primary-watch', error=repr(exc)
                 )
@@ -272,7 +271,7 @@
         """Request evidence from other hosts where the newest is too old."""
         state = self._group.state
         now = self._clock.now()
-        if now - state.asked_at > IN_USE_TIMEOUT_S:
+        if now - state.last_request_at > IN_USE_TIMEOUT_S:
             return
         newest = state.evidence.newest
         max_age_s = (
@@ -307,7 +306,7 @@
         if self._is_primary_relayed:
             # The holders prove the primary's leadership for every host.
             return False
-        if now - state.asked_at > IN_USE_TIMEOUT_S:
+        if now - state.last_request_at > IN_USE_TIMEOUT_S:
             return False
         return now - state.last_proof_at > MAX_EVIDENCE_AGE_S
 
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_metrics.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_metrics.py
@@ -158,10 +158,10 @@
         self.total += seconds
 
     def cumulative(self) -> list[tuple[str, float]]:
-        found = []
+        buckets = []
         count = 0
         for bound, n in zip((*BUCKET_BOUNDS_S, float('inf')), self._counts):
             count += n
             label = '+Inf' if bound == float('inf') else str(bound)
-            found.append((label, count))
-        return found
+            buckets.append((label, count))
+        return buckets
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_settings.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_settings.py
@@ -30,7 +30,7 @@
     """Address for other hosts."""
 
     seeds: tuple[SeedPeer, ...] = ()
-    """Hosts to contact where the platform's service is out at the start."""
+    """Hosts to contact at a start without the platform's service."""
 
     grace_s: float = 6.0
     """Time from a planned stop until the process is killed, in seconds."""
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
@@ -145,12 +145,12 @@
 
 def _dump_member(access: MemberAccess, now: float) -> MemberDump:
     health = access.health
-    failing = health.failing_since
+    failing_since = health.failing_since
     return MemberDump(
         health.record.member,
         health.record.zone,
         health.record.is_leaving,
-        None if failing is None else round(1000 * (now - failing)),
+        None if failing_since is None else round(1000 * (now - failing_since)),
         round(1000 * health.expected_latency_s(now), 1),
         round(1000 * health.expected_lag_s(now)),
         f'{health.position.term}.{health.position.index}',
--- a/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
@@ -134,10 +134,10 @@
 
     def find_channel(self, holder: str) -> Result[Channel, Failure]:
         """Return the channel to a holder."""
-        found = self._peers.open_channel(holder, HOLDER_DIAL_TIMEOUT_S)
-        if not isinstance(found, Success):
+        opened = self._peers.open_channel(holder, HOLDER_DIAL_TIMEOUT_S)
+        if not isinstance(opened, Success):
             self.on_holder_timeout(holder)
-        return found
+        return opened
 
     @property
     def record(self) -> MemberRecord:
@@ -153,9 +153,9 @@
         self._health.on_reported_latency(
             replies.expected_ms / 1000, self._clock.now()
         )
-        found = read_report(replies.evidence, asked_at)
-        if found is not None:
-            self._group.evidence.record(found.at, found.position)
+        evidence = read_report(replies.evidence, asked_at)
+        if evidence is not None:
+            self._group.evidence.record(evidence.at, evidence.position)
 
     def on_holder_timeout(self, holder: str) -> None:
         """Put a holder that did not answer into backoff."""
@@ -227,12 +227,12 @@
         for holder in self._relay_client.holders[:MAX_HOLDER_ATTEMPTS]:
             if self._is_cancelled or self._relay_client.now() >= deadline:
                 break
-            found = self._relay_client.find_channel(holder)
-            if not isinstance(found, Success):
+            opened = self._relay_client.find_channel(holder)
+            if not isinstance(opened, Success):
                 continue
             if self._is_cancelled:
                 break
-            self._holder, self._channel = holder, found.unwrap()
+            self._holder, self._channel = holder, opened.unwrap()
             result = self._send(calls, deadline, setting)
             if not isinstance(result, RelayRefused):
                 return result
