--- a/packages/core/src/trefoilpulley_core/configuration/change.py
+++ b/packages/core/src/trefoilpulley_core/configuration/change.py
@@ -85,10 +85,10 @@
     platform: Platform,
 ) -> Result[StoredConfiguration, Failure]:
     """Return the configuration that the service stores."""
-    found = platform.get(CONFIGURATION_KEY)
-    if not isinstance(found, Success):
-        return found
-    entry = found.unwrap()
+    fetched = platform.get(CONFIGURATION_KEY)
+    if not isinstance(fetched, Success):
+        return fetched
+    entry = fetched.unwrap()
     if entry is None:
         empty = Configuration(0, '', Declarations())
         return Success(StoredConfiguration(empty, 0))
@@ -154,10 +154,10 @@
 
     def attempt(self) -> Result[AppliedChange, Failure] | None:
         """Return the outcome, or ``None`` if another attempt is needed."""
-        found = read_configuration(self._platform)
-        if not isinstance(found, Success):
-            return self._on_failure(found.failure())
-        stored = found.unwrap()
+        fetched = read_configuration(self._platform)
+        if not isinstance(fetched, Success):
+            return self._on_failure(fetched.failure())
+        stored = fetched.unwrap()
         revision = _find_change(stored.configuration, self._change_id)
         if revision is not None:
             return Success(AppliedChange(revision))
@@ -236,10 +236,10 @@
 
 
 def _find_change(configuration: Configuration, change_id: str) -> int | None:
-    known = (configuration.change_id, *configuration.recent_changes)
-    if change_id not in known:
+    change_ids = (configuration.change_id, *configuration.recent_changes)
+    if change_id not in change_ids:
         return None
-    return configuration.revision - known.index(change_id)
+    return configuration.revision - change_ids.index(change_id)
 
 
 def _describe_revision(configuration: Configuration) -> str:
--- a/packages/core/src/trefoilpulley_core/configuration/holder.py
+++ b/packages/core/src/trefoilpulley_core/configuration/holder.py
@@ -95,16 +95,18 @@
     decoded = _DECODERS[document.kind](text)
     if document.kind is not DocumentKind.CONFIGURATION:
         return decoded
-    return decoded.bind(lambda found: _check_revision(document, found))
+    return decoded.bind(
+        lambda configuration: _check_revision(document, configuration)
+    )
 
 
 def _check_revision(
-    document: Document, found: Configuration
+    document: Document, configuration: Configuration
 ) -> Result[Configuration, Failure]:
-    if found.revision != document.revision:
+    if configuration.revision != document.revision:
         return Failed(
             MalformedDocument(
                 'revision differs from the revision in the message'
             )
         )
-    return Success(found)
+    return Success(configuration)
--- a/packages/core/src/trefoilpulley_core/configuration/spread.py
+++ b/packages/core/src/trefoilpulley_core/configuration/spread.py
@@ -24,7 +24,10 @@
     from trefoilpulley_core.membership.messages import Versions
 
 POLL_INTERVAL_S = 10.0
-"""Time between two reads of the service by a polling host, in seconds."""
+"""Time between two reads of the service by a polling host, in seconds.
+
+The reads find changes that a watch has missed.
+"""
 
 WATCH_RETRY_INTERVAL_S = 0.5
 """Time before a broken watch is restarted, in seconds."""
@@ -40,10 +43,11 @@
 """Minimum time between two requests for the same document, in seconds."""
 
 OTHER_ZONE_FETCH_DELAY_S = 5.0
-"""Delay before one of the platform's lists is fetched from another zone.
+"""Delay before a list is fetched from another zone, in seconds.
 
-In seconds. The addresses in a list depend on the zone that reads the list, so
-that a copy from this host's own zone is preferred.
+The platform's lists are the database groups and the hosts. The addresses in a
+list depend on the zone that reads the list, so that a copy from this host's
+own zone is preferred.
 """
 
 TREE_FANOUT = 4
@@ -60,11 +64,11 @@
     """Decisions of one host in the dissemination of documents.
 
     One host of each zone watches and polls the service, and a second host
-    polls it. A new document is pushed down a tree of the zone's hosts. The
-    order of the hosts in the tree changes with each revision, so that each
-    host sends about one copy per revision on average. A host that did not
-    receive a push sees a higher revision in the probes of its peers and
-    fetches the document from one of them.
+    polls the service. A new document is pushed down a tree of the zone's
+    hosts. The order of the hosts in the tree changes with each revision, so
+    that each host sends about one copy per revision on average. A host that
+    did not receive a push sees a higher revision in the probes of its peers
+    and fetches the document from one of them.
 
     Parameters
     ----------
--- a/packages/core/src/trefoilpulley_core/coordination/database.py
+++ b/packages/core/src/trefoilpulley_core/coordination/database.py
@@ -36,22 +36,25 @@
     from trefoilpulley_core.coordination.shard import DatabaseRecord
 
 BUSY_TICK_INTERVAL_S = 0.005
-"""Interval between ticks during a promotion or handover."""
+"""Interval between ticks during a promotion or handover, in seconds."""
 
 ALERT_TICK_INTERVAL_S = 0.05
-"""Interval between ticks while a failure of the primary is suspected.
+"""Interval between ticks while a failure is suspected, in seconds.
 
 Also the shortest interval between ticks in normal operation.
 """
 
 MAX_TICK_INTERVAL_S = 0.25
-"""Longest interval between ticks in normal operation."""
+"""Longest interval between ticks in normal operation, in seconds."""
 
 TICKS_PER_PROBE = 6
 """Ticks per probe interval in normal operation."""
 
 MAX_TICK_GAP_S = 1.0
-"""Gap between ticks above which the evidence is discarded as outdated."""
+"""Maximum gap between ticks, in seconds.
+
+After a longer gap, the evidence is discarded as outdated.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +94,7 @@
         self.holder = holder
         """Name of this process in term grants."""
 
-        self._last_used = 0
+        self._last_used_term = 0
         self._handovers_begun = 0
         self._context = TickContext(entry)
         self._ticked_at: float | None = None
@@ -134,7 +137,8 @@
     def deactivate(self) -> None:
         """Drop all evidence and operations when this process loses the duty.
 
-        The handover's pause of writes ends by its own time limit.
+        If a handover has paused writes, the pooler resumes them at the time
+        limit of the pause.
         """
         self._ticked_at = None
         self._reset()
@@ -171,12 +175,16 @@
         return steps + self._apply_handover_stage(now)
 
     def _update_context(self, context: TickContext, now: float) -> None:
-        last = self._ticked_at
+        last_ticked_at = self._ticked_at
         self._ticked_at = now
         self._context = context
         is_changed = context.entry.members != self._entry.members
         self._entry = context.entry
-        if is_changed or last is None or now - last > MAX_TICK_GAP_S:
+        if (
+            is_changed
+            or last_ticked_at is None
+            or now - last_ticked_at > MAX_TICK_GAP_S
+        ):
             self._reset()
 
     def _reset(self) -> None:
@@ -235,7 +243,7 @@
         term = usable_term(self.record, self.holder, above)
         if term is None:
             return (self._term_claim(above),)
-        self._last_used = term
+        self._last_used_term = term
         is_planned = self.handover is not None
         self.promotion = Promotion(self._entry, term, ranked, now, is_planned)
         reason = 'handover' if is_planned else self.verdict.value
@@ -244,7 +252,7 @@
 
     @property
     def _highest_known_term(self) -> int:
-        return max(self._last_used, self.detector.highest_term)
+        return max(self._last_used_term, self.detector.highest_term)
 
     def _term_claim(self, above: int) -> EditRecord:
         return EditRecord(ClaimTerms(self.database, self.holder, above))
--- a/packages/core/src/trefoilpulley_core/coordination/detection.py
+++ b/packages/core/src/trefoilpulley_core/coordination/detection.py
@@ -13,13 +13,19 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 PRIMARY_CONTACT_TIMEOUT_S = 0.4
-"""Age of a replica's last contact above which it has lost the primary."""
+"""Age of a replica's contact that counts as lost, in seconds.
+
+The contact is the replica's last contact to the primary.
+"""
 
 LEADERLESS_TIMEOUT_S = 0.3
-"""Time without a primary before a promotion, while all members answer."""
+"""Time without a primary before a promotion, in seconds.
+
+Applies while all members answer.
+"""
 
 POOLER_REPORT_TIMEOUT_S = 1.0
-"""Time for which poolers must report a primary unreachable.
+"""Time for which poolers must report a primary unreachable, in seconds.
 
 A promotion begins after this time even though replicas still hear from
 the primary. Only time during which a majority of the members answers
@@ -27,17 +33,20 @@
 """
 
 UNREACHABLE_TIMEOUT_S = 3.0
-"""Time without an answer of the primary before a promotion.
+"""Time without an answer of the primary before a promotion, in seconds.
 
 Applies if replicas still hear from the primary and its pooler does not
 report it unreachable.
 """
 
 ISOLATED_TIMEOUT_S = 1.0
-"""Time for which a primary must lack a majority before a promotion."""
+"""Time without a majority before a promotion, in seconds.
+
+The primary answers, but has contact to too few replicas.
+"""
 
 DISPUTED_TIMEOUT_S = 1.0
-"""Time for which members must refuse the primary's term.
+"""Time for which members must refuse the primary's term, in seconds.
 
 A promotion begins after this time.
 """
@@ -95,13 +104,15 @@
     """Last status that the member returned, or ``None``."""
 
     answered_at: float = 0.0
-    """Monotonic time at which the last answered probe was sent."""
+    """Monotonic time at which the last answered probe was sent, in seconds."""
 
     failed_at: float | None = None
-    """Time of the first failed probe after the last answered one."""
+    """Time of the first failed probe since the last answer, in seconds."""
 
     pooler_report_since: float | None = None
-    """Time since which the pooler reports the member unreachable."""
+    """Time since which the pooler reports the member unreachable.
+
+    In seconds; ``None`` where the pooler does not report that."""
 
     @property
     def is_answering(self) -> bool:
@@ -250,8 +261,8 @@
         return Verdict.HEALTHY
 
     def _evaluate_higher_term(self, primary: MemberStatus) -> Verdict:
-        known = self.last_primary
-        if known is not None and known.term > primary.term:
+        last_primary = self.last_primary
+        if last_primary is not None and last_primary.term > primary.term:
             return self._evaluate_missing_primary()
         return Verdict.DISPUTED
 
--- a/packages/core/src/trefoilpulley_core/coordination/duty.py
+++ b/packages/core/src/trefoilpulley_core/coordination/duty.py
@@ -24,44 +24,45 @@
     from trefoilpulley_core.catalog import HostEntry
 
 LEASE_TTL_S = 3
-"""Time to live of a process's lease."""
+"""Time to live of a process's lease, in seconds."""
 
 RENEW_S = 1.0
-"""Interval between renewals of the lease."""
+"""Interval between renewals of the lease, in seconds."""
 
 READ_INTERVAL_S = 1.0
-"""Interval at which hosts of rank 0 and 1 read a duty that they lack.
+"""Interval between reads of a duty by hosts that lack it, in seconds.
 
-A host of a higher rank multiplies the interval by its rank.
+Applies to the hosts of rank 0 and 1. A host of a higher rank multiplies the
+interval by its rank.
 """
 
 CONFIRM_INTERVAL_S = 0.25
-"""Interval between reads of a duty after a read found no holder."""
+"""Interval between reads of a duty without a holder, in seconds."""
 
 LEASE_RETRY_INTERVAL_S = 0.5
-"""Delay before the next attempt after a lease call went unanswered."""
+"""Delay of the next lease call after an unanswered call, in seconds."""
 
 OUTAGE_TIMEOUT_S = 2.0
-"""Time without an answer after which a service outage is assumed."""
+"""Time without an answer that counts as a service outage, in seconds."""
 
 MAX_FAILURE_AGE_S = 3.0
-"""Age above which a failed call is no evidence of a present outage."""
+"""Maximum age of a failed call as evidence of an outage, in seconds."""
 
 REACQUIRE_DELAY_S = 5.0
-"""Time before a process reads a duty again that it has released.
+"""Time before a process reads a duty again that it has released, in seconds.
 
 Leaves time for the process of a higher ranked host to acquire the duty.
 """
 
 RELEASE_DELAY_S = 300.0
-"""Time for which another host must rank first before a release."""
+"""Time for which another host must rank first before a release, in seconds."""
 
 HOME_ZONE_RELEASE_DELAY_S = 5.0
-"""Release delay of a holder in the zone of the shard's home primaries.
+"""Release delay of a holder in a home primary's zone, in seconds.
 
-The delay is shorter because a failure of that zone would stop primary
-and coordinator together, and a promotion would have to wait for the
-lease to expire.
+The home primaries of a shard share one zone. The delay is shorter because
+a failure of that zone would stop primary and coordinator together, and a
+promotion would have to wait for the lease to expire.
 """
 
 
@@ -310,10 +311,10 @@
             self._failed_at = now
 
     def _update_views(self) -> None:
-        wanted = self.succession.shards_of(self._host)
-        for shard in wanted - self.views.keys():
+        shards = self.succession.shards_of(self._host)
+        for shard in shards - self.views.keys():
             self.views[shard] = DutyView()
-        for shard in self.views.keys() - wanted:
+        for shard in self.views.keys() - shards:
             if not self.views[shard].revision:
                 del self.views[shard]
 
--- a/packages/core/src/trefoilpulley_core/coordination/edits.py
+++ b/packages/core/src/trefoilpulley_core/coordination/edits.py
@@ -1,7 +1,7 @@
 """Edits of a database's record.
 
-Each edit is idempotent. After a conflict or a lost answer the edit is
-applied again to the latest version of the record, so neither case needs
+Each edit is idempotent. After a conflict or a lost answer, the edit is
+applied again to the latest version of the record. Neither case needs
 special treatment.
 """
 
--- a/packages/core/src/trefoilpulley_core/coordination/follower_care.py
+++ b/packages/core/src/trefoilpulley_core/coordination/follower_care.py
@@ -16,13 +16,13 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 ORDER_RETRY_INTERVAL_S = 1.0
-"""Interval between orders to the same member."""
+"""Interval between orders to the same member, in seconds."""
 
 MAX_CONTACT_AGE_S = 1.0
-"""Age of the last contact to the primary that triggers an order."""
+"""Age of the last primary contact that triggers an order, in seconds."""
 
 ORDER_TIMEOUT_S = 1.0
-"""Time limit for the reply to an order."""
+"""Time limit for the reply to an order, in seconds."""
 
 
 class ReplicaRedirector:
--- a/packages/core/src/trefoilpulley_core/coordination/handover.py
+++ b/packages/core/src/trefoilpulley_core/coordination/handover.py
@@ -2,8 +2,8 @@
 
 The handover may be abandoned at any step before the members are fenced.
 From the fence on, the change is a promotion and is not reverted. The
-pause of writes has a time limit, so a coordinator that crashes leaves
-only the handover's record, which the next coordinator removes.
+pause of writes ends at its time limit. A coordinator that crashes thus
+leaves only the handover's record, which the next coordinator removes.
 """
 
 from __future__ import annotations
@@ -36,37 +36,50 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 MAX_WRITE_PAUSE_S = 0.2
-"""Longest pause of writes, after which the pooler resumes them."""
+"""Maximum pause of writes; the pooler then resumes the writes, in seconds."""
 
 SWITCH_RESERVE_S = 0.08
-"""Part of the pause that is reserved for the promotion.
+"""Part of the pause that is reserved for the promotion, in seconds.
 
 Source and target must have equal logs before this part begins.
 """
 
 STORE_TIMEOUT_S = 2.0
-"""Time limit for storing the record of a step."""
+"""Time limit for storing the record of a step, in seconds."""
 
 WARMUP_S = 0.5
-"""Time for the target's pooler to open connections to the target."""
+"""Time for the pooler to connect to the target, in seconds."""
 
 STEP_TIMEOUT_S = 0.1
-"""Time limit for the reply to one call."""
+"""Time limit for the reply to one call, in seconds."""
 
-STEP_RETRY_INTERVAL_S = 0.01
-"""Interval between checks of the running writes and of the logs."""
+CHECK_INTERVAL_S = 0.01
+"""Interval between checks of running writes and of logs, in seconds."""
 
 
 class HandoverStage(StrEnum):
     """Stages of a handover before the fence."""
 
     RECORDING = 'recording'
+    """The record of the handover is being stored."""
+
     WARMING = 'warming'
+    """The target's pooler opens connections to the target."""
+
     MARKING = 'marking'
+    """The start of the switch is being stored in the record."""
+
     DRAINING = 'draining'
+    """Writes are paused; the running writes have not ended yet."""
+
     COMPARING = 'comparing'
+    """The logs of source and target are compared."""
+
     READY = 'ready'
+    """The logs are equal, and the target can be promoted."""
+
     ABANDONED = 'abandoned'
+    """The handover has ended without a promotion."""
 
 
 class Handover:
@@ -184,7 +197,7 @@
         return self._pause_writes(now)
 
     def _pause_writes(self, now: float) -> Commands:
-        self._next_at = now + STEP_RETRY_INTERVAL_S
+        self._next_at = now + CHECK_INTERVAL_S
         source = self.record.source
         left_s = self._max_pause_s - (now - self._paused_at)
         max_pause_ms = max(1, round(left_s * 1000))
@@ -216,7 +229,7 @@
         return self.abandon('source does not answer')
 
     def _compare_logs(self, now: float) -> Commands:
-        self._next_at = now + STEP_RETRY_INTERVAL_S
+        self._next_at = now + CHECK_INTERVAL_S
         self._compared_at = now
         self._statuses.clear()
         self._pending.clear()
--- a/packages/core/src/trefoilpulley_core/coordination/polling.py
+++ b/packages/core/src/trefoilpulley_core/coordination/polling.py
@@ -17,16 +17,16 @@
     from trefoilpulley_core.coordination.commands import Commands
 
 MIN_PROBE_INTERVAL_S = 0.3
-"""Shortest regular interval between probes of the same member."""
+"""Shortest regular interval between probes of the same member, in seconds."""
 
 MEMBER_INTERVAL_S = 0.15
-"""Interval between probes of any member by one process."""
+"""Interval between probes by one process, over all its members, in seconds."""
 
 URGENT_PROBE_INTERVAL_S = 0.1
-"""Interval between probes while a failure is suspected."""
+"""Interval between probes while a failure is suspected, in seconds."""
 
 PROBE_TIMEOUT_S = 0.25
-"""Time limit for the answer to a probe."""
+"""Time limit for the answer to a probe, in seconds."""
 
 
 def probe_interval_s(member_count: int) -> float:
@@ -77,8 +77,8 @@
         due_at = self._due_at.get(member)
         if due_at is None or now >= due_at:
             return True
-        # A shortened interval applies from the last probe, not only after
-        # the next scheduled one.
+        # A shortened interval counts from the last probe. The probe that
+        # was scheduled with the longer interval is not waited for.
         probed_at = self._probed_at.get(member)
         return probed_at is not None and now >= probed_at + interval_s
 
--- a/packages/core/src/trefoilpulley_core/coordination/promotion.py
+++ b/packages/core/src/trefoilpulley_core/coordination/promotion.py
@@ -29,36 +29,53 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 CALL_TIMEOUT_S = 0.3
-"""Time limit for the reply to one call."""
+"""Time limit for the reply to one call, in seconds."""
 
 STEP_RETRY_INTERVAL_S = 0.1
-"""Interval between attempts of the same step at a member."""
+"""Interval between attempts of the same step at a member, in seconds."""
 
 CONFIRM_INTERVAL_S = 0.02
-"""Interval between checks whether replicas hold the first record."""
+"""Interval between checks of the first record's copies, in seconds."""
 
 MAX_EXTRA_FENCE_WAIT_S = 0.03
-"""Wait for further members after a majority is fenced.
+"""Wait for further members after a majority is fenced, in seconds.
 
 More fenced members give a better chance to find the longest log.
 """
 
 PROMOTE_TIMEOUT_S = 2.0
-"""Time limit for fencing and promotion, before a new term is tried."""
+"""Time limit for fencing and promotion, in seconds.
+
+After the limit, a new term is tried.
+"""
 
 CONFIRM_TIMEOUT_S = 5.0
-"""Time limit for a majority to hold the first record of the term."""
+"""Time limit for copies of the first record, in seconds.
+
+A majority must hold the first record of the term by then.
+"""
 
 
 class PromotionStage(StrEnum):
     """Stages of a promotion."""
 
     FENCING = 'fencing'
+    """A majority of the members is being fenced at the term."""
+
     PROMOTING = 'promoting'
+    """The chosen member is being promoted."""
+
     CONFIRMING = 'confirming'
+    """Replicas must hold the first record of the term."""
+
     DONE = 'done'
+    """A majority holds the first record of the term."""
+
     SUPERSEDED = 'superseded'
+    """A member knows a higher term."""
+
     FAILED = 'failed'
+    """A time limit has passed."""
 
     @property
     def is_over(self) -> bool:
@@ -208,9 +225,11 @@
         )
 
     def _most_advanced(self) -> str:
-        end = max(s.history.last for s in self._fenced.values())
+        last_position = max(s.history.last for s in self._fenced.values())
         candidates = [
-            m for m, s in self._fenced.items() if s.history.last == end
+            m
+            for m, s in self._fenced.items()
+            if s.history.last == last_position
         ]
         return min(candidates, key=self._preference.index)
 
--- a/packages/core/src/trefoilpulley_core/coordination/return_policy.py
+++ b/packages/core/src/trefoilpulley_core/coordination/return_policy.py
@@ -19,31 +19,40 @@
     from trefoilpulley_core.upstream import MemberStatus
 
 RETURN_HOLD_DOWN_S = 5.0
-"""Time for which the home primary must be eligible before a return."""
+"""Time for which a return target must be eligible, in seconds.
+
+The target of a return is the home primary.
+"""
 
 DEPARTURE_HOLD_DOWN_S = 0.3
-"""Hold-down of a handover away from a primary that is about to stop."""
+"""Time for which a departure target must be eligible, in seconds.
+
+A departure moves the database from a primary that is about to stop.
+"""
 
 MAX_RETURN_DOUBLINGS = 6
-"""Most doublings of the hold-down of a return; each relapse adds one."""
+"""Maximum number of doublings of the hold-down of a return.
+
+Each relapse adds one doubling.
+"""
 
 MAX_DEPARTURE_DOUBLINGS = 2
-"""Most doublings of the hold-down of a departure."""
+"""Maximum number of doublings of the hold-down of a departure."""
 
 MAX_PAUSE_DOUBLINGS = 3
-"""Most doublings of the pause of writes when the primary departs."""
+"""Maximum number of doublings of the write pause of a departure."""
 
 MAX_RETURN_LAG_S = 0.3
-"""Greatest lag of the home primary for a return."""
+"""Maximum lag of the home primary for a return, in seconds."""
 
 MAX_DEPARTURE_LAG_S = 1.0
-"""Greatest lag of the target when the primary is about to stop."""
+"""Maximum lag of the target when the primary is about to stop, in seconds."""
 
 RELAPSE_RESET_S = 600.0
-"""Time with the desired primary after which relapses are reset."""
+"""Time with the desired primary after which relapses are reset, in seconds."""
 
 MAX_PRIMARY_POSITIONS = 64
-"""Positions of the primary that are kept to estimate the lag."""
+"""Number of primary positions that are kept to estimate the lag."""
 
 
 class HandoverPolicy:
--- a/packages/core/src/trefoilpulley_core/coordination/shard_coordinator.py
+++ b/packages/core/src/trefoilpulley_core/coordination/shard_coordinator.py
@@ -23,13 +23,13 @@
     from trefoilpulley_core.coordination.edits import RecordEdit
 
 SERVICE_RETRY_INTERVAL_S = 0.5
-"""Delay before the next call after the service did not answer."""
+"""Delay before the next call after the service did not answer, in seconds."""
 
 STANDBY_TICK_S = 0.2
-"""Interval between ticks of a standby process."""
+"""Interval between ticks of a standby process, in seconds."""
 
 STANDBY_REFRESH_INTERVAL_S = 10.0
-"""Interval between reads of the records by a standby process."""
+"""Interval between reads of the records by a standby process, in seconds."""
 
 
 class ShardCoordinator:
--- a/packages/core/src/trefoilpulley_core/coordination/terms.py
+++ b/packages/core/src/trefoilpulley_core/coordination/terms.py
@@ -11,10 +11,13 @@
     from trefoilpulley_core.coordination.shard import DatabaseRecord
 
 TERMS_GRANTED_AHEAD = 3
-"""Unused terms that a process holds for each database of its shards."""
+"""Number of unused terms of a process for each database of its shards."""
 
 MAX_GRANTS = 30
-"""Most grants in a record; the oldest of other processes are dropped."""
+"""Maximum number of grants in a record.
+
+Above it, the oldest grants of other processes are dropped.
+"""
 
 
 def holder_name(host: str, incarnation: int) -> str:
--- a/packages/core/src/trefoilpulley_core/membership/death_verifier.py
+++ b/packages/core/src/trefoilpulley_core/membership/death_verifier.py
@@ -63,22 +63,24 @@
                 self._dissemination.learn_zone(zone_record)
 
     def _must_verify(self, record: HostRecord) -> bool:
-        known = self._table.find_host(record.entry.name)
-        if known is None or known.incarnation == 0:
+        current = self._table.find_host(record.entry.name)
+        if current is None or current.incarnation == 0:
             return False
         if (
             record.state is not HostState.DEAD
-            or known == self._dissemination.own
+            or current == self._dissemination.own
         ):
             return False
-        return known.state is not HostState.DEAD and record.supersedes(known)
+        return current.state is not HostState.DEAD and record.supersedes(
+            current
+        )
 
     def _must_verify_zone(self, record: ZoneRecord) -> bool:
-        known = self._table.find_zone(record.zone)
-        if not record.is_lost or not record.supersedes(known):
+        current = self._table.find_zone(record.zone)
+        if not record.is_lost or not record.supersedes(current):
             return False
-        is_known_lost = known is not None and known.is_lost
-        return not is_known_lost and record.zone != self._dissemination.zone
+        is_marked_lost = current is not None and current.is_lost
+        return not is_marked_lost and record.zone != self._dissemination.zone
 
     def _verify_host(self, record: HostRecord) -> None:
         name = record.entry.name
--- a/packages/core/src/trefoilpulley_core/membership/failure_detector.py
+++ b/packages/core/src/trefoilpulley_core/membership/failure_detector.py
@@ -23,7 +23,7 @@
 """Mean time between two probes of a random host of the zone, in seconds."""
 
 SUSPECTING_PREDECESSORS = 3
-"""Number of ring predecessors that suspect a host on a broken connection."""
+"""Number of ring predecessors that suspect a host after a lost connection."""
 
 INDIRECT_PROBERS = 2
 """Number of hosts that are asked to probe a suspected host."""
--- a/packages/core/src/trefoilpulley_core/membership/live_hosts.py
+++ b/packages/core/src/trefoilpulley_core/membership/live_hosts.py
@@ -48,8 +48,8 @@
 
     def hosts_of(self, zone: str) -> tuple[str, ...]:
         """Return the live hosts of an availability zone."""
-        found = self._find_zone(zone)
-        return found.hosts if found else ()
+        zone_hosts = self._find_zone(zone)
+        return zone_hosts.hosts if zone_hosts else ()
 
     def pooler_of(self, member: MemberEntry) -> str | None:
         """Return the host that holds the connections to a member.
@@ -64,10 +64,10 @@
         return self._poolers[key]
 
     def _pooler_candidates(self, zone: str) -> tuple[str, ...]:
-        found = self._find_zone(zone)
-        if found and found.hosts:
-            return found.hosts
-        region = found.region if found else self.region
+        zone_hosts = self._find_zone(zone)
+        if zone_hosts and zone_hosts.hosts:
+            return zone_hosts.hosts
+        region = zone_hosts.region if zone_hosts else self.region
         return tuple(
             host
             for other in self.zones
--- a/packages/core/src/trefoilpulley_core/membership/membership.py
+++ b/packages/core/src/trefoilpulley_core/membership/membership.py
@@ -43,7 +43,7 @@
 """Time between two attempts to join, in seconds."""
 
 HOSTS_PER_JOIN_ATTEMPT = 2
-"""Number of known hosts that are asked in each attempt, besides one seed."""
+"""Number of known hosts asked at each attempt, in addition to one seed."""
 
 DEAD_HOST_REMOVAL_INTERVAL_S = 600.0
 """Time between two removals of dead hosts, in seconds."""
@@ -179,8 +179,8 @@
         Records from a host that is unknown or dead in this host's table are
         verified first.
         """
-        known = self._table.find_host(sender)
-        if known is None or known.state is HostState.DEAD:
+        record = self._table.find_host(sender)
+        if record is None or record.state is HostState.DEAD:
             self._verifier.learn(news)
         else:
             self._dissemination.learn(news)
@@ -239,13 +239,13 @@
         )
 
     def _hosts_to_ask(self) -> tuple[str, ...]:
-        known = [
+        hosts = [
             r.entry.name
             for r in self.records().hosts
             if r.state is not HostState.DEAD and r != self.own
         ]
         sample = self._rng.sample(
-            known, min(HOSTS_PER_JOIN_ATTEMPT, len(known))
+            hosts, min(HOSTS_PER_JOIN_ATTEMPT, len(hosts))
         )
         seeds = self._rng.sample(self._seeds, min(1, len(self._seeds)))
         return (*sample, *seeds)
--- a/packages/core/src/trefoilpulley_core/membership/news.py
+++ b/packages/core/src/trefoilpulley_core/membership/news.py
@@ -80,12 +80,12 @@
     def relays_of(self, zone: str) -> tuple[str, ...]:
         """Return the relays of a zone, first in rank first."""
         live = self.table.live_hosts.hosts_of(zone)
-        known = self._relays.get(zone)
-        if known is None or known.candidates != live:
+        cached = self._relays.get(zone)
+        if cached is None or cached.candidates != live:
             ranked = rank_hosts(f'relay/{zone}', live)
-            known = _Relays(live, ranked[:RELAYS_PER_ZONE])
-            self._relays[zone] = known
-        return known.relays
+            cached = _Relays(live, ranked[:RELAYS_PER_ZONE])
+            self._relays[zone] = cached
+        return cached.relays
 
     def list_indirect_probers(self, subject_zone: str) -> list[str]:
         """Return the hosts that may probe a zone on this host's behalf.
--- a/packages/core/src/trefoilpulley_core/membership/probes.py
+++ b/packages/core/src/trefoilpulley_core/membership/probes.py
@@ -96,13 +96,13 @@
         self._learn_state(probe.host, probe.incarnation, HostState.ALIVE)
         self.outbox.add(CompareVersions(probe.host, probe.versions))
         own = self._dissemination.own
-        differs = probe.digest != self._table.digest
+        is_different = probe.digest != self._table.digest
         return ProbeAnswer(
             own.incarnation,
             self.versions,
             own.state is HostState.LEAVING,
             self._find_death_record(probe),
-            self._table.zone_digests() if differs else (),
+            self._table.zone_digests() if is_different else (),
         )
 
     def on_answer(self, host: str, answer: ProbeAnswer, now: float) -> None:
@@ -118,15 +118,15 @@
     def _learn_state(
         self, host: str, incarnation: int, state: HostState
     ) -> None:
-        known = self._table.find_host(host)
-        if known is None:
+        current = self._table.find_host(host)
+        if current is None:
             return
         self._dissemination.learn_host(
-            HostRecord(known.entry, incarnation, state)
+            HostRecord(current.entry, incarnation, state)
         )
 
     def _find_death_record(self, probe: Probe) -> HostRecord | None:
-        known = self._table.find_host(probe.host)
-        if known is None or known.state is not HostState.DEAD:
+        current = self._table.find_host(probe.host)
+        if current is None or current.state is not HostState.DEAD:
             return None
-        return known
+        return current
--- a/packages/core/src/trefoilpulley_core/membership/reconciler.py
+++ b/packages/core/src/trefoilpulley_core/membership/reconciler.py
@@ -53,7 +53,7 @@
         self._learn = learn
         self._table = dissemination.table
         self._outbox = outbox
-        self._seen_version = 0
+        self._last_version = 0
         self._changed_at = 0.0
         self._exchanged_at = 0.0
         self._is_running = False
@@ -62,8 +62,8 @@
 
     def on_tick(self, now: float) -> None:
         """Record the time of the last change of the table."""
-        if self._table.version != self._seen_version:
-            self._seen_version = self._table.version
+        if self._table.version != self._last_version:
+            self._last_version = self._table.version
             self._changed_at = now
 
     def on_process_resumed(self) -> None:
--- a/packages/core/src/trefoilpulley_core/membership/table.py
+++ b/packages/core/src/trefoilpulley_core/membership/table.py
@@ -161,11 +161,11 @@
     def differing_zones(self, others: Iterable[ZoneDigest]) -> tuple[str, ...]:
         """Return the zones whose digests differ from another table's."""
         other_digests = {z.zone: z.digest for z in others}
-        known = other_digests.keys() | self._digests.keys()
+        zones = other_digests.keys() | self._digests.keys()
         return tuple(
             sorted(
                 z
-                for z in known
+                for z in zones
                 if other_digests.get(z, 0) != self._digests.get(z, 0)
             )
         )
@@ -187,7 +187,7 @@
     def records_newer_than(self, zones: Collection[str], news: News) -> News:
         """Return the records of some zones that are newer than given ones."""
         hosts = {r.entry.name: r for r in news.hosts}
-        lost = {z.zone: z for z in news.zones}
+        zone_records = {z.zone: z for z in news.zones}
         own_records = self.records_of(zones)
         return News(
             tuple(
@@ -196,7 +196,9 @@
                 if r.supersedes(hosts.get(r.entry.name))
             ),
             tuple(
-                z for z in own_records.zones if z.supersedes(lost.get(z.zone))
+                z
+                for z in own_records.zones
+                if z.supersedes(zone_records.get(z.zone))
             ),
         )
 
@@ -226,8 +228,8 @@
     def _build_zone(self, zone: str) -> ZoneHosts:
         records = self._by_zone[zone].values()
         region = next(iter(records)).entry.region
-        lost = self._zones.get(zone)
-        if lost is not None and lost.is_lost:
+        zone_record = self._zones.get(zone)
+        if zone_record is not None and zone_record.is_lost:
             return ZoneHosts(zone, region, (), is_lost=True)
         hosts = [r for r in records if self._takes_work(r)]
         if not hosts:
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -38,9 +38,9 @@
     from trefoilpulley_node.proxy.member_pool import PooledSession
 
 LEASE_MARGIN_S = 1.0
-"""Time after the idle timeout of a transaction until its lease ends.
+"""Time from a transaction's idle timeout to its lease's end, in seconds.
 
-In seconds. The host that opened the lease aborts an idle transaction at the
+The host that opened the lease aborts an idle transaction at the
 idle timeout, as long as that host is running.
 """
 
--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/proxy/session_registry.py
@@ -20,10 +20,7 @@
 """
 
 EXIT_MARGIN_S = 0.7
-"""Time reserved at the end of the grace period for the process to exit.
-
-In seconds.
-"""
+"""Part of the grace period reserved for the exit, in seconds."""
 
 QUIET_PERIOD_S = 0.6
 """Time without connections after which the drain is complete, in seconds.
