--- a/packages/core/src/trefoilpulley_core/admission.py
+++ b/packages/core/src/trefoilpulley_core/admission.py
@@ -20,7 +20,10 @@
 """Requests that an entry host processes concurrently."""
 
 _UNRESTRICTED_SHARE = 0.5
+"""Share of the limit that is not divided between tenants."""
+
 _UNREPEATABLE_WRITE_RESERVE = 0.1
+"""Share of the limit that is reserved for writes that may run only once."""
 
 
 class Admission:
--- a/packages/core/src/trefoilpulley_core/connection_budget.py
+++ b/packages/core/src/trefoilpulley_core/connection_budget.py
@@ -11,16 +11,16 @@
 """Idle connections that are kept in addition to one for each slot."""
 
 RESERVED_CONNECTIONS = 2
-"""Connections that are left free for the control connections of others."""
+"""Connections left free for the control connections of other poolers."""
 
 EXCLUSIVE_USE_DELAY_S = 2.0
-"""Time without another pooler's connection before the full limit is used.
+"""Time without other poolers' connections before full use, in seconds.
 
-Until then a pooler uses at most half of the limit. In seconds.
+Until then, a pooler uses at most half of the member's connection limit.
 """
 
 IDLE_TIMEOUT_S = 10.0
-"""Time after which an idle connection above the minimum is closed."""
+"""Time until an idle connection above the minimum closes, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     """Connections to a member that a pooler should open and close."""
 
     allowance: int
-    """Maximum of the pooler's connections, including control."""
+    """Maximum number of the pooler's connections, including control."""
 
     warm: int
     """Connections for work that should be kept open."""
@@ -56,8 +56,8 @@
     def __init__(self, limit: int, slots: int) -> None:
         self._usable = limit - RESERVED_CONNECTIONS
         self._slots = slots
-        self._own = 0
-        self._available = 0
+        self._own_connections = 0
+        self._free_connections = 0
         self._exclusive_since: float | None = None
         self._counted_at = float('-inf')
 
@@ -75,8 +75,8 @@
         now : float
             Monotonic time of the answer, in seconds.
         """
-        self._own = own_open
-        self._available = self._usable - connections_open
+        self._own_connections = own_open
+        self._free_connections = self._usable - connections_open
         self._counted_at = now
         if connections_open > own_open:
             self._exclusive_since = None
@@ -88,10 +88,13 @@
         self._exclusive_since = None
 
     def allowance(self, now: float) -> int:
-        """Return the maximum of the pooler's connections."""
+        """Return the maximum number of the pooler's connections."""
         if self._is_exclusive(now):
             return self._usable
-        shared = min(self._usable // 2, self._own + self._available // 2)
+        shared = min(
+            self._usable // 2,
+            self._own_connections + self._free_connections // 2,
+        )
         return max(CONTROL_CONNECTIONS, shared)
 
     def may_open(self, own_open: int, now: float) -> bool:
@@ -111,8 +114,8 @@
             Monotonic time in seconds.
         """
         allowance = self.allowance(now)
-        for_work = max(0, allowance - CONTROL_CONNECTIONS)
-        warm = min(self._slots + SPARE_CONNECTIONS, for_work)
+        max_for_work = max(0, allowance - CONTROL_CONNECTIONS)
+        warm = min(self._slots + SPARE_CONNECTIONS, max_for_work)
         excess = max(0, own_open - allowance)
         return ConnectionPlan(allowance, warm, min(idle, excess))
 
--- a/packages/core/src/trefoilpulley_core/connection_pacer.py
+++ b/packages/core/src/trefoilpulley_core/connection_pacer.py
@@ -55,8 +55,8 @@
             self._tokens -= 1
             self._opening += 1
             return 0.0
-        missing = max(1 - self._tokens, 0.5)
-        pause_s = missing / OPENS_PER_S
+        missing_tokens = max(1 - self._tokens, 0.5)
+        pause_s = missing_tokens / OPENS_PER_S
         return pause_s * (1 + JITTER_FACTOR * self._rng.random())
 
     def on_opened(self) -> None:
@@ -65,6 +65,8 @@
 
     def _refill(self, now: float) -> None:
         if self._refilled_at is not None:
-            added = (now - self._refilled_at) * OPENS_PER_S
-            self._tokens = min(MAX_BURST_OPENS, self._tokens + max(0.0, added))
+            added_tokens = (now - self._refilled_at) * OPENS_PER_S
+            self._tokens = min(
+                MAX_BURST_OPENS, self._tokens + max(0.0, added_tokens)
+            )
         self._refilled_at = now
--- a/packages/core/src/trefoilpulley_core/declarations_check.py
+++ b/packages/core/src/trefoilpulley_core/declarations_check.py
@@ -30,7 +30,7 @@
     from collections.abc import Collection
 
 MAX_DOCUMENT_BYTES = 1_000_000
-"""Size limit of a document; the service's values are limited to 1 MB."""
+"""Maximum size of a document; the service limits values to 1 MB."""
 
 MAX_FRESHNESS_AGE_MS = 86_400_000
 """Largest maximum age of a freshness target, in milliseconds (one day)."""
@@ -138,14 +138,14 @@
         section = self._faults.read_object(root.get(key), root.path_of(key))
         if section is None:
             return ()
-        found = []
+        items = []
         for name, value in section.items():
             path = section.path_of(name)
             self._faults.check_name(name, path)
             reader = self._faults.read_object(value, path)
             if reader is not None:
-                found.append((name, reader))
-        return tuple(found)
+                items.append((name, reader))
+        return tuple(items)
 
     def _read_class(self, name: str, reader: ObjectReader) -> WorkClass | None:
         reader.expect_keys(('work', 'promptness'), ('freshness', 'safety'))
@@ -176,14 +176,14 @@
     def _read_write_freshness(self, reader: ObjectReader) -> Freshness | None:
         if not reader.has('freshness'):
             return _PRESENT
-        found = self._read_freshness(reader)
-        if found is not None and found != _PRESENT:
+        freshness = self._read_freshness(reader)
+        if freshness is not None and freshness != _PRESENT:
             self._faults.add(
                 reader.path_of('freshness'),
                 FaultCode.NOT_APPLICABLE,
                 'must be "present" for a class of writes',
             )
-        return found
+        return freshness
 
     def _read_freshness(self, reader: ObjectReader) -> Freshness | None:
         value = reader.get('freshness')
--- a/packages/core/src/trefoilpulley_core/failure.py
+++ b/packages/core/src/trefoilpulley_core/failure.py
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WritesPaused(NotRun):
-    """A handover holds the writes of the database for a moment."""
+    """A handover pauses the writes of the database for a moment."""
 
     code: ClassVar[str] = 'writes-paused'
 
@@ -175,8 +175,8 @@
 class OutcomeUnknown(Failure):
     """The request may or may not have run.
 
-    A caller may repeat it with the same request id: the outcome is then
-    looked up, and the request does not run twice.
+    A caller may repeat the request with the same request id. The outcome
+    is then looked up, and the request does not run twice.
     """
 
     code: ClassVar[str] = 'outcome-unknown'
@@ -202,14 +202,14 @@
 
 def failures_by_code() -> dict[str, type[Failure]]:
     """Return all failure types by their codes."""
-    found: dict[str, type[Failure]] = {}
+    types: dict[str, type[Failure]] = {}
     pending: list[type[Failure]] = [Failure]
     while pending:
         kind = pending.pop()
         pending.extend(kind.__subclasses__())
         if _is_public(kind):
-            found[kind.code] = kind
-    return found
+            types[kind.code] = kind
+    return types
 
 
 def _is_public(kind: type[Failure]) -> bool:
--- a/packages/core/src/trefoilpulley_core/freshness.py
+++ b/packages/core/src/trefoilpulley_core/freshness.py
@@ -16,8 +16,13 @@
 """Positions of the primary that are kept to determine a replica's age."""
 
 _LAG_SMOOTHING = 0.2
+"""Weight of a new measurement in the moving average of the lag."""
+
 _MIN_RECORDS_BETWEEN_SAMPLES = 5
+"""Number of records between two samples that interpolation needs."""
+
 _AGE_DECIMALS = 3
+"""Decimals of an age in milliseconds that are kept before rounding up."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,10 +43,11 @@
     position thus has all records that the primary held at that time.
 
     A primary that was replaced during a network partition would yield a
-    wrong age. A sample is therefore used only after the replica, asked
-    after the probe was sent, is not fenced above the primary's term. In
-    a group of three, primary and replica then form a majority that no
-    promotion had fenced when the probe was sent.
+    wrong age. A sample is therefore used only once a status request,
+    sent to the replica after the probe, shows that the replica is not
+    fenced above the primary's term. In a group of three, primary and
+    replica then form a majority that no promotion had fenced when the
+    probe was sent.
     """
 
     def __init__(self) -> None:
@@ -80,8 +86,8 @@
         Parameters
         ----------
         position : Position
-            End of the replica's log. A rebuild of the replica may set it
-            back.
+            End of the replica's log. A rebuild of the replica may lower the
+            position.
         asked_at : float
             Monotonic time at which the request was sent, in seconds.
         fenced_term : int
@@ -150,7 +156,7 @@
     def _learn_lag_by_interpolation(
         self, position: Position, asked_at: float
     ) -> None:
-        """Update the lag from the time the primary reached the position.
+        """Update the lag from the time at which the primary had the position.
 
         The time is interpolated between the samples before and after
         the replica's position.
--- a/packages/core/src/trefoilpulley_core/leadership.py
+++ b/packages/core/src/trefoilpulley_core/leadership.py
@@ -5,6 +5,7 @@
 import math
 
 _AGE_DECIMALS = 3
+"""Decimals of an age in milliseconds that are kept before rounding up."""
 
 
 class LeadershipProof:
@@ -53,8 +54,8 @@
         if fenced_term > self._term:
             self._replicas.pop(member, None)
             return
-        known = self._replicas.get(member, asked_at)
-        self._replicas[member] = max(known, asked_at)
+        last_asked_at = self._replicas.get(member, asked_at)
+        self._replicas[member] = max(last_asked_at, asked_at)
 
     def reset(self) -> None:
         """Discard all answers, for example after a change of the primary."""
@@ -82,8 +83,8 @@
         """Return the upper bound of the age of the primary's data.
 
         A primary that was replaced during a network partition holds
-        outdated data. At the last time at which it provably led, its
-        data was complete.
+        outdated data. At the last time at which the primary provably
+        led, its data was complete.
 
         Returns
         -------
--- a/packages/core/src/trefoilpulley_core/retry_budget.py
+++ b/packages/core/src/trefoilpulley_core/retry_budget.py
@@ -18,11 +18,14 @@
 """Largest and initial retry budget of an upstream."""
 
 MAX_UPSTREAMS = 4096
-"""Number of upstreams, the most recently used, whose budgets are kept."""
+"""Maximum number of upstreams whose budgets are kept.
+
+The budgets of the most recently used upstreams are kept.
+"""
 
 
 class RetryBudget:
-    """Limits the retries to an upstream to a share of its first attempts."""
+    """Limits the retries at an upstream to a share of the first attempts."""
 
     def __init__(self) -> None:
         self._retries: OrderedDict[str, float] = OrderedDict()
--- a/packages/core/src/trefoilpulley_core/routing.py
+++ b/packages/core/src/trefoilpulley_core/routing.py
@@ -110,15 +110,15 @@
     A primary whose term is lower than that of another member has been
     replaced and is ignored.
     """
-    found = None
-    highest = 0
+    primary = None
+    highest_term = 0
     for member in view.members:
         digest = member.digest
-        if digest is None or digest.term < highest:
+        if digest is None or digest.term < highest_term:
             continue
-        if digest.term > highest:
-            highest = digest.term
-            found = None
+        if digest.term > highest_term:
+            highest_term = digest.term
+            primary = None
         if digest.is_primary and digest.is_reachable:
-            found = member
-    return found
+            primary = member
+    return primary
--- a/packages/core/src/trefoilpulley_core/routing_plain.py
+++ b/packages/core/src/trefoilpulley_core/routing_plain.py
@@ -34,11 +34,11 @@
         """Return the member for a request, or ``NoUpstream``."""
         if needs_primary(req):
             return primary_route(view, req)
-        found = [m for m in view.members if _may_serve(m, req)]
-        if not found:
+        replicas = [m for m in view.members if _may_serve(m, req)]
+        if not replicas:
             return primary_route(view, req)
-        index = next(self._counter) % len(found)
-        return replica_route(found[index], req)
+        index = next(self._counter) % len(replicas)
+        return replica_route(replicas[index], req)
 
 
 def _may_serve(member: MemberView, req: RouteRequest) -> bool:
--- a/packages/core/src/trefoilpulley_core/routing_targets.py
+++ b/packages/core/src/trefoilpulley_core/routing_targets.py
@@ -40,13 +40,16 @@
 """Penalty for a member whose digest is not fresh, in milliseconds."""
 
 CROSS_ZONE_COST_MS = 1.0
-"""Penalty for a link between zones, in addition to its round trip time."""
+"""Penalty for a link between zones, in milliseconds.
+
+The penalty is added to the round trip time of the link.
+"""
 
 MIN_WAIT_MS = 1.0
-"""Expected wait at a replica that should have reached the floor by now."""
+"""Expected wait at a replica that should have the floor, in milliseconds."""
 
 WAIT_MARGIN_MS = 10.0
-"""Time allowed in addition to the expected wait for a floor."""
+"""Time added to the expected wait for a floor, in milliseconds."""
 
 _INFINITE_MS = float('inf')
 
@@ -85,8 +88,8 @@
                 continue
             wait_ms = _floor_wait_ms(member, primary, req.floor, now)
             margin_ms = WAIT_MARGIN_MS if wait_ms else 0.0
-            is_long = wait_ms > WAIT_MARGIN_MS
-            if is_long and _is_most_advanced(member, view, primary, req):
+            is_long_wait = wait_ms > WAIT_MARGIN_MS
+            if is_long_wait and _is_most_advanced(member, view, primary, req):
                 wait_ms = MIN_WAIT_MS
                 margin_ms = 0.0
             cost_ms = wait_ms + _expected_answer_ms(member, req, now)
@@ -138,8 +141,8 @@
     if freshness.max_age_ms is None:
         return True
     if now - member.observed_at > MAX_DIGEST_AGE_S:
-        # The digest is too old to tell. The replica's pooler checks the
-        # age again, and a refusal carries a new digest.
+        # The digest is too old to show the present age. The replica's
+        # pooler checks the age again, and a refusal carries a new digest.
         return True
     age_ms = member.digest.age_ms
     return age_ms is not None and age_ms <= freshness.max_age_ms
--- a/packages/core/src/trefoilpulley_core/routing_thin.py
+++ b/packages/core/src/trefoilpulley_core/routing_thin.py
@@ -31,8 +31,8 @@
         """Return the member for a request, or ``NoUpstream``."""
         if needs_primary(req):
             return primary_route(view, req)
-        found = [m for m in view.members if is_readable(m, req)]
-        if not found:
+        replicas = [m for m in view.members if is_readable(m, req)]
+        if not replicas:
             return primary_route(view, req)
-        nearest = min(found, key=lambda m: m.round_trip_ms)
+        nearest = min(replicas, key=lambda m: m.round_trip_ms)
         return replica_route(nearest, req)
--- a/packages/core/src/trefoilpulley_core/slot_lane.py
+++ b/packages/core/src/trefoilpulley_core/slot_lane.py
@@ -20,6 +20,7 @@
 """
 
 _MAX_STALE_ENTRIES = 64
+"""Number of removed entries that may stay in the heap."""
 
 
 class ClassQueue:
--- a/packages/core/src/trefoilpulley_core/slot_service.py
+++ b/packages/core/src/trefoilpulley_core/slot_service.py
@@ -18,6 +18,7 @@
 """
 
 _SMOOTHING = 0.1
+"""Weight of a new sample in the moving averages."""
 
 
 class ServiceTime:
@@ -70,7 +71,7 @@
         """Decay the estimate towards the initial one without new samples.
 
         Work that is refused because of a long estimate provides no
-        sample, so the estimate would otherwise never fall again.
+        sample. Without the decay, the estimate would never fall again.
         """
         idle_s = now - max(self._loaded_at, self._decayed_at)
         if idle_s <= 0:
--- a/packages/core/src/trefoilpulley_core/slots_deadline.py
+++ b/packages/core/src/trefoilpulley_core/slots_deadline.py
@@ -30,15 +30,18 @@
 """Time after which running work is assumed to have ended, in seconds."""
 
 _MAX_LOAD = 0.9
+"""Maximum load by higher priorities that is assumed for a wait."""
+
 _MAX_STALE_ENTRIES = 64
+"""Number of removed entries that may stay in the heap of expiries."""
 
 
 class DeadlineQueue(SlotQueue):
     """Runs the earliest deadline first, except for critical classes.
 
     Critical work of a class with higher priority runs before all other
-    work. New work is refused at once if, by the measured service times,
-    the work ahead of it would make it miss its deadline.
+    work. New work is refused at once if the measured service times show
+    that the queued work would delay the new work beyond its deadline.
 
     Parameters
     ----------
@@ -81,8 +84,12 @@
             return self._refuse(ticket, f'expected wait {wait_ms} ms')
         class_queue.push(ticket, now)
         self._queue_by_ticket[ticket.ticket_id] = class_queue
-        latest = ticket.deadline - class_queue.service.lower_estimate_s
-        heapq.heappush(self._expiries, (latest, ticket.ticket_id, ticket))
+        latest_start_at = (
+            ticket.deadline - class_queue.service.lower_estimate_s
+        )
+        heapq.heappush(
+            self._expiries, (latest_start_at, ticket.ticket_id, ticket)
+        )
         return Success(None)
 
     def take(self, now: float, is_writable: bool) -> Ticket | None:
@@ -189,9 +196,11 @@
         self._max_service_s = max(estimates, default=0.0)
 
     def _find_class_queue(self, ticket: Ticket) -> ClassQueue:
-        found = self._queue_by_class.get((ticket.work_class, ticket.is_write))
-        if found is not None:
-            return found
+        existing = self._queue_by_class.get(
+            (ticket.work_class, ticket.is_write)
+        )
+        if existing is not None:
+            return existing
         class_queue = ClassQueue(
             ticket.work_class, ticket.is_write, self._slots
         )
--- a/packages/core/src/trefoilpulley_core/slots_fifo.py
+++ b/packages/core/src/trefoilpulley_core/slots_fifo.py
@@ -24,6 +24,7 @@
 """Service time assumed before the first sample, in seconds."""
 
 _SMOOTHING = 0.1
+"""Weight of a new sample in the moving average of the service time."""
 
 
 class FifoQueue(SlotQueue):
--- a/packages/core/src/trefoilpulley_core/targets.py
+++ b/packages/core/src/trefoilpulley_core/targets.py
@@ -19,9 +19,16 @@
 """Length of the sliding window for shares and quantiles, in seconds."""
 
 _BUCKET_S = 1.0
-_MIN_COUNT = 100
+"""Length of one bucket of the window, in seconds."""
+
+_MIN_BUDGET_ANSWERS = 100
+"""Number of answers that the budget of late answers is based on at least."""
+
 _MAX_TIME_US = 120_000_000
+"""Longest response time that is recorded, in microseconds."""
+
 _SIGNIFICANT_DIGITS = 2
+"""Precision of the recorded response times, in decimal digits."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -86,11 +93,11 @@
 
     def declare(self, classes: Sequence[WorkClass]) -> None:
         """Set the declared classes and keep the counts of existing ones."""
-        known = self._classes
+        previous_windows = self._classes
         self.declared = tuple(classes)
         self._classes = {}
         for work_class in classes:
-            window = known.get(work_class.name) or _ClassWindow()
+            window = previous_windows.get(work_class.name) or _ClassWindow()
             window.work_class = work_class
             self._classes[work_class.name] = window
 
@@ -210,7 +217,7 @@
         if not late:
             return 0.0
         allowed = 1 - self.work_class.promptness.share
-        budget = allowed * max(self._total, _MIN_COUNT)
+        budget = allowed * max(self._total, _MIN_BUDGET_ANSWERS)
         return min(1.0, late / budget) if budget > 0 else 1.0
 
     def report(self, now: float) -> ClassReport:
--- a/packages/core/src/trefoilpulley_core/token.py
+++ b/packages/core/src/trefoilpulley_core/token.py
@@ -1,7 +1,7 @@
 """Signed session tokens, which hold the floors of a session.
 
 A floor is the position of a database that the session has already seen
-or written; later answers to the session must include it.
+or written. Later answers to the session must include this position.
 """
 
 from __future__ import annotations
@@ -27,12 +27,13 @@
     from collections.abc import Sequence
 
 MAX_TOKEN_BYTES = 8192
-"""Size limit of a token."""
+"""Maximum size of a token, in bytes."""
 
 MAX_FLOORS = 64
 """Number of databases whose floors a token holds."""
 
 _SALT = b'trefoilpulley.session'
+"""Salt that separates these signatures from other uses of the keys."""
 
 
 @dataclass(frozen=True, slots=True)
