--- a/packages/node/src/trefoilpulley_node/beginnings.py
+++ b/packages/node/src/trefoilpulley_node/beginnings.py
@@ -1,4 +1,4 @@
-"""Tracks begin requests whose connection may end while they run."""
+"""Tracks begin requests whose connection may end during the request."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PendingBegins:
-    """Rolls back transactions whose connection ended while they began."""
+    """Rolls back a transaction if its connection ends during the begin."""
 
     def __init__(self) -> None:
         self._running: set[_PendingBegin] = set()
--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -114,9 +114,13 @@
 
     @cached_property
     def _documents(self) -> ConfigurationRunner:
-        holder = ConfigurationStore()
-        spread = DocumentDissemination(self._cfg.host, self._cfg.zone, holder)
-        return ConfigurationRunner(holder, spread, self._platform, self._clock)
+        store = ConfigurationStore()
+        dissemination = DocumentDissemination(
+            self._cfg.host, self._cfg.zone, store
+        )
+        return ConfigurationRunner(
+            store, dissemination, self._platform, self._clock
+        )
 
     @cached_property
     def _membership(self) -> MembershipRunner:
--- a/packages/node/src/trefoilpulley_node/configuration_runner.py
+++ b/packages/node/src/trefoilpulley_node/configuration_runner.py
@@ -1,4 +1,4 @@
-"""Runs the distribution of documents on this host."""
+"""Runs the dissemination of documents on this host."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 class ConfigurationRunner(Service):
-    """Distributes documents over the service and the peer connections.
+    """Disseminates documents over the service and the peer connections.
 
     Parameters
     ----------
@@ -91,13 +91,13 @@
 
     def __init__(
         self,
-        holder: ConfigurationStore,
-        spread: DocumentDissemination,
+        store: ConfigurationStore,
+        dissemination: DocumentDissemination,
         platform: Platform,
         clock: Clock,
     ) -> None:
-        self._holder = holder
-        self._spread = spread
+        self._store = store
+        self._dissemination = dissemination
         self._platform = platform
         self._reader = DocumentReader(platform)
         self._clock = clock
@@ -111,17 +111,17 @@
     @property
     def configuration(self) -> Configuration:
         """Declarations in force."""
-        return self._holder.configuration
+        return self._store.configuration
 
     @property
     def catalog(self) -> Catalog:
         """Databases, their members and the hosts."""
-        return self._holder.catalog
+        return self._store.catalog
 
     @property
     def versions(self) -> Versions:
         """Revisions of the documents that this host holds."""
-        return self._holder.versions
+        return self._store.versions
 
     def subscribe(self, on_change: Callable[[DocumentKind], None]) -> None:
         """Register a callback for each document that comes into force."""
@@ -146,33 +146,33 @@
 
     def on_live_hosts(self, live: LiveHosts) -> None:
         """Handle a change of the live hosts."""
-        self._spread.on_live_hosts(live)
+        self._dissemination.on_live_hosts(live)
 
     def on_versions(self, host: str, versions: Versions) -> None:
         """Handle the document revisions that a peer holds."""
-        self._spread.on_versions(host, versions, self._clock.now())
+        self._dissemination.on_versions(host, versions, self._clock.now())
         self._execute_commands()
 
     def dump(self) -> ConfigurationState:
         """Return the configuration section of the state dump."""
-        held = self._holder.versions
+        versions = self._store.versions
         return ConfigurationState(
-            held.configuration,
-            self._holder.configuration.change_id,
-            held.databases,
-            held.hosts,
-            self._spread.is_watcher,
+            versions.configuration,
+            self._store.configuration.change_id,
+            versions.databases,
+            versions.hosts,
+            self._dissemination.is_watcher,
             self._is_service_answering,
         )
 
     def _run(self) -> None:
         while True:
-            self._spread.on_tick(self._clock.now())
+            self._dissemination.on_tick(self._clock.now())
             self._execute_commands()
             gevent.sleep(TICK_INTERVAL_S)
 
     def _execute_commands(self) -> None:
-        for command in self._spread.take_commands():
+        for command in self._dissemination.take_commands():
             gevent.spawn(self._execute_command, command)
 
     def _execute_command(self, command: Command) -> None:
@@ -187,16 +187,18 @@
         self._execute_commands()
 
     def _read_documents(self) -> None:
-        for found in self._reader.read_changed():
-            self._record_service_answer(found)
-            document = found.value_or(None)
+        for result in self._reader.read_changed():
+            self._record_service_answer(result)
+            document = result.value_or(None)
             if document is not None:
-                self._report_document(document, self._spread.on_read(document))
+                self._report_document(
+                    document, self._dissemination.on_read(document)
+                )
 
-    def _record_service_answer(self, found: Result[Any, Failure]) -> None:
-        is_answering = isinstance(found, Success)
+    def _record_service_answer(self, result: Result[Any, Failure]) -> None:
+        is_answering = isinstance(result, Success)
         if is_answering:
-            self._spread.on_service_answered()
+            self._dissemination.on_service_answered()
         if is_answering != self._is_service_answering:
             self._is_service_answering = is_answering
             event = (
@@ -220,13 +222,13 @@
 
     def _begin_watch(self, prefix: str, epoch: int) -> Watch:
         def on_change(entry: KeyValue) -> None:
-            self._spread.on_watch_event()
+            self._dissemination.on_watch_event()
             self._execute_commands()
 
         def on_failure(failure: Failure) -> None:
             if epoch == self._watch_epoch:
                 self._end_watches()
-                self._spread.on_watch_ended(self._clock.now())
+                self._dissemination.on_watch_ended(self._clock.now())
 
         return self._platform.watch(prefix, on_change, on_failure)
 
@@ -241,7 +243,7 @@
             command.host, FetchDocument(command.kind), FETCH_TIMEOUT_S
         ).value_or(None)
         if isinstance(reply, Document):
-            self._report_document(reply, self._spread.on_read(reply))
+            self._report_document(reply, self._dissemination.on_read(reply))
 
     def _push(self, command: Push) -> None:
         opened = self._peers.open_channel(command.host)
@@ -249,11 +251,11 @@
             opened.unwrap().notify(command.document)
 
     def _on_push(self, document: Document, peer: PeerIdentity) -> None:
-        self._report_document(document, self._spread.on_push(document))
+        self._report_document(document, self._dissemination.on_push(document))
         self._execute_commands()
 
     def _on_fetch(self, req: FetchDocument, peer: PeerIdentity) -> Any:
-        document = self._holder.find_document(req.kind)
+        document = self._store.find_document(req.kind)
         if document is None:
             return make_failure_reply(NotRun('document is not available yet'))
         return document
--- a/packages/node/src/trefoilpulley_node/coordination/driver.py
+++ b/packages/node/src/trefoilpulley_node/coordination/driver.py
@@ -52,7 +52,7 @@
     host : str
         Name of this host.
     incarnation : int
-        Identifier of this run of the process; a later run has a higher one.
+        Identifier of this run of the process, increased at each start.
     platform : Platform
         Client of the platform's key-value service.
     poolers : PoolerCaller
@@ -120,24 +120,26 @@
     def _run(self) -> None:
         while True:
             self._tick()
-            wakes = (s.tick_interval_s for s in self._shards.values())
-            gevent.sleep(min(wakes, default=STANDBY_TICK_S))
+            tick_intervals_s = (
+                s.tick_interval_s for s in self._shards.values()
+            )
+            gevent.sleep(min(tick_intervals_s, default=STANDBY_TICK_S))
 
     def _tick(self) -> None:
         now = self._clock.now()
         view = self._observe()
         self._duty_runner.tick(view.live_hosts, view.catalog.databases, now)
         self._update_shards()
-        interval_s = self._poll_interval_s(now)
+        interval_s = self._probe_interval_s(now)
         for number, shard in list(self._shards.items()):
             entries = self._duty.succession.members.get(number, ())
-            surroundings = [
-                self._surroundings(entry, view, interval_s)
+            contexts = [
+                self._make_context(entry, view, interval_s)
                 for entry in entries
             ]
             is_acting = self._duty.may_act(number, now)
             self._execute_commands(
-                number, shard.on_tick(surroundings, is_acting, now)
+                number, shard.on_tick(contexts, is_acting, now)
             )
 
     def _update_shards(self) -> None:
@@ -146,7 +148,7 @@
         for number in self._shards.keys() - self._duty.views.keys():
             del self._shards[number]
 
-    def _poll_interval_s(self, now: float) -> float:
+    def _probe_interval_s(self, now: float) -> float:
         member_count = sum(
             len(entry.members)
             for number in self._shards
@@ -155,7 +157,7 @@
         )
         return probe_interval_s(member_count)
 
-    def _surroundings(
+    def _make_context(
         self, entry: DatabaseEntry, view: DeploymentView, interval_s: float
     ) -> TickContext:
         return TickContext(
--- a/packages/node/src/trefoilpulley_node/coordination/duty_runner.py
+++ b/packages/node/src/trefoilpulley_node/coordination/duty_runner.py
@@ -84,7 +84,7 @@
             case ReadDuty(shard):
                 self._read_duty(shard, sent_at)
             case AcquireDuty(shard, lease_id):
-                self._claim_duty(shard, lease_id, sent_at)
+                self._acquire_duty(shard, lease_id, sent_at)
             case ReleaseDuty(shard, revision):
                 self._release_duty(shard, revision, sent_at)
 
@@ -104,11 +104,11 @@
             self._duty.on_lease_failed(sent_at, self._clock.now())
 
     def _read_duty(self, shard: int, sent_at: float) -> None:
-        found = self._platform.get(duty_key(shard))
-        if not isinstance(found, Success):
-            self._on_failed(shard, found.failure(), sent_at)
+        fetched = self._platform.get(duty_key(shard))
+        if not isinstance(fetched, Success):
+            self._on_failed(shard, fetched.failure(), sent_at)
             return
-        pair = found.unwrap()
+        pair = fetched.unwrap()
         if pair is None:
             self._duty.on_read(shard, '', 0, 0, sent_at)
             return
@@ -120,15 +120,15 @@
             sent_at,
         )
 
-    def _claim_duty(self, shard: int, lease_id: int, sent_at: float) -> None:
+    def _acquire_duty(self, shard: int, lease_id: int, sent_at: float) -> None:
         value = self._holder.encode()
-        taken = self._platform.compare_and_swap(
+        acquired = self._platform.compare_and_swap(
             duty_key(shard), 0, value, lease_id
         )
-        if isinstance(taken, Success):
-            self._duty.on_acquired(shard, taken.unwrap(), sent_at)
+        if isinstance(acquired, Success):
+            self._duty.on_acquired(shard, acquired.unwrap(), sent_at)
         else:
-            self._on_failed(shard, taken.failure(), sent_at)
+            self._on_failed(shard, acquired.failure(), sent_at)
 
     def _release_duty(self, shard: int, revision: int, sent_at: float) -> None:
         released = self._platform.delete(duty_key(shard), revision)
--- a/packages/node/src/trefoilpulley_node/coordination/shard_store.py
+++ b/packages/node/src/trefoilpulley_node/coordination/shard_store.py
@@ -106,10 +106,10 @@
         return self._store(command)
 
     def _load(self, command: LoadShard) -> StoreOutcome:
-        found = self._platform.get(shard_key(command.shard))
-        if not isinstance(found, Success):
+        fetched = self._platform.get(shard_key(command.shard))
+        if not isinstance(fetched, Success):
             return ServiceDown()
-        pair = found.unwrap()
+        pair = fetched.unwrap()
         if pair is None:
             return RecordsLoaded(b'', 0)
         return RecordsLoaded(pair.value, pair.mod_revision)
--- a/packages/node/src/trefoilpulley_node/directory.py
+++ b/packages/node/src/trefoilpulley_node/directory.py
@@ -63,10 +63,10 @@
 
     def find_pooler(self, member: str) -> str | None:
         """Return the live host that pools a member, or ``None`` if unknown."""
-        found = self.find_member(member)
-        if found is None:
+        lookup = self.find_member(member)
+        if lookup is None:
             return None
-        return self._get_live_hosts().pooler_of(found[1])
+        return self._get_live_hosts().pooler_of(lookup[1])
 
     def _update_index(self) -> None:
         catalog = self._get_catalog()
--- a/packages/node/src/trefoilpulley_node/document_reader.py
+++ b/packages/node/src/trefoilpulley_node/document_reader.py
@@ -63,13 +63,13 @@
         with the failure if the revisions can't be read.
         """
         for watched_prefix in WATCHED_PREFIXES:
-            found = self._platform.get_revisions(watched_prefix)
-            if not isinstance(found, Success):
-                yield found
+            fetched = self._platform.get_revisions(watched_prefix)
+            if not isinstance(fetched, Success):
+                yield fetched
                 return
             yield Success(None)
             yield from self._read_changed_documents(
-                watched_prefix, found.unwrap()
+                watched_prefix, fetched.unwrap()
             )
 
     def _read_changed_documents(
@@ -78,8 +78,8 @@
         for kind, prefix in DOCUMENT_PREFIXES.items():
             if not prefix.startswith(watched_prefix):
                 continue
-            present = [e for e in entries if e.key.startswith(prefix)]
-            if _revisions(present) != self._known_revisions.get(kind, ()):
+            matching = [e for e in entries if e.key.startswith(prefix)]
+            if _revisions(matching) != self._known_revisions.get(kind, ()):
                 yield self._read(kind)
 
     def _read(self, kind: DocumentKind) -> Result[Document | None, Failure]:
--- a/packages/node/src/trefoilpulley_node/entry/caller_server.py
+++ b/packages/node/src/trefoilpulley_node/entry/caller_server.py
@@ -192,13 +192,13 @@
         )
         if not isinstance(executed, Success):
             return make_refusal(executed.failure())
-        found = executed.unwrap()
+        delivered = executed.unwrap()
         return messages.Answer(
-            found.result.columns,
-            found.result.rows,
-            found.result.row_count,
+            delivered.result.columns,
+            delivered.result.rows,
+            delivered.result.row_count,
             message.token,
-            found.member,
+            delivered.member,
         )
 
     def _on_look_up(
--- a/packages/node/src/trefoilpulley_node/entry/digest_store.py
+++ b/packages/node/src/trefoilpulley_node/entry/digest_store.py
@@ -18,6 +18,8 @@
 """Round trip assumed before the first measurement, in milliseconds."""
 
 _SMOOTHING_FACTOR = 0.2
+"""Weight of a new measurement in the moving average of the round trip."""
+
 _NEVER = float('-inf')
 
 
--- a/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
+++ b/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
@@ -55,7 +55,7 @@
 """Shortest time for one attempt to begin, in seconds."""
 
 ANSWER_MARGIN_S = 0.5
-"""Wait for the answer beyond the time of an attempt, in seconds."""
+"""Wait for the answer after the end of an attempt, in seconds."""
 
 LATE_ANSWER_TIMEOUT_S = 60.0
 """Longest wait for the late answer of an attempt, in seconds.
@@ -68,10 +68,15 @@
 class _TransactionBinding:
     request: PipelineRequest
     host: str
+    """Host that pools the member."""
+
     member: str
     pooled: str
+    """Identifier of the transaction at the pooler."""
+
     connection: int
     statements: tuple[str, ...] = ()
+    """Digest of each statement that the transaction has run."""
 
 
 class EntryTransactions:
@@ -171,12 +176,14 @@
             return prepared
         del self._open[message.transaction]
         req = prepared.unwrap()
-        pooled = PooledCommit(binding.pooled, key, req.copies)
+        commit = PooledCommit(binding.pooled, key, req.copies)
         reply = self._peers.call_host(
-            binding.host, pooled, STATEMENT_TIMEOUT_S
+            binding.host, commit, STATEMENT_TIMEOUT_S
         )
         resolved = self._resolve_commit(req, binding, reply)
-        return resolved.map(lambda found: replace(req, delivered=found))
+        return resolved.map(
+            lambda delivered: replace(req, delivered=delivered)
+        )
 
     def rollback(
         self, transaction: str, tenant: str, connection: int
@@ -259,9 +266,10 @@
     def _send_begin(
         self, host: str, message: PooledBegin, timeout_s: float
     ) -> Result[Any, Failure]:
-        # While the network to the pooler is cut, the request may arrive
-        # long after the caller was refused. The transaction that then
-        # begins would block writes at the member, so it is rolled back.
+        # While the network to the pooler is interrupted, the request may
+        # arrive long after the caller was refused. The transaction that
+        # begins then is rolled back, because the transaction would block
+        # writes at the member.
         pending = gevent.spawn(
             self._peers.call_host_raw, host, message, LATE_ANSWER_TIMEOUT_S
         )
--- a/packages/node/src/trefoilpulley_node/entry/views.py
+++ b/packages/node/src/trefoilpulley_node/entry/views.py
@@ -223,12 +223,12 @@
             )
 
     def _oldest_members(self, count: int, before: float) -> list[str]:
-        seen = (
+        observations = (
             (self._store.observed_at(member.name), member.name)
             for used in self._used_databases.values()
             for member in used.entry.members
         )
-        stale = (pair for pair in seen if pair[0] <= before)
+        stale = (pair for pair in observations if pair[0] <= before)
         return [name for _, name in heapq.nsmallest(count, stale)]
 
     def _remove_unused(self, since: float) -> None:
--- a/packages/node/src/trefoilpulley_node/etcd_platform.py
+++ b/packages/node/src/trefoilpulley_node/etcd_platform.py
@@ -52,8 +52,8 @@
 
     def get(self, key: str) -> Result[KeyValue | None, Failure]:
         """Return the key-value pair of a key, or ``None`` if absent."""
-        found = self._range(key_range(key))
-        return found.map(lambda values: values[0] if values else None)
+        fetched = self._range(key_range(key))
+        return fetched.map(lambda values: values[0] if values else None)
 
     def get_prefix(self, prefix: str) -> Result[tuple[KeyValue, ...], Failure]:
         """Return the key-value pairs of all keys with a prefix."""
--- a/packages/node/src/trefoilpulley_node/peers.py
+++ b/packages/node/src/trefoilpulley_node/peers.py
@@ -112,7 +112,7 @@
         timeout_s: float,
         abort: Event | None = None,
     ) -> Result[Any, Failure]:
-        """Send a request to a host and return its unprocessed reply.
+        """Send a request to a host and return the unprocessed reply.
 
         Parameters
         ----------
--- a/packages/node/src/trefoilpulley_node/pipeline/deliver.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/deliver.py
@@ -103,7 +103,9 @@
             )
         else:
             resolved = self._deliver(req)
-        return resolved.map(lambda found: replace(req, delivered=found))
+        return resolved.map(
+            lambda delivered: replace(req, delivered=delivered)
+        )
 
     def _deliver(
         self, req: PipelineRequest
@@ -142,8 +144,7 @@
         if not attempts:
             self._retries.record_fresh(member)
             return True
-        # Every write has an outcome key, which makes the write
-        # idempotent.
+        # Every write has an outcome key, which makes the write idempotent.
         return self._retries.try_retry(member, failure, is_repeatable=True)
 
     def _updated_exclusions(
--- a/packages/node/src/trefoilpulley_node/pipeline/execute.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/execute.py
@@ -35,7 +35,7 @@
     from trefoilpulley_node.pipeline.request import PipelineRequest
 
 ANSWER_MARGIN_S = 1.5
-"""Wait for the answer to a write beyond its remaining time, in seconds."""
+"""Wait for the answer to a write after the deadline, in seconds."""
 
 READ_TIMEOUT_FACTOR = 0.5
 """Fraction of the remaining time that one attempt of a read may take."""
--- a/packages/node/src/trefoilpulley_node/pooler/age_prober.py
+++ b/packages/node/src/trefoilpulley_node/pooler/age_prober.py
@@ -41,8 +41,9 @@
 class AgeProber:
     """Asks the primary's pooler for the primary's log position.
 
-    A position counts from the time at which the question was sent, so
-    that the age of the replica is never underestimated.
+    The age of a position is measured from the time at which the request
+    for the position was sent. The age of the replica is therefore never
+    underestimated.
 
     Parameters
     ----------
@@ -111,9 +112,11 @@
         asked_at = self._clock.now()
         status = self._member.monitor.send_control(lambda link: link.status())
         if isinstance(status, Success):
-            found = status.unwrap()
+            replica_status = status.unwrap()
             self._member.age.on_replica_status(
-                found.history.last, asked_at, found.fenced_term
+                replica_status.history.last,
+                asked_at,
+                replica_status.fenced_term,
             )
 
     def _probe_member(self, name: str) -> bool:
--- a/packages/node/src/trefoilpulley_node/pooler/leadership_prover.py
+++ b/packages/node/src/trefoilpulley_node/pooler/leadership_prover.py
@@ -28,7 +28,7 @@
 class LeadershipProver:
     """Asks the members of a group for their fenced terms.
 
-    One round of questions serves all reads that wait for a proof.
+    One round of requests serves all reads that wait for a proof.
 
     Parameters
     ----------
@@ -58,7 +58,7 @@
         self._peers = peers
         self._clock = clock
         self._proof = LeadershipProof(len(entry.members))
-        self._round: AsyncResult | None = None
+        self._running_round: AsyncResult | None = None
 
     def age_ms(self) -> int | None:
         """Return the milliseconds since the last proof, or ``None``."""
@@ -84,16 +84,16 @@
 
     def _run_round(self) -> None:
         # A read that joins a running round may need a second round,
-        # because the questions of the first were sent before the read
-        # arrived.
-        if self._round is not None:
-            self._round.wait()
+        # because the requests of the running round were sent before
+        # the read arrived.
+        if self._running_round is not None:
+            self._running_round.wait()
             return
-        self._round = AsyncResult()
+        self._running_round = AsyncResult()
         try:
             self._ask_all()
         finally:
-            ended, self._round = self._round, None
+            ended, self._running_round = self._running_round, None
             ended.set(None)
 
     def _ask_all(self) -> None:
@@ -102,15 +102,17 @@
         if not isinstance(status, Success) or not status.unwrap().is_primary:
             self._proof.reset()
             return
-        own = status.unwrap()
-        self._proof.on_primary_status(own.term, own.fenced_term, asked_at)
-        asking = [
+        own_status = status.unwrap()
+        self._proof.on_primary_status(
+            own_status.term, own_status.fenced_term, asked_at
+        )
+        greenlets = [
             gevent.spawn(self._ask_member, name) for name in self._others
         ]
-        needed = self._majority - 1
-        for _ in gevent.iwait(asking, timeout=ROUND_TIMEOUT_S):
-            needed -= 1
-            if needed <= 0 and self._proof.is_proven_since(asked_at):
+        answers_needed = self._majority - 1
+        for _ in gevent.iwait(greenlets, timeout=ROUND_TIMEOUT_S):
+            answers_needed -= 1
+            if answers_needed <= 0 and self._proof.is_proven_since(asked_at):
                 return
 
     def _ask_member(self, name: str) -> None:
--- a/packages/node/src/trefoilpulley_node/pooler/member_monitor.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_monitor.py
@@ -33,10 +33,11 @@
 """Time without a report after which a member is unreachable, in seconds."""
 
 _TIMEOUT_MARGIN_S = 0.01
+"""Time added to a wait for the end of the report timeout, in seconds."""
 
 
 class MemberMonitor(LinkListener):
-    """Keeps the newest status of a member and wakes work that waits for it.
+    """Keeps the newest status of a member and wakes the waiting work.
 
     Parameters
     ----------
@@ -50,9 +51,9 @@
         self._member = member
         self._clock = clock
         self._link: MemberLink | None = None
-        self._lost = Event()
+        self._connection_lost = Event()
         self._last_heard_at = float('-inf')
-        self._changed = Event()
+        self._status_changed = Event()
         self._greenlet: gevent.Greenlet | None = None
         self._listeners: list[Callable[[MemberStatus, float], None]] = []
         self._lost_listeners: list[Callable[[], None]] = []
@@ -96,10 +97,10 @@
         self._lost_listeners.append(listener)
 
     def on_status(self, status: MemberStatus) -> None:
-        """Store a new status and wake the work that waits for it."""
+        """Store a new status and wake the work that waits for a status."""
         self.status = status
         self.copy_waiters.on_status(status)
-        self._changed.set()
+        self._status_changed.set()
         self.on_alive()
 
     def on_alive(self) -> None:
@@ -112,11 +113,11 @@
 
     def on_lost(self) -> None:
         """Record that the control connection has ended."""
-        self._lost.set()
+        self._connection_lost.set()
 
     def send_control(
         self,
-        ask: Callable[[MemberLink], Result[MemberStatus, Failure]],
+        call: Callable[[MemberLink], Result[MemberStatus, Failure]],
     ) -> Result[MemberStatus, Failure]:
         """Send a control message and store the returned status."""
         if self._link is None:
@@ -125,7 +126,7 @@
                     'pooler has no control connection to the member'
                 )
             )
-        reply = ask(self._link)
+        reply = call(self._link)
         if isinstance(reply, Success):
             self.on_status(reply.unwrap())
         return reply
@@ -134,11 +135,11 @@
         """Return whether the member's log holds a position in time."""
         until = self._clock.now() + timeout_s
         while not self._has_position(floor):
-            left = until - self._clock.now()
-            if left <= 0 or not self.is_reachable:
+            left_s = until - self._clock.now()
+            if left_s <= 0 or not self.is_reachable:
                 return False
-            self._changed.clear()
-            self._changed.wait(left)
+            self._status_changed.clear()
+            self._status_changed.wait(left_s)
         return True
 
     def _has_position(self, floor: Position) -> bool:
@@ -150,7 +151,7 @@
             gevent.sleep(RECONNECT_INTERVAL_S)
 
     def _watch_once(self) -> None:
-        self._lost.clear()
+        self._connection_lost.clear()
         opened = connect_member(self._member.endpoint, self)
         if not isinstance(opened, Success):
             return
@@ -173,7 +174,7 @@
     def _wait_until_lost(self) -> None:
         while self.is_reachable:
             silent_s = self._clock.now() - self._last_heard_at
-            if self._lost.wait(
+            if self._connection_lost.wait(
                 REPORT_TIMEOUT_S - silent_s + _TIMEOUT_MARGIN_S
             ):
                 return
--- a/packages/node/src/trefoilpulley_node/pooler/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_pool.py
@@ -16,7 +16,7 @@
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_core.slots import Ticket
-from trefoilpulley_node.pooler.write_hold import WriteHold
+from trefoilpulley_node.pooler.write_hold import WritePause
 
 if TYPE_CHECKING:
     from trefoilpulley_core.catalog import MemberEntry
@@ -70,8 +70,8 @@
         self._pending_grants: dict[int, AsyncResult] = {}
         self._ids = itertools.count(1)
         self._slots_in_use = 0
-        self.hold = WriteHold(clock)
-        """Holds back writes during a handover."""
+        self.write_pause = WritePause(clock)
+        """Pauses writes during a handover."""
 
         self.writes_running = 0
         """Number of writes and transactions that hold a slot."""
@@ -151,22 +151,22 @@
         self._connections.warm(count)
         return self.connections
 
-    def try_begin_hold(self, handover_id: str, hold_s: float) -> bool:
-        """Hold back new writes; running writes continue.
+    def try_pause_writes(self, handover_id: str, pause_s: float) -> bool:
+        """Pause new writes; running writes continue.
 
         Returns
         -------
         bool
-            False if another handover holds the writes.
+            False if another handover has paused the writes.
         """
-        if not self.hold.try_begin(handover_id, hold_s):
+        if not self.write_pause.try_begin(handover_id, pause_s):
             return False
-        gevent.spawn_later(hold_s, self._dispatch)
+        gevent.spawn_later(pause_s, self._dispatch)
         return True
 
-    def end_hold(self, handover_id: str) -> None:
-        """End a hold and run the queued writes."""
-        self.hold.end(handover_id)
+    def resume_writes(self, handover_id: str) -> None:
+        """End the pause of a handover and run the queued writes."""
+        self.write_pause.end(handover_id)
         self._dispatch()
 
     def close(self) -> None:
@@ -178,7 +178,7 @@
         for ticket in self._queue.expire(now):
             self._grant(ticket, False)
         while self._slots_in_use < self._member.slots:
-            ticket = self._queue.take(now, not self.hold.is_active)
+            ticket = self._queue.take(now, not self.write_pause.is_active)
             if ticket is None:
                 return
             self._slots_in_use += 1
--- a/packages/node/src/trefoilpulley_node/pooler/pooled_member.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooled_member.py
@@ -154,6 +154,6 @@
             0 if status.is_primary else self.age.lag_ms(),
             self.pool.expected_wait_ms,
             self.monitor.is_reachable,
-            self.pool.hold.is_active,
+            self.pool.write_pause.is_active,
             status.acknowledgements,
         )
--- a/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
@@ -186,9 +186,13 @@
         status = member.monitor.send_control(lambda link: link.status())
         if not isinstance(status, Success):
             return Failed(OutcomeUnknown('connection to the primary was lost'))
-        seen = status.unwrap()
+        primary_status = status.unwrap()
         waited = member.monitor.copy_waiters.wait(
-            seen, seen.history.last, seen.term, copies, COPIES_TIMEOUT_S
+            primary_status,
+            primary_status.history.last,
+            primary_status.term,
+            copies,
+            COPIES_TIMEOUT_S,
         )
         return result if isinstance(waited, Success) else waited
 
--- a/packages/node/src/trefoilpulley_node/pooler/pooler.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooler.py
@@ -101,10 +101,10 @@
         member = self.members.get(name)
         if member is not None:
             return member
-        found = self._find_member(name)
-        if found is None:
+        lookup = self._find_member(name)
+        if lookup is None:
             return None
-        database, entry = found
+        database, entry = lookup
         member = PooledMember(
             database,
             entry,
@@ -218,22 +218,24 @@
         )
 
     def on_pause(self, req: messages.PauseWrites, peer: PeerIdentity) -> Any:
-        """Hold back the writes of a member for a handover."""
+        """Pause the writes of a member for a handover."""
         member = self.ensure_member(req.member)
         if member is None:
             return _make_failure(NoUpstream('unknown member'), None)
-        if not member.pool.try_begin_hold(req.handover_id, req.hold_ms / 1000):
+        if not member.pool.try_pause_writes(
+            req.handover_id, req.hold_ms / 1000
+        ):
             return _make_failure(
-                WritesPaused('another handover holds the writes'), member
+                WritesPaused('another handover has paused the writes'), member
             )
         events.WRITES_PAUSED.log(member=req.member, handover=req.handover_id)
         return messages.PauseReport(member.pool.writes_running)
 
     def on_resume(self, req: messages.ResumeWrites, peer: PeerIdentity) -> Any:
-        """End the hold on the writes of a member."""
+        """Resume the writes of a member."""
         member = self.ensure_member(req.member)
         if member is not None:
-            member.pool.end_hold(req.handover_id)
+            member.pool.resume_writes(req.handover_id)
             events.WRITES_RESUMED.log(
                 member=req.member, handover=req.handover_id
             )
@@ -272,12 +274,14 @@
     def _send_control(
         self,
         name: str,
-        ask: Callable[[MemberLink], Result[MemberStatus, Failure]],
+        call: Callable[[MemberLink], Result[MemberStatus, Failure]],
     ) -> Any:
         member = self.ensure_member(name)
         if member is None:
             return _make_failure(NoUpstream('unknown member'), None)
-        reply: Result[MemberStatus, Failure] = member.monitor.send_control(ask)
+        reply: Result[MemberStatus, Failure] = member.monitor.send_control(
+            call
+        )
         if not isinstance(reply, Success):
             return _make_failure(_as_member_failure(reply.failure()), member)
         return messages.StatusReport(reply.unwrap())
--- a/packages/node/src/trefoilpulley_node/pooler/pooler_state.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooler_state.py
@@ -48,7 +48,7 @@
     """Number of writes that wait for their copies."""
 
     is_paused: bool
-    """Whether a handover holds back the writes."""
+    """Whether a handover has paused the writes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,5 +83,5 @@
         member.pool.waiting,
         member.pool.connections,
         len(member.monitor.copy_waiters),
-        member.pool.hold.is_active,
+        member.pool.write_pause.is_active,
     )
--- a/packages/node/src/trefoilpulley_node/pooler/transactions.py
+++ b/packages/node/src/trefoilpulley_node/pooler/transactions.py
@@ -52,9 +52,10 @@
     """Open transactions, each pinned to a slot and a connection.
 
     A transaction belongs to the peer connection on which it was begun.
-    The pooler rolls back a transaction when that connection ends, and
-    when the transaction is idle for longer than the promptness of its
-    class, because other work can't use the slot of an open transaction.
+    The pooler rolls back a transaction when that connection ends. The
+    pooler also rolls back a transaction that is idle for longer than the
+    promptness of its class, because other work can't use the slot of an
+    open transaction.
 
     Parameters
     ----------
@@ -92,55 +93,55 @@
         self, req: PooledRun, peer: PeerIdentity
     ) -> Result[StatementResult, Failure]:
         """Run a statement in a transaction that the peer began."""
-        found = self._find(req.transaction, peer)
-        if found is None or found.is_busy:
+        opened = self._find(req.transaction, peer)
+        if opened is None or opened.is_busy:
             return Failed(
                 TransactionLost('transaction is not open on this connection')
             )
-        found.is_busy = True
-        result = found.lease.link.run(req.statement)
-        found.is_busy = False
-        if found.is_aborted or not found.lease.link.is_open:
+        opened.is_busy = True
+        result = opened.lease.link.run(req.statement)
+        opened.is_busy = False
+        if opened.is_aborted or not opened.lease.link.is_open:
             self._end(req.transaction)
             return Failed(TransactionLost('connection to the member was lost'))
-        self._start_idle_timer(req.transaction, found)
+        self._start_idle_timer(req.transaction, opened)
         return result
 
     def commit(
         self, req: PooledCommit, peer: PeerIdentity
     ) -> Result[StatementResult, Failure]:
         """Commit a transaction that the peer began and wait for its copies."""
-        found = self._find(req.transaction, peer)
-        if found is None or found.is_busy:
+        opened = self._find(req.transaction, peer)
+        if opened is None or opened.is_busy:
             return Failed(
                 TransactionLost('transaction is not open on this connection')
             )
-        found.is_busy = True
-        result = found.lease.link.commit(req.key)
-        found.is_busy = False
+        opened.is_busy = True
+        result = opened.lease.link.commit(req.key)
+        opened.is_busy = False
         if not isinstance(result, Success):
-            return self._on_commit_failed(req.transaction, found, result)
+            return self._on_commit_failed(req.transaction, opened, result)
         self._end(req.transaction)
-        return self._work.confirm(found.member, result.unwrap(), req.copies)
+        return self._work.confirm(opened.member, result.unwrap(), req.copies)
 
     def rollback(
         self, transaction: str, peer: PeerIdentity
     ) -> Result[None, Failure]:
         """Roll back a transaction that the peer began."""
-        found = self._find(transaction, peer)
-        if found is None:
+        opened = self._find(transaction, peer)
+        if opened is None:
             return Failed(
                 TransactionLost('transaction is not open on this connection')
             )
-        self._abort(transaction, found)
+        self._abort(transaction, opened)
         return Success(None)
 
     def on_peer_lost(self, peer: PeerIdentity) -> None:
         """Roll back the open transactions of a peer connection that ended."""
         self._pending_begins.on_connection_lost(peer.connection)
-        for transaction, found in list(self._open.items()):
-            if found.connection == peer.connection:
-                self._abort(transaction, found)
+        for transaction, opened in list(self._open.items()):
+            if opened.connection == peer.connection:
+                self._abort(transaction, opened)
 
     def _begin(
         self, member: PooledMember, req: PooledBegin, peer: PeerIdentity
@@ -170,34 +171,39 @@
         self._start_idle_timer(transaction, opened)
         return Success(transaction)
 
-    def _start_idle_timer(self, transaction: str, found: _Transaction) -> None:
-        found.use_count += 1
+    def _start_idle_timer(
+        self, transaction: str, opened: _Transaction
+    ) -> None:
+        opened.use_count += 1
         self._call_later(
-            found.idle_timeout_s, self._on_idle, transaction, found.use_count
+            opened.idle_timeout_s,
+            self._on_idle,
+            transaction,
+            opened.use_count,
         )
 
     def _on_idle(self, transaction: str, use_count: int) -> None:
-        found = self._open.get(transaction)
-        if found is None or found.is_busy or found.use_count != use_count:
+        opened = self._open.get(transaction)
+        if opened is None or opened.is_busy or opened.use_count != use_count:
             return
-        self._abort(transaction, found)
+        self._abort(transaction, opened)
 
     def _find(
         self, transaction: str, peer: PeerIdentity
     ) -> _Transaction | None:
-        found = self._open.get(transaction)
-        if found is None or found.connection != peer.connection:
+        opened = self._open.get(transaction)
+        if opened is None or opened.connection != peer.connection:
             return None
-        return found
+        return opened
 
     def _on_commit_failed(
         self,
         transaction: str,
-        found: _Transaction,
+        opened: _Transaction,
         result: Result[StatementResult, Failure],
     ) -> Result[StatementResult, Failure]:
         failure = result.failure()
-        self._abort(transaction, found)
+        self._abort(transaction, opened)
         if isinstance(failure, PeerUnreachable):
             return Failed(
                 OutcomeUnknown(
@@ -206,20 +212,20 @@
             )
         return result
 
-    def _abort(self, transaction: str, found: _Transaction) -> None:
-        if found.is_busy:
+    def _abort(self, transaction: str, opened: _Transaction) -> None:
+        if opened.is_busy:
             # While a statement is running, only closing the connection
             # reliably rolls back the transaction.
-            found.is_aborted = True
-            found.lease.link.close()
+            opened.is_aborted = True
+            opened.lease.link.close()
             return
-        if found.lease.link.is_open:
-            rolled_back = found.lease.link.rollback()
+        if opened.lease.link.is_open:
+            rolled_back = opened.lease.link.rollback()
             if not isinstance(rolled_back, Success):
-                found.lease.link.close()
+                opened.lease.link.close()
         self._end(transaction)
 
     def _end(self, transaction: str) -> None:
-        found = self._open.pop(transaction, None)
-        if found is not None:
-            found.member.pool.release(found.lease)
+        opened = self._open.pop(transaction, None)
+        if opened is not None:
+            opened.member.pool.release(opened.lease)
--- a/packages/node/src/trefoilpulley_node/pooler/write_hold.py
+++ b/packages/node/src/trefoilpulley_node/pooler/write_hold.py
@@ -1,4 +1,4 @@
-"""Holds back the writes of one member during a handover."""
+"""Pauses the writes of one member during a handover."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
     from trefoilpulley_core.clock import Clock
 
 
-class WriteHold:
-    """Hold on writes that belongs to one handover and expires in time.
+class WritePause:
+    """Pause of writes that belongs to one handover and has a time limit.
 
     Parameters
     ----------
@@ -20,28 +20,28 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._handover_id = ''
-        self._held_until = float('-inf')
+        self._paused_until = float('-inf')
 
     @property
     def is_active(self) -> bool:
-        """Whether writes are currently held."""
-        return self._clock.now() < self._held_until
+        """Whether writes are currently paused."""
+        return self._clock.now() < self._paused_until
 
-    def try_begin(self, handover_id: str, hold_s: float) -> bool:
-        """Start or extend a hold.
+    def try_begin(self, handover_id: str, pause_s: float) -> bool:
+        """Start or extend the pause.
 
         Returns
         -------
         bool
-            False if another handover holds the writes.
+            False if another handover has paused the writes.
         """
         if self.is_active and self._handover_id != handover_id:
             return False
         self._handover_id = handover_id
-        self._held_until = self._clock.now() + hold_s
+        self._paused_until = self._clock.now() + pause_s
         return True
 
     def end(self, handover_id: str) -> None:
-        """End the hold if it belongs to the handover."""
+        """End the pause if the pause belongs to the handover."""
         if handover_id == self._handover_id:
-            self._held_until = float('-inf')
+            self._paused_until = float('-inf')
