--- a/features/steps/proxy_hedge_steps.py
+++ b/features/steps/proxy_hedge_steps.py
@@ -208,7 +208,9 @@
             context.clock,
             metrics,
         )
-        context.group.state.no_failover_until = context.clock.now() + 1000.0
+        context.group.state.no_primary_change_until = (
+            context.clock.now() + 1000.0
+        )
         result = runner.write(PrimaryWaitSteps.make_request(context))
         assert result.failure().run_state is RunState.NOT_RUN, result
 
@@ -262,7 +264,7 @@
     def rule_out_failover(context: Any) -> None:
         """Record that no failover will start within the next 1000 s."""
         until = context.clock.now() + 1000.0
-        context.group.state.no_failover_until = until
+        context.group.state.no_primary_change_until = until
 
     @staticmethod
     @then('the write is refused without a wait')
@@ -274,8 +276,8 @@
     @when('another host claims the failover')
     def announce_failover(context: Any) -> None:
         """Record that a failover is due in 0.5 s."""
-        context.group.state.no_failover_until = float('-inf')
-        context.group.state.failover_due_at = context.clock.now() + 0.5
+        context.group.state.no_primary_change_until = float('-inf')
+        context.group.state.primary_change_due_at = context.clock.now() + 0.5
 
     @staticmethod
     @when('the new primary proves its leadership')
--- a/packages/core/src/trefoilpulley_core/proxy/group_state.py
+++ b/packages/core/src/trefoilpulley_core/proxy/group_state.py
@@ -128,7 +128,7 @@
 
     def on_served(self, duration_s: float, now: float) -> None:
         """Record the latency of a statement."""
-        self.latency_s = self.expected_s(now)
+        self.latency_s = self.expected_latency_s(now)
         self.latency_s += LATENCY_WEIGHT * (duration_s - self.latency_s)
         self.last_served_at = now
 
@@ -141,7 +141,7 @@
         self.latency_s = expected_s
         self.last_served_at = now
 
-    def expected_s(self, now: float) -> float:
+    def expected_latency_s(self, now: float) -> float:
         """Return the expected latency of a statement, in seconds.
 
         The estimate decays to the initial latency while the member is not
@@ -219,13 +219,13 @@
         self.last_proof_at = float('-inf')
         """Time at which the last proving request was sent, in seconds."""
 
-        self.failover_due_at = float('-inf')
+        self.primary_change_due_at = float('-inf')
         """Time at which a change of primary should be complete, in seconds."""
 
-        self.no_failover_until = float('-inf')
+        self.no_primary_change_until = float('-inf')
         """Time until which no change of primary is expected, in seconds."""
 
-        self.asked_at = float('-inf')
+        self.last_request_at = float('-inf')
         """Time of the last request for the group, in seconds."""
 
     def update(self, records: Iterable[MemberRecord]) -> None:
@@ -233,16 +233,16 @@
         by_name = {r.member: r for r in records}
         self._remove_absent(by_name)
         for record in by_name.values():
-            known = self.members.get(record.member)
-            if known is None:
+            health = self.members.get(record.member)
+            if health is None:
                 self.members[record.member] = MemberHealth(record)
                 continue
-            if known.record.incarnation != record.incarnation:
-                known = self.members[record.member] = MemberHealth(record)
+            if health.record.incarnation != record.incarnation:
+                health = self.members[record.member] = MemberHealth(record)
                 continue
-            if record.is_primary and not known.record.is_primary:
+            if record.is_primary and not health.record.is_primary:
                 self.primary = record.member
-            known.record = record
+            health.record = record
         if self.primary not in self.members:
             self.primary = self._listed_primary()
 
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -38,9 +38,9 @@
     from trefoilpulley_node.proxy.member_pool import PooledSession
 
 LEASE_MARGIN_S = 1.0
-"""Time after the idle timeout of a transaction until its lease ends.
+"""Time from a transaction's idle timeout to its lease's end, in seconds.
 
-In seconds. The host that opened the lease aborts an idle transaction at the
+The host that opened the lease aborts an idle transaction at the
 idle timeout, as long as that host is running.
 """
 
@@ -102,7 +102,7 @@
         self._ended_leases: dict[tuple[int, int], float] = {}
 
     @property
-    def leases(self) -> int:
+    def lease_count(self) -> int:
         """Number of active requests and open transactions of other hosts."""
         return len(self._leases)
 
@@ -145,7 +145,7 @@
         _record_proofs(lease, message, replies, sent_at)
         return RelayedReplies(
             tuple(pack_reply(r) for r in replies),
-            round(1000 * lease.access.health.expected_s(now), 1),
+            round(1000 * lease.access.health.expected_latency_s(now), 1),
             make_report(lease.group.state.evidence.newest, now),
         )
 
@@ -172,9 +172,9 @@
             for k, t in self._ended_leases.items()
             if now - t < ENDED_LEASE_TTL_S
         }
-        oldest = now - transaction_idle_timeout_s - LEASE_MARGIN_S
+        oldest_used_at = now - transaction_idle_timeout_s - LEASE_MARGIN_S
         for key, lease in list(self._leases.items()):
-            if lease.used_at < oldest and not lease.is_busy:
+            if lease.used_at < oldest_used_at and not lease.is_busy:
                 self._abandon(key)
 
     def _open_lease(
--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/proxy/session_registry.py
@@ -13,17 +13,14 @@
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_node.proxy.caller_session import CallerSession
 
-BALANCER_NOTICE_S = 2.2
+BALANCER_DETECTION_S = 2.2
 """Time until the balancer detects that this host is not ready, in seconds.
 
 The balancer checks once a second and removes a host after two failed checks.
 """
 
 EXIT_MARGIN_S = 0.7
-"""Time reserved at the end of the grace period for the process to exit.
-
-In seconds.
-"""
+"""Part of the grace period reserved for the exit, in seconds."""
 
 QUIET_PERIOD_S = 0.6
 """Time without connections after which the drain is complete, in seconds.
@@ -75,7 +72,7 @@
         """Whether each session is closed after its next reply."""
 
         self.is_refusing = False
-        """Whether new requests are refused, as they may not finish in time."""
+        """Whether new requests are refused, since they might end too late."""
 
     def __len__(self) -> int:
         return len(self._sessions)
@@ -130,7 +127,7 @@
         """
         self.is_draining = True
         began_at = self._clock.now()
-        gevent.sleep(min(BALANCER_NOTICE_S, grace_s / 2))
+        gevent.sleep(min(BALANCER_DETECTION_S, grace_s / 2))
         self.is_closing = True
         quiet_since = self._clock.now()
         while True:
