--- a/features/coordination_duty.feature
+++ b/features/coordination_duty.feature
@@ -1,9 +1,11 @@
 Feature: Duty of a shard
-  A zone that fails takes no primary and its coordinator at once.
+  A holder in the zone of the home primaries releases the duty sooner than
+  others, so that a failure of that zone does not stop primary and
+  coordinator together.
 
-  Scenario Outline: a holder that another host outranks gives its duty back
-    Given a duty of home zone "a" held by a host of zone "<zone>"
-    When a host of zone "<first>" has come first for <seconds> seconds
+  Scenario Outline: a holder releases its duty once another host has ranked first for long
+    Given a duty with home zone "a" that is held by a host of zone "<zone>"
+    When a host of zone "<first>" has ranked first for <seconds> seconds
     Then the duty is <outcome>
 
     Examples:
@@ -13,17 +15,17 @@
       | c    | b     | 100     | kept       |
       | c    | b     | 301     | given back |
 
-  Scenario: the acting process keeps its terms whoever claims others
-    Given a record whose acting process holds terms ahead
-    When 8 other processes claim terms ahead of it
-    Then the acting process still holds terms ahead
+  Scenario: the acting process keeps its terms when terms are granted to others
+    Given a record with terms granted in advance to the acting process
+    When 8 other processes are granted terms
+    Then the acting process still has its granted terms
 
-  Scenario: terms of a host's earlier process are dropped
-    Given a record whose acting process holds terms ahead
-    When its host starts anew and claims terms ahead
-    Then only the new process of the host holds terms
+  Scenario: terms of a host's earlier process are removed
+    Given a record with terms granted in advance to the acting process
+    When a new process of the same host is granted terms
+    Then only the new process of the host has granted terms
 
-  Scenario: the state of a process tells how long its lease holds
-    Given a duty of home zone "a" held by a host of zone "c"
-    Then its lease holds for 900 seconds at 100
-    And its lease holds for 0 seconds at 2000
+  Scenario: a process reports the remaining time of its lease
+    Given a duty with home zone "a" that is held by a host of zone "c"
+    Then the remaining time of its lease is 900 seconds at 100
+    And the remaining time of its lease is 0 seconds at 2000
--- a/features/coordination_explore.feature
+++ b/features/coordination_explore.feature
@@ -1,19 +1,19 @@
 Feature: Bounded exploration of promotion and handover
-  Every order of the steps of two coordinators, three members, one
-  outage and lost answers is tried within a bound.
+  All orders of the steps of two coordinators and three members are
+  explored within a bound, including one outage and lost answers.
 
-  Scenario Outline: exploration: every state within the bound <bound> is sound
+  Scenario Outline: exploration: no state within the bound <bound> breaks a rule
     When the coordination is explored within the bound "<bound>"
-    Then the exploration has seen every state
-    And it has seen a change of primary
-    And no rule of the exploration is broken
+    Then the exploration has reached every state
+    And the exploration has reached a change of the primary
+    And the exploration breaks no rule
 
     Examples:
       | bound          |
       | small          |
       | without-writes |
 
-  Scenario Outline: exploration: the fault <fault> is found out
+  Scenario Outline: exploration: the deliberate fault <fault> is detected
     When the coordination with the fault "<fault>" is explored within the bound "<bound>" for "<rule>"
     Then the exploration breaks the rule "<rule>"
 
--- a/features/coordination_replay.feature
+++ b/features/coordination_replay.feature
@@ -1,18 +1,19 @@
 Feature: Replay of recorded faults against the coordination
-  The product's decisions run on a virtual clock; members, service,
-  links and callers' writes are models. Outcomes stand beside each trace:
-  the member that leads at the end, promotions and handovers that began,
-  and the longest time without an acknowledged write.
+  The coordination's decisions run on a virtual clock, against models of
+  the members, the platform's service, the links and the callers' writes.
+  The tables list the expected results of each trace: the primary at the
+  end, the promotions and handovers that began, and the longest time
+  without an acknowledged write.
 
   Scenario Outline: coordination: trace <trace> in <deployment>
-    Given coordination hosts and members of "<deployment>"
+    Given coordination hosts and members of the deployment "<deployment>"
     When the coordination trace "<trace>" is replayed for 40 seconds
     Then the coordination broke no rule
-    And member "<leader>" leads in the end
+    And member "<leader>" is the primary at the end
     And <promotions> promotions and <handovers> handovers have begun
     And writes were acknowledged at least every <gap> seconds
 
-    Examples: failover with the service up
+    Examples: failover while the platform's service is available
       | trace                               | deployment | leader | promotions | handovers | gap |
       | primary-dies                        | karamanlis | b      | 1          | 0         | 1.5 |
       | primary-dies                        | sleevecraft | b     | 1          | 0         | 1.5 |
@@ -31,7 +32,7 @@
       | primary-and-coordinator-die         | karamanlis | b      | 1          | 0         | 6   |
       | primary-and-coordinator-die         | sleevecraft | b     | 1          | 0         | 6   |
 
-    Examples: failover with the service out, slow or losing answers
+    Examples: failover while the platform's service fails, is slow or loses answers
       | trace                        | deployment  | leader | promotions | handovers | gap |
       | service-out                  | karamanlis  | b      | 1          | 0         | 6   |
       | service-out                  | sleevecraft | b      | 1          | 0         | 6   |
@@ -40,14 +41,14 @@
       | service-slow                 | karamanlis  | b      | 1          | 0         | 6   |
       | service-answers-lost         | karamanlis  | b      | 1          | 0         | 6   |
 
-    Examples: nobody is promoted
+    Examples: no replica is promoted
       | trace                   | deployment  | leader | promotions | handovers | gap  |
       | zone-of-replica-cut-off | karamanlis  | a      | 0          | 0         | 0.25 |
       | coordinator-cut-off     | karamanlis  | a      | 0          | 0         | 0.25 |
       | coordinator-cut-off     | sleevecraft | a      | 0          | 0         | 0.25 |
       | link-flaps              | karamanlis  | a      | 0          | 0         | 0.25 |
 
-    Examples: return and planned stop
+    Examples: return of the home primary and planned stop
       | trace                          | deployment  | leader | promotions | handovers | gap  |
       | stop-planned                   | karamanlis  | b      | 0          | 1         | 0.25 |
       | stop-planned                   | sleevecraft | b      | 0          | 1         | 0.25 |
@@ -61,38 +62,38 @@
       | home-returns                   | karamanlis  | a      | 1          | 1         | 1.5  |
       | home-fails-again               | sleevecraft | a      | 2          | 2         | 1.5  |
 
-  Scenario: coordination: a return writes nothing for 250 ms at most
-    Given coordination hosts and members of "karamanlis"
+  Scenario: coordination: a return to the home primary interrupts writes for 250 ms at most
+    Given coordination hosts and members of the deployment "karamanlis"
     When the coordination trace "home-returns" is replayed for 40 seconds
     Then writes after 11 seconds were acknowledged at least every 0.25 seconds
 
-  Scenario: coordination: the lead has moved 2 s after the notice
-    Given coordination hosts and members of "karamanlis"
+  Scenario: coordination: another primary is in place 2 s after the notice to leave
+    Given coordination hosts and members of the deployment "karamanlis"
     When the coordination trace "primary-leaves" is replayed for 10 seconds
-    Then member "b" leads in the end
+    Then member "b" is the primary at the end
 
-  Scenario: coordination: the hold-down grows after a relapse
-    Given coordination hosts and members of "karamanlis"
+  Scenario: coordination: the hold-down grows after the home primary fails again
+    Given coordination hosts and members of the deployment "karamanlis"
     When the coordination trace "home-fails-again" is replayed for 40 seconds
-    Then the first return waited 5 seconds and the second 10
+    Then the first return was delayed by at least 5 seconds and the second by 10
 
-  Scenario: coordination: a lone member acknowledges nothing
-    Given coordination hosts and members of "karamanlis"
+  Scenario: coordination: a member without a majority acknowledges no write
+    Given coordination hosts and members of the deployment "karamanlis"
     When the coordination trace "two-members-down" is replayed for 40 seconds
     Then the coordination broke no rule
     And no write was acknowledged between 8.3 and 16 seconds
-    And member "b" leads in the end
+    And member "b" is the primary at the end
 
-  Scenario: coordination: two processes use no term twice
-    Given coordination hosts and members of "sleevecraft"
+  Scenario: coordination: no term is used by two processes
+    Given coordination hosts and members of the deployment "sleevecraft"
     When the coordination trace "service-out-coordinator-dies" is replayed for 40 seconds
     Then no term was used by two processes
 
-  Scenario Outline: coordination: a primary leaves replicas that lag by <lag> ms
-    Given coordination replicas that lag by <lag> ms
+  Scenario Outline: coordination: a planned stop with replicas that lag by <lag> ms
+    Given coordination hosts with replicas that lag by <lag> ms
     When the coordination trace "stop-planned" is replayed for 40 seconds
     Then the coordination broke no rule
-    And member "b" leads in the end
+    And member "b" is the primary at the end
     And writes were acknowledged at least every <gap> seconds
 
     Examples:
@@ -102,14 +103,14 @@
       | 250 | 6    |
       | 500 | 6    |
 
-  Scenario: coordination: pairs and triples around promotion and handover
-    When the coordination meets 8 sets of faults around its steps
-    Then no set of faults broke a rule and each has settled
+  Scenario: coordination: sets of two or three faults around promotion and handover
+    When the coordination runs with 8 sets of two or three faults
+    Then no set of faults breaks a rule and each run settles
 
-  Scenario Outline: coordination: <count> faults at a time, seed <seed>
-    When the coordination meets <count> generated faults of seed <seed>
+  Scenario Outline: coordination: <count> concurrent faults, seed <seed>
+    When the coordination runs with <count> generated faults of seed <seed>
     Then the coordination broke no rule
-    And the home layout stands again
+    And the home layout is restored
 
     Examples:
       | count | seed |
--- a/features/steps/coordination_detection_steps.py
+++ b/features/steps/coordination_detection_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the evidence about a primary."""
+"""Steps on the failure detection of a primary."""
 
 from __future__ import annotations
 
@@ -38,101 +38,112 @@
 
 
 class DetectionSteps:
-    """Feeds a detector with answers and losses."""
+    """Steps that pass answers and lost probes to a failure detector."""
 
     @staticmethod
-    @given('a detector that heard members a, b and c at {at:g}, b leading')
+    @given(
+        'a failure detector with answers of members a, b and c at {at:g} and '
+        'primary b'
+    )
     def make_detector(context: Any, at: float) -> None:
-        """Let all three answer once."""
+        """Process one answer of each member."""
         context.detector = FailureDetector(ENTRY)
         for name in 'abc':
             context.detector.on_status(_status(name, 0), at)
 
     @staticmethod
-    @when('the probe of "{name}" that left at {at:g} is lost')
+    @when('the probe sent to "{name}" at {at:g} is lost')
     def lose_probe(context: Any, name: str, at: float) -> None:
-        """Lose one probe."""
+        """Record a probe as lost."""
         context.detector.on_probe_failed(name, at, False)
 
     @staticmethod
     @when(
-        '"{name}" answers the probe of {at:g} without contact for {age:d} ms'
+        '"{name}" answers the probe sent at {at:g} with its last contact to '
+        'the primary {age:d} ms ago'
     )
     def answer_probe(context: Any, name: str, at: float, age: int) -> None:
-        """Answer one probe."""
+        """Process the answer to one probe."""
         context.detector.on_status(_status(name, age), at)
 
     @staticmethod
     @then('the verdict at {now:g} is "{verdict}"')
     def check_verdict(context: Any, now: float, verdict: str) -> None:
-        """Compare the verdict."""
+        """Compare the verdict with the expected one."""
         found = context.detector.verdict(now)
         assert found == verdict, found
 
     @staticmethod
-    @then('more evidence is needed')
-    def check_doubt(context: Any) -> None:
-        """Expect a doubt newer than the leader's answer."""
+    @then('the detector reports a loss of primary contact')
+    def check_contact_loss(context: Any) -> None:
+        """Expect a contact loss newer than the primary's answer."""
         assert context.detector.has_primary_contact_loss
 
     @staticmethod
-    @then('no more evidence is needed')
-    def check_no_doubt(context: Any) -> None:
-        """Expect that the leader has answered since."""
+    @then('the detector reports no loss of primary contact')
+    def check_no_contact_loss(context: Any) -> None:
+        """Expect that the primary has answered since the contact loss."""
         assert not context.detector.has_primary_contact_loss
 
 
-class PollingSteps:
-    """Probes members at intervals."""
+class ProbeScheduleSteps:
+    """Steps on the intervals at which members are probed."""
 
     @staticmethod
-    @given('probes of three members every {interval:g} seconds from {at:g}')
-    def make_polling(context: Any, interval: float, at: float) -> None:
-        """Send and answer the first probes."""
-        context.polling = ProbeSchedule(ENTRY)
+    @given(
+        'a schedule that probes three members every {interval:g} seconds '
+        'from {at:g}'
+    )
+    def make_schedule(context: Any, interval: float, at: float) -> None:
+        """Make a schedule and answer its first probes."""
+        context.schedule = ProbeSchedule(ENTRY)
         context.interval_s = interval
-        PollingSteps._tick(context, at)
-        context.polling.is_urgent = False
+        ProbeScheduleSteps._tick(context, at)
+        context.schedule.is_urgent = False
         for step in range(1, 5):
-            PollingSteps._tick(context, at + step / 10)
+            ProbeScheduleSteps._tick(context, at + step / 10)
 
     @staticmethod
-    @when('evidence is needed urgently at {now:g}')
+    @when('the probe schedule becomes urgent at {now:g}')
     def become_urgent(context: Any, now: float) -> None:
-        """Raise the urgency."""
-        context.polling.is_urgent = True
-        context.probed = set(PollingSteps._tick(context, now))
+        """Make the schedule urgent and collect its first probes."""
+        context.schedule.is_urgent = True
+        context.probed = set(ProbeScheduleSteps._tick(context, now))
 
     @staticmethod
     @then('each member is probed again by {until:g}')
     def check_probed(context: Any, until: float) -> None:
-        """Expect a probe of each member."""
+        """Expect a probe of each member until the given time."""
         for step in range(51, round(until * 100) + 1):
-            context.probed.update(PollingSteps._tick(context, step / 100))
+            context.probed.update(
+                ProbeScheduleSteps._tick(context, step / 100)
+            )
         assert context.probed == {'a', 'b', 'c'}, context.probed
 
     @staticmethod
     @when('{seconds:d} seconds pass')
     def pass_time(context: Any, seconds: int) -> None:
-        """Note the time of each calm probe after the first round."""
+        """Collect the times of the probes after the first round."""
         times = [step / 20 for step in range(8, seconds * 20)]
-        probes = [
-            time for time in times for _ in PollingSteps._tick(context, time)
+        probe_times = [
+            time
+            for time in times
+            for _ in ProbeScheduleSteps._tick(context, time)
         ]
-        context.probes = probes[len(ENTRY.members) :]
+        context.probe_times = probe_times[len(ENTRY.members) :]
 
     @staticmethod
     @then('at most one member is probed in any half second')
     def check_spread(context: Any) -> None:
-        """Compare the distances of successive probes."""
-        pairs = zip(context.probes, context.probes[1:])
-        assert len(context.probes) > 6
-        assert all(b - a >= 0.5 for a, b in pairs), context.probes
+        """Expect at least 0.5 s between successive probes."""
+        pairs = zip(context.probe_times, context.probe_times[1:])
+        assert len(context.probe_times) > 6
+        assert all(b - a >= 0.5 for a, b in pairs), context.probe_times
 
     @staticmethod
     def _tick(context: Any, now: float) -> list[str]:
-        calls = context.polling.on_tick(context.interval_s, now)
+        calls = context.schedule.on_tick(context.interval_s, now)
         for call in calls:
             reply = Success(_status(call.member, 0))
-            context.polling.on_call_done(CallDone(call, now, reply, True))
+            context.schedule.on_call_done(CallDone(call, now, reply, True))
         return [call.member for call in calls]
--- a/features/steps/coordination_driver_steps.py
+++ b/features/steps/coordination_driver_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the greenlets of the coordinator role."""
+"""Steps on the coordination driver of a host."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 from trefoilpulley_standins.explore_member import ModelMember
 
 EVENT_TIMEOUT_S = 20.0
-"""Bound on the wait for an event that must come, in seconds."""
+"""Maximum wait for an event that must occur, in seconds."""
 
 NOWHERE = Endpoint('127.0.0.1', 1)
 
 
 class FakeMembers(PoolerCaller, NoticeListener):
-    """Members that answer at once, and the notices about them."""
+    """Simulates members that answer at once, and receives notices."""
 
     def __init__(self, entry: DatabaseEntry) -> None:
         self.members = {
@@ -57,7 +57,7 @@
     def call_pooler(
         self, member: str, message: Any, timeout_s: float
     ) -> Result[Any, Failure]:
-        """Carry a message out at a member."""
+        """Carry out a control message at a member."""
         target = self.members[member]
         now = time.monotonic()
         if not target.is_up:
@@ -77,7 +77,7 @@
         return Success(StatusReport(target.status(now)))
 
     def on_notice(self, notice: Notice) -> None:
-        """Wake whoever waits for a promotion."""
+        """Record the end of a promotion."""
         if isinstance(notice, PrimaryPromoted):
             self.promoted.set()
 
@@ -85,37 +85,37 @@
         running = [m for m in self.members.values() if m.is_up]
         for primary in (m for m in running if m.is_primary):
             for other in running:
-                held = other.append(
+                position = other.append(
                     primary.term, primary.name, primary.log, now
                 )
-                if held is not None:
-                    primary.confirm(other.name, primary.term, held)
+                if position is not None:
+                    primary.confirm(other.name, primary.term, position)
 
 
 class GrantPlatform(FakePlatform):
-    """Service that tells when a shard's terms are granted."""
+    """Platform fake that reports when the terms of a shard are granted."""
 
     def wait_for_grants(self) -> None:
-        """Wait until terms stand in a shard's record."""
+        """Wait until a shard's record contains granted terms."""
         granted = Event()
 
-        def look(entry: Any) -> None:
+        def check_entry(entry: Any) -> None:
             if b'grants' in entry.value:
                 granted.set()
 
-        watch = self.watch(SHARD_PREFIX, look, look)
+        watch = self.watch(SHARD_PREFIX, check_entry, check_entry)
         for entry in list(self.values.values()):
             if entry.key.startswith(watch.prefix):
-                look(entry)
+                check_entry(entry)
         assert granted.wait(EVENT_TIMEOUT_S)
         watch.cancel()
 
 
 class CoordinationDriverSteps:
-    """Steps on one host that coordinates one database."""
+    """Steps on a host that coordinates one database."""
 
     @staticmethod
-    @given('a coordination driver before three members')
+    @given('a coordination driver of a database with three members')
     def start(context: Any) -> None:
         """Start a driver that is the only live host."""
         entry = DatabaseEntry(
@@ -124,7 +124,7 @@
             tuple(MemberEntry(n, n, NOWHERE, 2, 16) for n in 'abc'),
         )
         host = HostEntry('h', 'region', 'b', NOWHERE, NOWHERE)
-        seen = DeploymentView(
+        view = DeploymentView(
             Catalog((entry,), (host,)), Declarations(), (host,)
         )
         context.fake = FakeMembers(entry)
@@ -134,7 +134,7 @@
             1,
             context.service,
             context.fake,
-            lambda: seen,
+            lambda: view,
             MonotonicClock(),
             context.fake,
         )
@@ -142,19 +142,19 @@
         context.cleanups.append(context.driver.stop)
 
     @staticmethod
-    @when('the coordination driver has its terms')
+    @when('the coordination driver has been granted its terms')
     def wait_for_terms(context: Any) -> None:
-        """Wait for the grants in the service."""
+        """Wait for the grants in the platform's service."""
         context.service.wait_for_grants()
 
     @staticmethod
-    @when('the service of the coordination driver goes down')
+    @when("the platform's service fails for the coordination driver")
     def take_down(context: Any) -> None:
-        """Begin an outage."""
+        """Start an outage of the platform's service."""
         context.service.take_down()
 
     @staticmethod
-    @when('the leading member of the coordination driver goes away')
+    @when('the primary of the coordination driver fails')
     def lose_primary(context: Any) -> None:
         """Stop the home primary."""
         context.fake.members['a'].is_up = False
@@ -162,32 +162,32 @@
     @staticmethod
     @when('the coordination driver stops')
     def stop(context: Any) -> None:
-        """Stop as a leaving host does."""
+        """Stop the driver while it holds a lease."""
         assert context.service.leases
         context.driver.stop()
 
     @staticmethod
-    @then('the coordination driver reports another primary')
+    @then('the coordination driver reports a new primary')
     def check_promoted(context: Any) -> None:
-        """Wait for the notice and look at the members."""
+        """Wait for the promotion and expect member b as the only primary."""
         assert context.fake.promoted.wait(EVENT_TIMEOUT_S)
-        leaders = [
+        primaries = [
             m.name
             for m in context.fake.members.values()
             if m.is_primary and m.is_up
         ]
-        assert leaders == ['b'], leaders
+        assert primaries == ['b'], primaries
 
     @staticmethod
-    @then('the coordination dump shows the duty of this host')
+    @then('the coordination dump shows that this host has the duty')
     def check_dump(context: Any) -> None:
-        """Look for the acting shard."""
+        """Expect one acting shard with granted terms."""
         state = context.driver.dump()
         assert [s.is_acting for s in state.shards] == [True], state
         assert state.shards[0].databases[0].granted_terms, state
 
     @staticmethod
-    @then('no lease is left for the coordination driver')
+    @then("the platform's service holds no lease of the coordination driver")
     def check_leases(context: Any) -> None:
-        """Expect that the lease was revoked."""
+        """Expect that the driver has revoked its lease."""
         assert not context.service.leases
--- a/features/steps/coordination_duty_steps.py
+++ b/features/steps/coordination_duty_steps.py
@@ -1,4 +1,4 @@
-"""Steps on duties and the terms granted ahead."""
+"""Steps on duties and on terms that are granted in advance."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class DutySteps:
-    """Lets one process hold the duty of a shard."""
+    """Steps on the duty of one shard."""
 
     @staticmethod
-    @given('a duty of home zone "a" held by a host of zone "{zone}"')
+    @given('a duty with home zone "a" that is held by a host of zone "{zone}"')
     def hold_duty(context: Any, zone: str) -> None:
-        """Grant the lease and the duty while nobody else is there."""
+        """Grant the lease and the duty to the only host."""
         context.own = _host('own', zone)
         context.duty = duty = Duty('own#1')
         duty.on_tick((context.own,), (ENTRY,), 0.0)
@@ -46,9 +46,9 @@
         duty.on_acquired(context.shard, 5, 0.0)
 
     @staticmethod
-    @when('a host of zone "{zone}" has come first for {seconds:d} seconds')
+    @when('a host of zone "{zone}" has ranked first for {seconds:d} seconds')
     def outrank(context: Any, zone: str, seconds: int) -> None:
-        """Let hosts come until one is first; tick every second."""
+        """Add hosts until another one ranks first; tick every second."""
         number = 0
         hosts = (context.own,)
         while context.duty.succession.rank(context.shard, 'own') == 0:
@@ -64,55 +64,55 @@
     @staticmethod
     @then('the duty is {outcome}')
     def check_duty(context: Any, outcome: str) -> None:
-        """Look for the release."""
+        """Compare whether the duty was released."""
         is_released = any(isinstance(c, ReleaseDuty) for c in context.commands)
         assert is_released == (outcome == 'given back'), context.commands
 
 
 class LeaseSteps:
-    """Looks at the lease of a process."""
+    """Steps on the lease of a process."""
 
     @staticmethod
-    @then('its lease holds for {left:g} seconds at {now:g}')
+    @then('the remaining time of its lease is {left:g} seconds at {now:g}')
     def check_lease(context: Any, left: float, now: float) -> None:
-        """Compare the time that is left."""
+        """Compare the remaining time of the lease."""
         assert context.duty.lease_left_s(now) == left
 
 
 class TermSteps:
-    """Grants terms ahead to several processes."""
+    """Steps that grant terms in advance to several processes."""
 
     @staticmethod
-    @given('a record whose acting process holds terms ahead')
+    @given('a record with terms granted in advance to the acting process')
     def make_record(context: Any) -> None:
-        """Grant the first terms."""
+        """Grant terms to the acting process."""
         record = DatabaseRecord('ledger/0', term=RECORDED_TERM)
         context.record = with_grants(record, 'own#1', RECORDED_TERM)
 
     @staticmethod
-    @when('{count:d} other processes claim terms ahead of it')
-    def claim_others(context: Any, count: int) -> None:
-        """Grant terms to others."""
+    @when('{count:d} other processes are granted terms')
+    def grant_others(context: Any, count: int) -> None:
+        """Grant terms to processes of other hosts."""
         for number in range(count):
             context.record = with_grants(
                 context.record, f'other-{number}#1', RECORDED_TERM
             )
 
     @staticmethod
-    @when('its host starts anew and claims terms ahead')
-    def claim_anew(context: Any) -> None:
+    @when('a new process of the same host is granted terms')
+    def grant_new_process(context: Any) -> None:
         """Grant terms to the next process of the host."""
         context.record = with_grants(context.record, 'own#2', RECORDED_TERM)
 
     @staticmethod
-    @then('the acting process still holds terms ahead')
-    def check_held(context: Any) -> None:
-        """Expect all grants of the acting process."""
+    @then('the acting process still has its granted terms')
+    def check_granted(context: Any) -> None:
+        """Expect that the acting process has all its grants."""
         assert has_grants(context.record, 'own#1', RECORDED_TERM)
 
     @staticmethod
-    @then('only the new process of the host holds terms')
-    def check_new(context: Any) -> None:
-        """Expect no grant of the earlier process."""
+    @then('only the new process of the host has granted terms')
+    def check_only_new(context: Any) -> None:
+        """Expect grants of the new process only."""
         holders = {grant.holder for grant in context.record.grants}
         assert holders == {'own#2'}, holders
--- a/features/steps/coordination_explore_steps.py
+++ b/features/steps/coordination_explore_steps.py
@@ -1,4 +1,4 @@
-"""Steps that explore promotion and handover."""
+"""Steps on the bounded exploration of promotion and handover."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from trefoilpulley_standins.explore import explore
 from trefoilpulley_standins.explore import Rule
 
-STATES_LIMIT = 60_000
+MAX_STATES = 60_000
 
 
 class CoordinationExploreSteps:
-    """Steps on the states within a bound."""
+    """Steps that explore all states within a bound."""
 
     @staticmethod
     @when('the coordination is explored within the bound "{bound}"')
-    def explore_rule(context: Any, bound: str) -> None:
-        """Explore the product's rules."""
-        context.found = explore(BUDGETS[bound], STATES_LIMIT)
+    def explore_product(context: Any, bound: str) -> None:
+        """Explore the coordination without a fault."""
+        context.found = explore(BUDGETS[bound], MAX_STATES)
 
     @staticmethod
     @when(
@@ -29,31 +29,29 @@
         'bound "{bound}" for "{rule}"'
     )
     def explore_fault(context: Any, fault: str, bound: str, rule: str) -> None:
-        """Explore a faulty copy of a rule."""
-        context.found = explore(
-            BUDGETS[bound], STATES_LIMIT, fault, Rule(rule)
-        )
+        """Explore the coordination with one deliberate fault."""
+        context.found = explore(BUDGETS[bound], MAX_STATES, fault, Rule(rule))
 
     @staticmethod
-    @then('the exploration has seen every state')
-    def check_whole(context: Any) -> None:
-        """Expect that the bound was exhausted."""
+    @then('the exploration has reached every state')
+    def check_complete(context: Any) -> None:
+        """Expect that all states within the bound were reached."""
         assert context.found.is_whole
 
     @staticmethod
-    @then('it has seen a change of primary')
+    @then('the exploration has reached a change of the primary')
     def check_change(context: Any) -> None:
-        """Expect states that the rules are about."""
+        """Expect at least one state with a changed primary."""
         assert context.found.changed > 0
 
     @staticmethod
-    @then('no rule of the exploration is broken')
-    def check_sound(context: Any) -> None:
-        """Expect every rule to hold."""
+    @then('the exploration breaks no rule')
+    def check_rules(context: Any) -> None:
+        """Expect that every rule holds."""
         assert not context.found.broken, context.found
 
     @staticmethod
     @then('the exploration breaks the rule "{rule}"')
     def check_broken(context: Any, rule: str) -> None:
-        """Expect the breach that the fault must lead to."""
+        """Expect that the deliberate fault breaks the rule."""
         assert Rule(rule) in context.found.broken, context.found
--- a/features/steps/coordination_replay_steps.py
+++ b/features/steps/coordination_replay_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay traces against the coordination."""
+"""Steps that replay recorded and generated faults of the coordination."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
 TRACES = Path(__file__).parent.parent / 'traces' / 'coordination'
 
 WARM_UP_S = 5.0
-"""Time until the hosts have their duties, in seconds."""
+"""Time after which the hosts have their duties, in seconds."""
 
 SEED = 1
 
 
 class CoordinationReplaySteps:
-    """Steps on a stage of hosts and members."""
+    """Steps on simulated hosts and members."""
 
     @staticmethod
-    @given('coordination hosts and members of "{deployment}"')
+    @given('coordination hosts and members of the deployment "{deployment}"')
     def make_stage(context: Any, deployment: str) -> None:
-        """Build the zones and delays of a deployment."""
+        """Build the hosts and members with the delays of a deployment."""
         if deployment == 'karamanlis':
             context.stage = Stage(('a', 'b', 'c'), 0.003, SEED, 8)
         else:
             context.stage = Stage(('a', 'b', 'c', 'd'), 0.005, SEED, 7)
 
     @staticmethod
-    @given('coordination replicas that lag by {lag:d} ms')
+    @given('coordination hosts with replicas that lag by {lag:d} ms')
     def make_lagging_stage(context: Any, lag: int) -> None:
-        """Build the smaller deployment with lagging replicas."""
+        """Build the smaller deployment with replicas that lag."""
         context.stage = Stage(
             ('a', 'b', 'c'), 0.003, SEED, 8, lag_s=lag / 1000
         )
@@ -57,7 +57,7 @@
     @staticmethod
     @when('the coordination trace "{name}" is replayed for {time:g} seconds')
     def replay(context: Any, name: str, time: float) -> None:
-        """Play the lines of a trace."""
+        """Plan the steps of a trace and run the simulation."""
         text = (TRACES / f'{name}.jsonl').read_text(encoding='utf-8')
         for line in text.splitlines():
             fields = json.loads(line)
@@ -68,16 +68,19 @@
         context.stage.world.run_until(time)
 
     @staticmethod
-    @when('the coordination meets {count:d} generated faults of seed {seed:d}')
-    def generate(context: Any, count: int, seed: int) -> None:
-        """Play a generated schedule until it has settled."""
+    @when(
+        'the coordination runs with {count:d} generated faults of seed '
+        '{seed:d}'
+    )
+    def run_generated_faults(context: Any, count: int, seed: int) -> None:
+        """Run a generated schedule of faults."""
         steps = make_schedule(random.Random(seed), count)
         context.stage = play_schedule(steps, seed)
 
     @staticmethod
-    @when('the coordination meets {count:d} sets of faults around its steps')
-    def generate_sets(context: Any, count: int) -> None:
-        """Let pairs and triples strike close to the first fault."""
+    @when('the coordination runs with {count:d} sets of two or three faults')
+    def run_fault_sets(context: Any, count: int) -> None:
+        """Run sets whose later faults occur shortly after the first one."""
         context.verdicts = []
 
         @settings(
@@ -88,16 +91,16 @@
             suppress_health_check=list(HealthCheck),
         )
         @hypothesis_given(_fault_sets())
-        def play(steps: tuple[Step, ...]) -> None:
+        def run_fault_set(steps: tuple[Step, ...]) -> None:
             stage = play_schedule(steps, SEED)
             context.verdicts.append((steps, judge(stage)))
 
-        play()
+        run_fault_set()
 
     @staticmethod
-    @then('no set of faults broke a rule and each has settled')
+    @then('no set of faults breaks a rule and each run settles')
     def check_sets(context: Any) -> None:
-        """Judge each set."""
+        """Expect no broken rule and a settled deployment for each set."""
         assert context.verdicts
         for steps, verdict in context.verdicts:
             assert not verdict.faults, (steps, verdict)
@@ -106,33 +109,33 @@
     @staticmethod
     @then('the coordination broke no rule')
     def check_rules(context: Any) -> None:
-        """Look for lost writes, two primaries and late acknowledgements."""
+        """Expect no lost write, second primary or late acknowledgement."""
         world = context.stage.world
         faults = world.history.faults(world.members.values())
         assert world.history.acknowledged
         assert not faults, faults
 
     @staticmethod
-    @then('member "{zone}" leads in the end')
-    def check_leader(context: Any, zone: str) -> None:
-        """Compare the leader's zone."""
+    @then('member "{zone}" is the primary at the end')
+    def check_primary(context: Any, zone: str) -> None:
+        """Compare the zone of the primary."""
         assert context.stage.world.leader().zone == zone
 
     @staticmethod
     @then('{promotions:d} promotions and {handovers:d} handovers have begun')
     def check_counts(context: Any, promotions: int, handovers: int) -> None:
-        """Count what the hosts reported."""
+        """Compare the number of promotions and handovers in the notices."""
         notices = _notices(context)
-        begun = [n for _, n in notices if isinstance(n, PromotionBegan)]
-        unplanned = [n for n in begun if n.reason != 'handover']
-        moved = [n for _, n in notices if isinstance(n, HandoverBegan)]
+        promoted = [n for _, n in notices if isinstance(n, PromotionBegan)]
+        unplanned = [n for n in promoted if n.reason != 'handover']
+        handed_over = [n for _, n in notices if isinstance(n, HandoverBegan)]
         assert len(unplanned) == promotions, notices
-        assert len(moved) == handovers, notices
+        assert len(handed_over) == handovers, notices
 
     @staticmethod
     @then('writes were acknowledged at least every {gap:g} seconds')
     def check_gap(context: Any, gap: float) -> None:
-        """Compare the longest time without an acknowledgement."""
+        """Compare the longest time without an acknowledged write."""
         found = context.stage.world.history.gap_s(WARM_UP_S)
         assert found <= gap, found
 
@@ -142,33 +145,37 @@
         '{gap:g} seconds'
     )
     def check_late_gap(context: Any, time: float, gap: float) -> None:
-        """Compare the longest gap after a time."""
+        """Compare the longest gap after the given time."""
         found = context.stage.world.history.gap_s(time)
         assert found <= gap, found
 
     @staticmethod
     @then(
-        'the first return waited {first:g} seconds and the second {second:g}'
+        'the first return was delayed by at least {first:g} seconds and '
+        'the second by {second:g}'
     )
     def check_hold_down(context: Any, first: float, second: float) -> None:
-        """Compare the waits after the home primary came back."""
+        """Compare the delays of the handovers to the home primary.
+
+        The trace restarts the home primary after 10 and after 24 seconds.
+        """
         times = [
             t for t, n in _notices(context) if isinstance(n, HandoverBegan)
         ]
-        waited = times[0] - 10.0, times[1] - 24.0
-        assert first <= waited[0] < second <= waited[1], waited
+        delays = times[0] - 10.0, times[1] - 24.0
+        assert first <= delays[0] < second <= delays[1], delays
 
     @staticmethod
     @then('no write was acknowledged between {start:g} and {end:g} seconds')
-    def check_silence(context: Any, start: float, end: float) -> None:
-        """Look for acknowledgements in a time without a majority."""
+    def check_no_write(context: Any, start: float, end: float) -> None:
+        """Expect no acknowledgement while there is no majority."""
         acknowledged = context.stage.world.history.acknowledged
         assert not [a for a in acknowledged if start < a.time < end]
 
     @staticmethod
     @then('no term was used by two processes')
     def check_terms(context: Any) -> None:
-        """Compare the terms of all promotions."""
+        """Expect that each promotion has a term of its own."""
         terms = [
             n.term
             for _, n in _notices(context)
@@ -178,20 +185,22 @@
         assert len(terms) == len(set(terms)), terms
 
     @staticmethod
-    @then('the home layout stands again')
+    @then('the home layout is restored')
     def check_settled(context: Any) -> None:
-        """Expect the home primary to lead and to acknowledge."""
+        """Expect that the deployment has returned to its home layout."""
         verdict = judge(context.stage)
         assert verdict.is_settled, verdict
 
 
 def _fault_sets() -> st.SearchStrategy[tuple[Step, ...]]:
-    struck = st.tuples(
+    later_fault = st.tuples(
         st.floats(0.0, 2.0).map(lambda t: round(FAULTS_FROM_S + t, 3)),
         st.sampled_from(FAULTS),
     )
-    first = st.sampled_from(FIRST_FAULTS)
-    return st.tuples(first, st.lists(struck, min_size=1, max_size=2)).map(
+    first_fault = st.sampled_from(FIRST_FAULTS)
+    return st.tuples(
+        first_fault, st.lists(later_fault, min_size=1, max_size=2)
+    ).map(
         lambda drawn: (
             Step(FAULTS_FROM_S, *drawn[0]),
             *(Step(time, *fault) for time, fault in drawn[1]),
@@ -200,5 +209,5 @@
 
 
 def _notices(context: Any) -> list[tuple[float, Any]]:
-    found = [n for h in context.stage.hosts for n in h.notices]
-    return sorted(found, key=lambda one: one[0])
+    notices = [n for h in context.stage.hosts for n in h.notices]
+    return sorted(notices, key=lambda notice: notice[0])
