--- a/features/configuration_change.feature
+++ b/features/configuration_change.feature
@@ -7,11 +7,11 @@
 
   Scenario: A conflicting change is refused
     Given the configuration change "first" is in force
-    When the configuration change "mine" is submitted upon revision 0
+    When the configuration change "mine" is submitted with the expected revision 0
     Then the configuration change is refused as a conflict
     And the platform's service holds the configuration change "first"
 
-  Scenario Outline: A lost answer is resolved truly
+  Scenario Outline: A change is applied once after a fault of its write
     Given the configuration change "first" is in force
     And the next configuration write has the fault "<fault>"
     When the configuration change "mine" is submitted
@@ -24,17 +24,17 @@
       | lost-after  |
       | conflict    |
 
-  Scenario: A lost answer is found under a later change
+  Scenario: A change whose answer is lost is recognized after a later change
     Given the configuration change "first" is in force
-    And the configuration change "theirs" comes after the next lost write
+    And the configuration change "theirs" follows the next lost write
     When the configuration change "mine" is submitted
     Then the configuration change is applied as revision 2
     And the platform's service holds the configuration change "theirs"
 
-  Scenario: A lost change that a conflict overtook is not applied
+  Scenario: A lost change that another change preceded is refused
     Given the configuration change "first" is in force
-    And the configuration change "theirs" overtakes the next lost write
-    When the configuration change "mine" is submitted upon revision 1
+    And the configuration change "theirs" precedes the next lost write
+    When the configuration change "mine" is submitted with the expected revision 1
     Then the configuration change is refused as a conflict
     And the platform's service holds the configuration change "theirs"
 
@@ -44,27 +44,27 @@
     Then the configuration change is applied as revision 1
     And the platform's service holds 1 configuration changes
 
-  Scenario: Without the service nothing is applied
-    Given the platform's service is out for configuration changes
+  Scenario: A change during an outage of the service is not applied
+    Given the platform's service fails for configuration changes
     When the configuration change "mine" is submitted
     Then the configuration change is not applied
 
-  Scenario: A service that loses every answer leaves the change unknown
+  Scenario: The outcome of a change is unknown if every answer is lost
     Given the configuration change "first" is in force
     And every configuration write is lost without effect
     When the configuration change "mine" is submitted
-    Then the configuration change stays unknown
+    Then the outcome of the configuration change is unknown
 
   Scenario: A late copy of a lost write has no effect
     Given the configuration change "first" is in force
-    And the next configuration write is lost and arrives late
+    And the next configuration write is delayed and its answer lost
     When the configuration change "mine" is submitted
-    And the late configuration write arrives
+    And the delayed configuration write arrives
     Then the configuration change is applied as revision 2
     And the platform's service holds 2 configuration changes
 
-  Scenario: What is said of a change is true in any order of faults
-    Then any faults and rivals leave true answers to configuration changes
+  Scenario: The reported outcome of a change is correct under any faults
+    Then the outcomes of configuration changes are correct under any faults and concurrent changes
 
-  Scenario: A careless writer is noticed
-    Then a writer that takes a lost answer for a failure is noticed
+  Scenario: A writer that ignores lost answers is detected
+    Then a writer that takes a lost answer for a failure is detected
--- a/features/configuration_spread.feature
+++ b/features/configuration_spread.feature
@@ -1,8 +1,8 @@
-Feature: Documents in force on every host
+Feature: Dissemination of the documents to every host
 
-  Scenario Outline: The outcomes stated beside a trace hold
+  Scenario Outline: The expected outcomes of a trace occur
     When the configuration trace "<trace>" is replayed
-    Then every outcome stated beside the configuration trace holds
+    Then every expected outcome of the configuration trace occurs
 
     Examples:
       | trace                 |
@@ -14,17 +14,17 @@
       | old-offers            |
       | one-host-offered      |
 
-  Scenario: A holder that takes any revision is noticed
-    Given a configuration holder that takes any revision
+  Scenario: A store that accepts any revision is detected
+    Given a configuration store that accepts any revision
     When the configuration trace "old-offers" is replayed
-    Then an outcome stated beside the configuration trace fails
+    Then an expected outcome of the configuration trace does not occur
 
-  Scenario: No order of offers lowers the revision
-    Then configuration offers in any order and number never lower the revision
+  Scenario: No order of offered documents lowers the revision
+    Then configurations offered in any order never lower the revision
 
-  Scenario Outline: The calls to the service do not grow with the zone
+  Scenario Outline: The rate of calls to the service does not grow with the size of a zone
     Given a configuration fleet of 3 zones with <hosts> hosts each
-    When the configuration fleet rests for 60 s
+    When the configuration fleet runs for 60 s without a change
     Then each zone calls the platform's service at most 0.5 times a second
 
     Examples:
@@ -33,29 +33,29 @@
       | 8     |
       | 32    |
 
-  Scenario: A change costs the service a few calls a zone
+  Scenario: A change causes few calls to the service per zone
     Given a configuration fleet of 3 zones with 8 hosts each
     When the configuration changes 5 times
-    Then each change costs each zone at most 4 calls to the platform's service
+    Then each change causes at most 4 calls to the platform's service per zone
 
-  Scenario: Hosts that die amid a change hold nobody up
+  Scenario: Hosts that fail during a change do not delay the other hosts
     Given a configuration fleet of 3 zones with 32 hosts each
-    When the configuration changes while 5 hosts of each zone die
+    When the configuration changes while 5 hosts of each zone fail
     Then the configuration is in force on every live host within 2 s
 
-  Scenario: A watch that has fallen silent holds nobody up
+  Scenario: A silent watch is covered by polling and replaced
     Given a configuration fleet of 1 zones with 8 hosts each
-    And the configuration watches have fallen silent
+    And the configuration watches have become silent
     When the configuration is written
     Then the configuration is in force on every live host within 16 s
-    And a configuration watch is in force again within 60 s
+    And a configuration watch is active again within 60 s
 
-  Scenario: Any two faults amid changes
-    Then amid any 2 faults the configuration never goes back and reaches every host
+  Scenario: Any two faults during changes
+    Then under any 2 faults the configuration never returns to an older revision and reaches every host
 
-  Scenario: Any three faults amid changes
-    Then amid any 3 faults the configuration never goes back and reaches every host
+  Scenario: Any three faults during changes
+    Then under any 3 faults the configuration never returns to an older revision and reaches every host
 
-  Scenario: A holder that takes any revision is noticed amid faults
-    Given a configuration holder that takes any revision
-    Then some 2 faults let the configuration go back
+  Scenario: A store that accepts any revision is detected under faults
+    Given a configuration store that accepts any revision
+    Then some 2 faults return the configuration to an older revision
--- a/features/fakes/configuration_schedule.py
+++ b/features/fakes/configuration_schedule.py
@@ -1,4 +1,4 @@
-"""Generated schedules of faults amid changes of the declarations."""
+"""Generated schedules of faults during changes of the declarations."""
 
 from __future__ import annotations
 
@@ -18,7 +18,11 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of faults; between them the declarations change."""
+    """Kinds of faults.
+
+    The schedule changes the declarations between two faults and runs for
+    each kind the method of the same name.
+    """
 
     STOP = 'stop'
     STOP_WATCHER = 'stop-watcher'
@@ -33,14 +37,14 @@
 
 
 class ConfigurationSchedule(MembershipSchedule):
-    """Changes the declarations amid faults.
+    """Changes the declarations while faults occur.
 
     Parameters
     ----------
     seed : int
         Seed of the fleet.
     make_holder : Callable[[], ConfigurationStore]
-        Makes the holder of a host.
+        Makes the document store of a host.
     """
 
     _fleet: DocumentFleet
@@ -50,7 +54,7 @@
     ) -> None:
         self._make_holder = make_holder
         self._revision = 0
-        self._held: dict[str, int] = {}
+        self._last_revisions: dict[str, int] = {}
         super().__init__(seed)
 
     def _make_fleet(
@@ -59,7 +63,7 @@
         return DocumentFleet(seed, make_holder=self._make_holder)
 
     def _start(self, name: str, zone: str) -> None:
-        self._held.pop(name, None)
+        self._last_revisions.pop(name, None)
         super()._start(name, zone)
 
     def _run(self, duration_s: float) -> None:
@@ -78,8 +82,8 @@
         for name, state in self._fleet.documents.items():
             revision = state.holder.configuration.revision
             assert revision == state.holder.versions.configuration, name
-            assert revision >= self._held.get(name, 0), name
-            self._held[name] = revision
+            assert revision >= self._last_revisions.get(name, 0), name
+            self._last_revisions[name] = revision
 
     def _check_agreement(self) -> None:
         revisions = self._fleet.revisions(DocumentKind.CONFIGURATION)
--- a/features/fakes/configuration_trace.py
+++ b/features/fakes/configuration_trace.py
@@ -1,4 +1,4 @@
-"""Recorded traces of the documents' spread, on the virtual clock."""
+"""Replay of recorded traces of the document dissemination."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
     from collections.abc import Iterable
 
 ZONES = 3
-"""Zones of the fleet."""
+"""Number of zones of the fleet."""
 
 HOSTS = 4
-"""Hosts of each zone."""
+"""Number of hosts of each zone."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,39 +37,39 @@
     """Virtual time in seconds."""
 
     event: str
-    """What happens."""
+    """Name of the event."""
 
     parties: tuple[str, ...] = ()
-    """Hosts or zones to which it happens."""
+    """Names of the hosts or zones that the event concerns."""
 
     revision: int = 0
-    """Revision of a document that is written."""
+    """Revision of the document that is written or offered."""
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """One line of the outcomes stated beside a trace."""
+    """One line of the expected outcomes of a trace."""
 
     time: float
     """Virtual time in seconds."""
 
     at: str
-    """Zone or host; ``*`` for every running host."""
+    """Name of a zone or host; ``*`` for every running host."""
 
     outcome: str
     """``configuration``, ``databases`` or ``watchers``."""
 
     value: int
-    """Revision in force, or number of watchers of each zone."""
+    """Expected revision, or number of watchers of each zone."""
 
 
 class ConfigurationReplay(TraceReplay):
-    """Replays a trace of the documents' spread.
+    """Replays a trace of the document dissemination on a virtual clock.
 
     Parameters
     ----------
     make_holder : Callable[[], ConfigurationStore]
-        Makes the holder of a host.
+        Makes the document store of a host.
     """
 
     fleet: DocumentFleet
@@ -83,19 +83,19 @@
         self._entries = make_entries(ZONES, HOSTS)
 
     def holds(self, outcome: Outcome) -> bool:
-        """Return whether the hosts hold what is stated."""
+        """Return whether the hosts have reached the expected outcome."""
         if outcome.outcome == 'watchers':
             found = {self._count_watchers(f'z{z}') for z in range(ZONES)}
         else:
             revisions = self.fleet.revisions(DocumentKind(outcome.outcome))
             found = {
                 revisions[name]
-                for name in self._observers(outcome.at)
+                for name in self._hosts_at(outcome.at)
                 if name in revisions
             }
         return found == {outcome.value}
 
-    def _observers(self, at: str) -> Iterable[str]:
+    def _hosts_at(self, at: str) -> Iterable[str]:
         for name, host in self.fleet.hosts.items():
             if at in ('*', host.entry.zone, name):
                 yield name
@@ -164,11 +164,11 @@
             )
 
 
-class TakesAnyRevision(ConfigurationStore):
-    """A holder that takes whatever comes last."""
+class AnyRevisionStore(ConfigurationStore):
+    """Deliberate fault: accepts any revision, also an older one."""
 
     def accept(self, document: Document) -> Any:
-        """Forget the revision held before."""
+        """Accept a document regardless of the stored revision."""
         self._documents.pop(document.kind, None)
         return super().accept(document)
 
--- a/features/fakes/generated.py
+++ b/features/fakes/generated.py
@@ -1,4 +1,4 @@
-"""Checks of rules on generated input."""
+"""Search for generated inputs that break a rule."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from hypothesis.strategies import SearchStrategy
 
 FACTOR_VARIABLE = 'EXAMPLES_FACTOR'
-"""Environment variable by which longer runs multiply the examples."""
+"""Environment variable that multiplies the number of examples."""
 
 
 def find_violation(
@@ -22,17 +22,17 @@
     examples: int,
     *inputs: SearchStrategy[Any],
 ) -> AssertionError | None:
-    """Return the first broken rule on generated input, or ``None``.
+    """Return the failure of a check on generated inputs, or ``None``.
 
     Parameters
     ----------
     check : Callable[..., None]
-        Raises ``AssertionError`` where a rule is broken.
+        Raises ``AssertionError`` if the input breaks a rule.
     examples : int
-        Inputs to generate, the same ones in each run; multiplied by
-        the environment variable ``EXAMPLES_FACTOR``.
+        Number of inputs to generate, multiplied by the environment
+        variable ``EXAMPLES_FACTOR``. Each run generates the same inputs.
     inputs : SearchStrategy
-        Strategy of each argument of the check.
+        Strategies that generate the arguments of the check.
     """
     configured = hypothesis.settings(
         derandomize=True,
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps on configuration."""
+"""Steps on changes and the dissemination of the configuration."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 from features.fakes.configuration_schedule import ConfigurationSchedule
 from features.fakes.configuration_schedule import FaultKind
+from features.fakes.configuration_trace import AnyRevisionStore
 from features.fakes.configuration_trace import ConfigurationReplay
 from features.fakes.configuration_trace import make_configuration
-from features.fakes.configuration_trace import TakesAnyRevision
 from features.fakes.fake_platform import FakePlatform
 from features.fakes.fake_platform import Fault
 from features.fakes.generated import find_violation
@@ -43,130 +43,132 @@
     from collections.abc import Callable
 
 EXAMPLES = 300
-"""Generated cases."""
+"""Number of generated inputs of each check."""
 
 SCHEDULE_EXAMPLES = 15
-"""Generated schedules of faults."""
+"""Number of generated schedules of faults."""
 
-NOTHING = Declarations()
-"""Declarations of every change."""
+EMPTY_DECLARATIONS = Declarations()
+"""Declarations that every change contains."""
 
 
 @dataclass
-class RivalPlatform(FakePlatform):
-    """Service at which others write around one's own writes."""
+class ConcurrentWriterPlatform(FakePlatform):
+    """Simulates writes of others just before or after the tested write."""
 
-    before_lost: list[str] = field(default_factory=list)
-    """Changes that overtake a write which is then lost."""
+    preceding_changes: list[str] = field(default_factory=list)
+    """Identifiers of changes applied before a write whose answer is lost."""
 
-    after_lost: list[str] = field(default_factory=list)
-    """Changes that follow a write whose answer is lost."""
+    following_changes: list[str] = field(default_factory=list)
+    """Identifiers of changes applied after a write whose answer is lost."""
 
-    is_holding_next: bool = False
-    """Whether the next write is kept back and its answer lost."""
+    is_delaying_next: bool = False
+    """Whether the next write is delayed and its answer lost."""
 
-    held: list[tuple[Any, ...]] = field(default_factory=list)
-    """Writes that are kept back."""
+    delayed: list[tuple[Any, ...]] = field(default_factory=list)
+    """Arguments of the delayed writes."""
 
     def compare_and_swap(self, *args: Any, **kwargs: Any) -> Any:
-        """Write amid the ordered rivals."""
-        if self.is_holding_next:
-            self.is_holding_next = False
-            self.held.append(args)
+        """Write a value together with the planned writes of others."""
+        if self.is_delaying_next:
+            self.is_delaying_next = False
+            self.delayed.append(args)
             return Failed(PlatformAnswerLost())
-        if self.before_lost:
-            submit_change(self, NOTHING, self.before_lost.pop())
+        if self.preceding_changes:
+            submit_change(
+                self, EMPTY_DECLARATIONS, self.preceding_changes.pop()
+            )
             super().compare_and_swap(*args, **kwargs)
             return Failed(PlatformAnswerLost())
-        if self.after_lost:
-            rival = self.after_lost.pop()
+        if self.following_changes:
+            change = self.following_changes.pop()
             super().compare_and_swap(*args, **kwargs)
-            submit_change(self, NOTHING, rival)
+            submit_change(self, EMPTY_DECLARATIONS, change)
             return Failed(PlatformAnswerLost())
         return super().compare_and_swap(*args, **kwargs)
 
-    def release(self) -> None:
-        """Let the writes that were kept back arrive."""
-        for args in self.held:
+    def deliver_delayed(self) -> None:
+        """Carry out the delayed writes."""
+        for args in self.delayed:
             super().compare_and_swap(*args)
 
 
 class ConfigurationSteps:
-    """Steps that change and spread the declarations."""
+    """Steps that change and disseminate the declarations."""
 
     @staticmethod
     @given('the configuration change "{change}" is in force')
     def apply_change(context: Any, change: str) -> None:
-        """Apply a change without any fault."""
-        applied = submit_change(_platform(context), NOTHING, change)
+        """Apply a change without a fault."""
+        applied = submit_change(_platform(context), EMPTY_DECLARATIONS, change)
         assert isinstance(applied, Success)
 
     @staticmethod
     @given('the next configuration write has the fault "{fault}"')
-    def order_fault(context: Any, fault: str) -> None:
-        """Order one fault."""
+    def inject_fault(context: Any, fault: str) -> None:
+        """Inject a fault into the next write."""
         _platform(context).faults = [Fault(fault)]
 
     @staticmethod
     @given('every configuration write is lost without effect')
-    def order_faults(context: Any) -> None:
-        """Order more faults than there are attempts."""
+    def inject_losses(context: Any) -> None:
+        """Inject more faults than a change has attempts."""
         _platform(context).faults = [Fault.LOST_BEFORE] * 50
 
     @staticmethod
-    @given("the platform's service is out for configuration changes")
-    def order_outage(context: Any) -> None:
-        """Begin an outage."""
+    @given("the platform's service fails for configuration changes")
+    def start_outage(context: Any) -> None:
+        """Start an outage of the platform's service."""
         _platform(context).take_down()
 
     @staticmethod
-    @given(
-        'the configuration change "{change}" comes after the next lost write'
-    )
-    def order_follower(context: Any, change: str) -> None:
-        """Let a rival follow."""
-        _platform(context).after_lost = [change]
+    @given('the configuration change "{change}" follows the next lost write')
+    def add_following_change(context: Any, change: str) -> None:
+        """Plan a change after the next write."""
+        _platform(context).following_changes = [change]
 
     @staticmethod
-    @given('the configuration change "{change}" overtakes the next lost write')
-    def order_overtaker(context: Any, change: str) -> None:
-        """Let a rival come first."""
-        _platform(context).before_lost = [change]
+    @given('the configuration change "{change}" precedes the next lost write')
+    def add_preceding_change(context: Any, change: str) -> None:
+        """Plan a change before the next write."""
+        _platform(context).preceding_changes = [change]
 
     @staticmethod
-    @given('the next configuration write is lost and arrives late')
-    def order_late_write(context: Any) -> None:
-        """Keep the next write back."""
-        _platform(context).is_holding_next = True
+    @given('the next configuration write is delayed and its answer lost')
+    def delay_next_write(context: Any) -> None:
+        """Delay the next write and lose its answer."""
+        _platform(context).is_delaying_next = True
 
     @staticmethod
-    @when('the late configuration write arrives')
-    def release_write(context: Any) -> None:
-        """Let the write arrive."""
-        assert context.platform.held
-        context.platform.release()
+    @when('the delayed configuration write arrives')
+    def deliver_write(context: Any) -> None:
+        """Carry out the delayed write."""
+        assert context.platform.delayed
+        context.platform.deliver_delayed()
 
     @staticmethod
     @when('the configuration change "{change}" is submitted')
     def submit(context: Any, change: str) -> None:
-        """Submit a change upon any revision."""
-        context.outcome = submit_change(_platform(context), NOTHING, change)
+        """Submit a change without an expected revision."""
+        context.outcome = submit_change(
+            _platform(context), EMPTY_DECLARATIONS, change
+        )
 
     @staticmethod
     @when(
         'the configuration change "{change}" is submitted '
-        'upon revision {revision:d}'
+        'with the expected revision {revision:d}'
     )
-    def submit_upon(context: Any, change: str, revision: int) -> None:
-        """Submit a change upon one revision."""
+    def submit_with_revision(context: Any, change: str, revision: int) -> None:
+        """Submit a change with an expected revision."""
         context.outcome = submit_change(
-            _platform(context), NOTHING, change, revision
+            _platform(context), EMPTY_DECLARATIONS, change, revision
         )
 
     @staticmethod
     @then('the configuration change is applied as revision {revision:d}')
     def check_applied(context: Any, revision: int) -> None:
-        """Expect the change to be applied."""
+        """Expect that the change is applied with this revision."""
         assert context.outcome == Success(AppliedChange(revision)), (
             context.outcome
         )
@@ -174,91 +176,92 @@
     @staticmethod
     @then('the configuration change is refused as a conflict')
     def check_conflict(context: Any) -> None:
-        """Expect a conflict."""
+        """Expect a refusal because of a conflict."""
         assert isinstance(context.outcome.failure(), ChangeConflict)
 
     @staticmethod
     @then('the configuration change is not applied')
     def check_not_applied(context: Any) -> None:
-        """Expect that nothing was written."""
+        """Expect the failure of a change not applied, and no stored value."""
         assert isinstance(context.outcome.failure(), ChangeNotApplied)
         assert not context.platform.values
 
     @staticmethod
-    @then('the configuration change stays unknown')
+    @then('the outcome of the configuration change is unknown')
     def check_unknown(context: Any) -> None:
-        """Expect no claim."""
+        """Expect the failure of an unknown outcome."""
         assert isinstance(context.outcome.failure(), ChangeUnknown)
 
     @staticmethod
     @then("the platform's service holds the configuration change \"{change}\"")
-    def check_held(context: Any, change: str) -> None:
-        """Compare the change in force."""
+    def check_stored(context: Any, change: str) -> None:
+        """Compare the identifier of the stored change."""
         stored = read_configuration(context.platform).unwrap()
         assert stored.configuration.change_id == change
 
     @staticmethod
     @then("the platform's service holds {count:d} configuration changes")
     def check_count(context: Any, count: int) -> None:
-        """Compare the changes that have been applied."""
+        """Compare the number of applied changes."""
         stored = read_configuration(context.platform).unwrap()
         assert stored.configuration.revision == count
         assert len(_applied(context.platform)) == count
 
     @staticmethod
-    @then('any faults and rivals leave true answers to configuration changes')
-    def check_truth(context: Any) -> None:
-        """Submit under generated faults and compare with the service."""
-        violation = _find_untruth(submit_change)
+    @then(
+        'the outcomes of configuration changes are correct under any faults '
+        'and concurrent changes'
+    )
+    def check_reported_outcomes(context: Any) -> None:
+        """Submit under generated faults and concurrent changes."""
+        violation = _find_wrong_outcome(submit_change)
         assert violation is None, violation
 
     @staticmethod
-    @then('a writer that takes a lost answer for a failure is noticed')
-    def check_truth_bites(context: Any) -> None:
-        """Expect the careless writer to say what is not true."""
-        assert _find_untruth(_submit_carelessly) is not None
+    @then('a writer that takes a lost answer for a failure is detected')
+    def check_loss_ignored(context: Any) -> None:
+        """Expect that the deliberate fault reports a wrong outcome."""
+        assert _find_wrong_outcome(_submit_ignoring_loss) is not None
 
     @staticmethod
-    @given('a configuration holder that takes any revision')
+    @given('a configuration store that accepts any revision')
     def break_holder(context: Any) -> None:
-        """Break the rule of the holder."""
-        context.make_holder = TakesAnyRevision
+        """Use a store that accepts older revisions."""
+        context.make_holder = AnyRevisionStore
 
     @staticmethod
     @when('the configuration trace "{trace}" is replayed')
     def replay_trace(context: Any, trace: str) -> None:
-        """Replay a trace."""
+        """Replay a trace with the chosen store."""
         make = getattr(context, 'make_holder', ConfigurationStore)
         context.replay = ConfigurationReplay(make)
         context.replay.replay(trace)
 
     @staticmethod
-    @then('every outcome stated beside the configuration trace holds')
+    @then('every expected outcome of the configuration trace occurs')
     def check_outcomes(context: Any) -> None:
-        """Expect no wrong outcome, and some outcome."""
+        """Expect at least one outcome, and none that is wrong."""
         context.replay.check_outcomes()
 
     @staticmethod
-    @then('an outcome stated beside the configuration trace fails')
-    def check_bite(context: Any) -> None:
-        """Expect the broken rule to be noticed."""
+    @then('an expected outcome of the configuration trace does not occur')
+    def check_wrong_outcome(context: Any) -> None:
+        """Expect that the trace detects the deliberate fault."""
         assert context.replay.wrong
 
     @staticmethod
-    @then(
-        'configuration offers in any order and number never lower the revision'
-    )
-    def check_never_back(context: Any) -> None:
-        """Offer generated revisions."""
+    @then('configurations offered in any order never lower the revision')
+    def check_never_lower(context: Any) -> None:
+        """Offer generated sequences of revisions to a store."""
 
         def offer(revisions: list[int]) -> None:
-            holder = ConfigurationStore()
-            greatest = 0
+            store = ConfigurationStore()
+            highest = 0
             for revision in revisions:
-                holder.accept(make_configuration(revision))
-                greatest = max(greatest, revision)
-                assert holder.configuration.revision == greatest
-                assert holder.versions.configuration == greatest
+                store.accept(make_configuration(revision))
+                highest = max(highest, revision)
+                assert store.configuration.revision == highest
+                assert store.versions.configuration == highest
 
         orders = strategies.lists(strategies.integers(0, 9))
         violation = find_violation(offer, EXAMPLES, orders)
@@ -266,18 +269,20 @@
 
     @staticmethod
     @then(
-        'amid any {count:d} faults the configuration never goes back '
-        'and reaches every host'
+        'under any {count:d} faults the configuration never returns to an '
+        'older revision and reaches every host'
     )
     def check_schedules(context: Any, count: int) -> None:
-        """Run generated schedules."""
+        """Run generated schedules of faults."""
         violation = _run_schedules(count, ConfigurationStore)
         assert violation is None, violation
 
     @staticmethod
-    @then('some {count:d} faults let the configuration go back')
-    def check_schedules_bite(context: Any, count: int) -> None:
-        """Expect the broken rule to be noticed."""
+    @then(
+        'some {count:d} faults return the configuration to an older revision'
+    )
+    def check_schedules_detect(context: Any, count: int) -> None:
+        """Expect that the schedules detect the deliberate fault."""
         assert _run_schedules(count, context.make_holder) is not None
 
     @staticmethod
@@ -295,16 +300,16 @@
         context.fleet.service.calls.clear()
 
     @staticmethod
-    @when('the configuration fleet rests for {duration:d} s')
-    def rest(context: Any, duration: int) -> None:
-        """Let time pass."""
+    @when('the configuration fleet runs for {duration:d} s without a change')
+    def run_idle(context: Any, duration: int) -> None:
+        """Run the virtual clock."""
         context.duration_s = duration
         context.fleet.run(duration)
 
     @staticmethod
     @when('the configuration changes {count:d} times')
     def change(context: Any, count: int) -> None:
-        """Write changes, each in force before the next."""
+        """Write changes, each one after the previous one is in force."""
         context.changes = count
         for revision in range(1, count + 1):
             context.fleet.publish(make_configuration(revision))
@@ -313,9 +318,9 @@
             assert set(revisions.values()) == {revision}
 
     @staticmethod
-    @given('the configuration watches have fallen silent')
+    @given('the configuration watches have become silent')
     def silence_watches(context: Any) -> None:
-        """Lose the watches without a word to their holders."""
+        """Remove the watches without a notice to the hosts."""
         context.fleet.service.watchers.clear()
 
     @staticmethod
@@ -325,9 +330,9 @@
         context.fleet.publish(make_configuration(1))
 
     @staticmethod
-    @when('the configuration changes while {count:d} hosts of each zone die')
-    def change_amid_deaths(context: Any, count: int) -> None:
-        """Write a change and kill hosts that pass it on."""
+    @when('the configuration changes while {count:d} hosts of each zone fail')
+    def change_during_failures(context: Any, count: int) -> None:
+        """Write a change and stop hosts that would forward it."""
         fleet = context.fleet
         fleet.publish(make_configuration(1))
         for zone in range(context.zones):
@@ -353,9 +358,9 @@
         assert found is not None, fleet.revisions(kind)
 
     @staticmethod
-    @then('a configuration watch is in force again within {limit:d} s')
+    @then('a configuration watch is active again within {limit:d} s')
     def check_watch(context: Any, limit: int) -> None:
-        """Run the virtual clock until a watch has begun."""
+        """Run the virtual clock until a watch is registered."""
         fleet = context.fleet
         found = fleet.run_until(lambda: fleet.service.watchers, limit)
         assert found is not None
@@ -366,19 +371,19 @@
         'times a second'
     )
     def check_rate(context: Any, rate: float) -> None:
-        """Compare the calls of the zones."""
+        """Compare the calls of all zones with the limit."""
         calls = context.fleet.service.calls.total()
         assert calls <= rate * context.zones * context.duration_s, calls
 
     @staticmethod
     @then(
-        'each change costs each zone at most {count:d} calls '
-        "to the platform's service"
+        'each change causes at most {count:d} calls to the '
+        "platform's service per zone"
     )
     def check_cost(context: Any, count: int) -> None:
-        """Compare the calls for the changes, with the checks taken off."""
-        checks = context.zones * 0.5 * context.changes
-        calls = context.fleet.service.calls.total() - checks
+        """Compare the calls with the limit, without the regular polls."""
+        polls = context.zones * 0.5 * context.changes
+        calls = context.fleet.service.calls.total() - polls
         assert calls <= count * context.zones * context.changes, calls
 
 
@@ -393,32 +398,32 @@
     return find_violation(run, SCHEDULE_EXAMPLES, schedules, seeds)
 
 
-def _find_untruth(submit: Callable[..., Any]) -> AssertionError | None:
+def _find_wrong_outcome(submit: Callable[..., Any]) -> AssertionError | None:
     faults = strategies.lists(strategies.sampled_from(Fault), max_size=8)
-    rivals = strategies.integers(0, 3)
+    counts = strategies.integers(0, 3)
 
     def run(
-        ordered: list[Fault], before: int, after: int, is_late: bool
+        injected: list[Fault], before: int, after: int, is_delayed: bool
     ) -> None:
-        platform = RivalPlatform()
-        platform.before_lost = [f'b{n}' for n in range(before)]
-        platform.after_lost = [f'a{n}' for n in range(after)]
-        platform.is_holding_next = is_late
-        platform.faults = list(ordered)
-        outcome = submit(platform, NOTHING, 'mine')
+        platform = ConcurrentWriterPlatform()
+        platform.preceding_changes = [f'b{n}' for n in range(before)]
+        platform.following_changes = [f'a{n}' for n in range(after)]
+        platform.is_delaying_next = is_delayed
+        platform.faults = list(injected)
+        outcome = submit(platform, EMPTY_DECLARATIONS, 'mine')
         platform.faults.clear()
-        platform.release()
-        _check_true(outcome, _applied(platform))
+        platform.deliver_delayed()
+        _check_outcome(outcome, _applied(platform))
 
     return find_violation(
-        run, EXAMPLES, faults, rivals, rivals, strategies.booleans()
+        run, EXAMPLES, faults, counts, counts, strategies.booleans()
     )
 
 
-def _submit_carelessly(
+def _submit_ignoring_loss(
     platform: FakePlatform, declarations: Declarations, change_id: str
 ) -> Any:
-    # Takes the first failure for the outcome.
+    # Deliberate fault: reports a lost answer as a change not applied.
     stored = read_configuration(platform).unwrap()
     value = Configuration(
         stored.configuration.revision + 1, change_id, declarations
@@ -431,19 +436,19 @@
     return Failed(ChangeNotApplied())
 
 
-def _platform(context: Any) -> RivalPlatform:
+def _platform(context: Any) -> ConcurrentWriterPlatform:
     if not hasattr(context, 'platform'):
-        context.platform = RivalPlatform()
+        context.platform = ConcurrentWriterPlatform()
     return context.platform
 
 
 def _applied(platform: FakePlatform) -> list[str]:
     stored = read_configuration(platform).unwrap().configuration
-    known = (stored.change_id, *stored.recent_changes)
-    return [change for change in known if change]
+    changes = (stored.change_id, *stored.recent_changes)
+    return [change for change in changes if change]
 
 
-def _check_true(outcome: Any, applied: list[str]) -> None:
+def _check_outcome(outcome: Any, applied: list[str]) -> None:
     assert applied.count('mine') <= 1
     if isinstance(outcome, Success):
         assert 'mine' in applied
