--- a/features/limits_broken.feature
+++ b/features/limits_broken.feature
@@ -1,7 +1,7 @@
-Feature: Work whose connection breaks
-  A broken connection frees its slot and teaches no service time.
+Feature: Lost connection of running work
+  A lost connection releases its slot and is not counted as a service time.
 
-  Scenario: new work waits no longer after a connection broke
-    Given a queue whose only slot runs work that began 5 s ago
-    When the connection of the running work breaks
-    Then new work of the queue is expected to wait 0 ms
+  Scenario: new work does not wait for work whose connection was lost
+    Given a deadline queue whose only slot has run work for 5 s
+    When the connection of the running work is lost
+    Then the expected wait of new work is 0 ms
--- a/features/steps/limits_broken_steps.py
+++ b/features/steps/limits_broken_steps.py
@@ -1,4 +1,4 @@
-"""Steps on work whose connection breaks."""
+"""Steps on the lost connection of running work."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 NOW = 105.0
 
 
-class BrokenWorkSteps:
-    """Breaks the connection of running work."""
+class LostConnectionSteps:
+    """Steps on a slot whose connection is lost."""
 
     @staticmethod
-    @given('a queue whose only slot runs work that began 5 s ago')
+    @given('a deadline queue whose only slot has run work for 5 s')
     def make_queue(context: Any) -> None:
-        """Take one piece of work."""
+        """Make a queue and give its slot to one piece of work."""
         context.queue = DeadlineQueue(1, ClassTargets())
         began = NOW - 5
         ticket = Ticket(1, 'north', 'filing', NOW + 10, True)
@@ -30,13 +30,13 @@
         assert context.queue.expected_wait_ms(began) > 0
 
     @staticmethod
-    @when('the connection of the running work breaks')
-    def break_connection(context: Any) -> None:
-        """End the work without a service time."""
+    @when('the connection of the running work is lost')
+    def lose_connection(context: Any) -> None:
+        """Record the lost connection of the work."""
         context.queue.record_connection_lost()
 
     @staticmethod
-    @then('new work of the queue is expected to wait {wait:d} ms')
+    @then('the expected wait of new work is {wait:d} ms')
     def check_wait(context: Any, wait: int) -> None:
         """Compare the expected wait."""
         assert context.queue.expected_wait_ms(NOW) == wait
--- a/features/steps/limits_requests_steps.py
+++ b/features/steps/limits_requests_steps.py
@@ -1,4 +1,4 @@
-"""Steps on retries, admission, targets and proofs of leadership."""
+"""Steps on retries, admission, targets and leadership proofs."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class LimitsRequestsSteps:
-    """Steps that ask for retries and admission."""
+    """Steps on the limits and the targets of requests."""
 
     @staticmethod
     @given('a retry budget')
     def make_retries(context: Any) -> None:
-        """Make a budget with its first burst."""
+        """Make a retry budget with its initial burst."""
         context.retries = RetryBudget()
 
     @staticmethod
-    @when('{count:d} fresh requests and as many refusals come in')
+    @when('{count:d} fresh requests are received and refused')
     def refuse(context: Any, count: int) -> None:
-        """Ask for a retry of every request."""
+        """Request a retry of every fresh request."""
         context.allowed = 0
         for _ in range(count):
             context.retries.record_fresh('m/a')
@@ -39,9 +39,9 @@
             )
 
     @staticmethod
-    @when('{count:d} retries of "{member}" are asked for')
-    def ask(context: Any, count: int, member: str) -> None:
-        """Ask for retries without fresh traffic."""
+    @when('{count:d} retries to "{member}" are requested')
+    def request_retries(context: Any, count: int, member: str) -> None:
+        """Request retries without fresh requests."""
         context.allowed = sum(
             context.retries.try_retry(member, Overloaded(), False)
             for _ in range(count)
@@ -50,25 +50,25 @@
     @staticmethod
     @then('between {least:d} and {most:d} retries are allowed')
     def check_share(context: Any, least: int, most: int) -> None:
-        """Compare with the share and the burst."""
+        """Compare the allowed retries with the share and the burst."""
         assert least <= context.allowed <= most, context.allowed
 
     @staticmethod
-    @then('{count:d} of them are allowed')
+    @then('{count:d} of the requested retries are allowed')
     def check_allowed(context: Any, count: int) -> None:
-        """Compare the count."""
+        """Compare the number of allowed retries."""
         assert context.allowed == count, context.allowed
 
     @staticmethod
-    @then('"{member}" has {count:d} retries saved')
-    def check_saved(context: Any, member: str, count: int) -> None:
-        """Compare what another upstream has."""
+    @then('"{member}" has {count:d} available retries')
+    def check_available(context: Any, member: str, count: int) -> None:
+        """Compare the available retries of another upstream."""
         assert context.retries.available_retries(member) == count
 
     @staticmethod
     @then('a {kind} request is {answer} after "{code}"')
     def check_retry(context: Any, kind: str, answer: str, code: str) -> None:
-        """Ask for one retry."""
+        """Request one retry after a failure."""
         failure = failures_by_code()[code]()
         is_allowed = context.retries.try_retry(
             'm/a', failure, kind == 'repeatable'
@@ -76,40 +76,43 @@
         assert is_allowed == (answer == 'sent again')
 
     @staticmethod
-    @given('an entry host for {limit:d} requests')
+    @given('an entry host with a limit of {limit:d} requests')
     def make_admission(context: Any, limit: int) -> None:
-        """Make an idle host."""
+        """Make the admission control of an idle host."""
         context.admission = Admission(make_targets(), limit)
 
     @staticmethod
-    @when('{tenants:d} tenants ask for {count:d} "{work_class}" each in turn')
-    def ask_in_turn(
+    @when(
+        '{tenants:d} tenants send {count:d} requests of "{work_class}" each '
+        'in turn'
+    )
+    def send_in_turn(
         context: Any, tenants: int, count: int, work_class: str
     ) -> None:
-        """Ask for admission, tenant by tenant."""
+        """Request admission for each tenant in turn."""
         for _ in range(count):
             for number in range(tenants):
                 _admit(context, f't{number}', work_class)
 
     @staticmethod
-    @when('tenant "{tenant}" asks for {count:d} "{work_class}"')
-    def ask_many(
+    @when('tenant "{tenant}" sends {count:d} requests of "{work_class}"')
+    def send_many(
         context: Any, tenant: str, count: int, work_class: str
     ) -> None:
-        """Ask for admission of one tenant's requests."""
+        """Request admission of one tenant's requests."""
         admitted = [_admit(context, tenant, work_class) for _ in range(count)]
         context.admitted = {tenant: sum(admitted)}
 
     @staticmethod
-    @then('{count:d} requests are in work')
+    @then('{count:d} requests are in progress')
     def check_total(context: Any, count: int) -> None:
-        """Compare the requests in work."""
+        """Compare the number of requests in progress."""
         assert context.admission.total == count, context.admission.total
 
     @staticmethod
-    @then('tenant "{tenant}" has {count:d} requests in work')
+    @then('tenant "{tenant}" has {count:d} requests in progress')
     def check_tenant(context: Any, tenant: str, count: int) -> None:
-        """Compare one tenant's requests, and that they end."""
+        """Compare one tenant's admitted requests and finish them."""
         assert context.admitted[tenant] == count, context.admitted
         before = context.admission.total
         for _ in range(count):
@@ -117,27 +120,27 @@
         assert context.admission.total == before - count
 
     @staticmethod
-    @then('"{work_class}" of tenant "{tenant}" is admitted')
+    @then('a request of "{work_class}" of tenant "{tenant}" is admitted')
     def check_admitted(context: Any, work_class: str, tenant: str) -> None:
-        """Expect admission."""
+        """Expect that one more request is admitted."""
         assert _admit(context, tenant, work_class)
 
     @staticmethod
-    @then('"{work_class}" with no time left is refused')
+    @then('a request of "{work_class}" at its deadline is refused')
     def check_late(context: Any, work_class: str) -> None:
-        """Expect the typed failure."""
+        """Expect the failure ``Overloaded``."""
         result = context.admission.admit('t', work_class, 5.0, 5.0)
         assert isinstance(result.failure(), Overloaded)
 
     @staticmethod
     @given(
-        'targets that count {good:d} answers in time and {late:d} late ones '
-        'of "{work_class}"'
+        'targets with {good:d} answers in time and {late:d} late answers of '
+        '"{work_class}"'
     )
-    def count_answers(
+    def record_answers(
         context: Any, good: int, late: int, work_class: str
     ) -> None:
-        """Record answers of a class with 250 ms."""
+        """Record answers of a class whose time limit is 250 ms."""
         context.targets = make_targets()
         context.work_class = work_class
         context.now = 100.0
@@ -145,9 +148,9 @@
             context.targets.record(work_class, elapsed_s, context.now)
 
     @staticmethod
-    @given('targets that count answers of "{name}" from 1 to {most:d} ms')
-    def count_times(context: Any, name: str, most: int) -> None:
-        """Record one answer for each millisecond."""
+    @given('targets with one answer of "{name}" for each of 1 to {most:d} ms')
+    def record_times(context: Any, name: str, most: int) -> None:
+        """Record one answer for each number of milliseconds."""
         context.targets = make_targets()
         context.now = 100.0
         for elapsed_ms in range(1, most + 1):
@@ -155,22 +158,22 @@
 
     @staticmethod
     @when('{elapsed:d} s pass without an answer')
-    def wait(context: Any, elapsed: int) -> None:
-        """Move the clock."""
+    def advance_clock(context: Any, elapsed: int) -> None:
+        """Advance the clock."""
         context.now += elapsed
 
     @staticmethod
     @then('the share of "{name}" is {share:f} and its target is met')
-    def check_share_of(context: Any, name: str, share: float) -> None:
-        """Compare the report."""
+    def check_target_share(context: Any, name: str, share: float) -> None:
+        """Compare the reported share; expect that the target is met."""
         report = _report(context, name)
         assert abs(report.share - share) < 1e-9, report
         assert report.is_met
 
     @staticmethod
-    @then('its danger is {danger:f}')
+    @then('the danger of the class is {danger:f}')
     def check_danger(context: Any, danger: float) -> None:
-        """Compare the danger."""
+        """Compare the danger of the class."""
         found = context.targets.danger(context.work_class, context.now)
         assert abs(found - danger) < 1e-9, found
 
@@ -180,15 +183,15 @@
         '{p99:d} ms'
     )
     def check_quantiles(context: Any, name: str, p50: int, p99: int) -> None:
-        """Compare the quantiles to within the digits kept."""
+        """Compare the quantiles within the precision of the histogram."""
         report = _report(context, name)
         assert abs(report.p50_ms - p50) <= 1, report
         assert abs(report.p99_ms - p99) <= 1, report
 
     @staticmethod
-    @then('the classes from strict to loose are "{names}"')
-    def check_strictness(context: Any, names: str) -> None:
-        """Sort the classes by their strictness."""
+    @then('the classes by decreasing priority are "{names}"')
+    def check_priority(context: Any, names: str) -> None:
+        """Sort the classes by their priority."""
         targets = make_targets()
         ordered = sorted(
             (c.name for c in CLASSES), key=targets.priority, reverse=True
@@ -197,38 +200,40 @@
 
     @staticmethod
     @given(
-        'the primary of term {term:d} in a group of {n:d}, asked at {t:d} s'
+        'a primary of term {term:d} in a group of {n:d} members that was '
+        'asked at {t:d} s'
     )
     def make_proof(context: Any, term: int, n: int, t: int) -> None:
-        """Take the primary's own answer."""
+        """Process the primary's own answer."""
         context.proof = LeadershipProof(n)
         context.proof.on_primary_status(term, term, float(t))
 
     @staticmethod
     @when(
-        'replica "{name}" answers at {t:d} s that it is fenced at term {f:d}'
+        'replica "{name}" is asked at {t:d} s and reports the fenced term '
+        '{f:d}'
     )
-    def answer(context: Any, name: str, t: int, f: int) -> None:
-        """Take a replica's answer."""
+    def process_answer(context: Any, name: str, t: int, f: int) -> None:
+        """Process a replica's answer."""
         context.proof.on_replica_status(name, f, float(t))
 
     @staticmethod
-    @then('it is not proven to lead')
+    @then('the leadership of the primary is not proven')
     def check_unproven(context: Any) -> None:
-        """Expect no proof."""
+        """Expect that there is no proof."""
         assert context.proof.proven_at() is None
         assert not context.proof.is_proven_since(0.0)
 
     @staticmethod
-    @then('its data is {age_ms:d} ms old at {t:d} s')
+    @then("the primary's data is {age_ms:d} ms old at {t:d} s")
     def check_age(context: Any, age_ms: int, t: int) -> None:
         """Compare the age of the primary's own data."""
         assert context.proof.age_ms(float(t)) == age_ms
 
     @staticmethod
-    @then('it is proven to lead as of {t:d} s')
+    @then('the leadership of the primary is proven as of {t:d} s')
     def check_proven(context: Any, t: int) -> None:
-        """Compare the time of the proof."""
+        """Compare the latest time at which leadership is proven."""
         assert context.proof.proven_at() == t
         assert not context.proof.is_proven_since(t + 0.1)
 
--- a/features/steps/limits_slots_steps.py
+++ b/features/steps/limits_slots_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the order of the slots."""
+"""Steps on the order of the slot queue."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from trefoilpulley_core.slots_deadline import DeadlineQueue
 
 EXAMPLES = 150
-"""Generated sequences of work."""
+"""Number of generated sequences of work."""
 
 _PIECES = strategies.lists(
     strategies.tuples(
@@ -39,8 +39,8 @@
 )
 
 
-class _LastFirstSlots(DeadlineQueue):
-    """Deliberate fault: the latest deadline goes first."""
+class _LatestFirstQueue(DeadlineQueue):
+    """Deliberate fault: runs the latest deadline first."""
 
     def _next_class_queue(
         self, now: float, is_writable: bool
@@ -53,19 +53,19 @@
         return max(class_queues, key=lambda x: x.peek().deadline, default=None)
 
 
-class _HoldlessSlots(DeadlineQueue):
-    """Deliberate fault: a hold of writes is forgotten."""
+class _UnpausableQueue(DeadlineQueue):
+    """Deliberate fault: runs writes while writes are paused."""
 
     def take(self, now: float, is_writable: bool) -> Ticket | None:
-        """Return the work to run next, whatever is held."""
+        """Return the work to run next, including paused writes."""
         return super().take(now, True)
 
 
-class _LateSlots(DeadlineQueue):
-    """Deliberate fault: work that is late already still runs."""
+class _LateWorkQueue(DeadlineQueue):
+    """Deliberate fault: runs work that is past its deadline."""
 
     def take(self, now: float, is_writable: bool) -> Ticket | None:
-        """Return the work to run next, late or not."""
+        """Return the work to run next, including late work."""
         class_queue = self._next_class_queue(now, is_writable)
         ticket = class_queue.pop() if class_queue else None
         if ticket is not None:
@@ -73,17 +73,17 @@
         return ticket
 
 
-KINDS = {
+QUEUE_TYPES = {
     'a deadline queue': DeadlineQueue,
-    'a queue that serves the last': _LastFirstSlots,
-    'a queue that forgets a hold': _HoldlessSlots,
-    'a queue that runs late work': _LateSlots,
+    'a queue that serves the last': _LatestFirstQueue,
+    'a queue that forgets a hold': _UnpausableQueue,
+    'a queue that runs late work': _LateWorkQueue,
 }
-"""Queues by the names that the scenarios give them."""
+"""Queue classes by the names that the scenarios use."""
 
 
 class LimitsSlotsSteps:
-    """Steps that queue work and take it."""
+    """Steps that queue work and take it from the queue."""
 
     @staticmethod
     @given('a slot queue for {slots:d} slots')
@@ -96,9 +96,9 @@
         context.names = {}
 
     @staticmethod
-    @given('service times of {service_ms:d} ms')
-    def learn_service(context: Any, service_ms: int) -> None:
-        """Let every class be served with one service time."""
+    @given('measured service times of {service_ms:d} ms')
+    def record_service_times(context: Any, service_ms: int) -> None:
+        """Record the same service time for every class."""
         for work_class in CLASSES:
             _offer(context, work_class.name, 5000, 'steady')
             context.queue.take(context.now, True)
@@ -121,7 +121,7 @@
     def offer_of(
         context: Any, work_class: str, tenant: str, left_ms: int, name: str
     ) -> None:
-        """Queue one piece of a tenant's work."""
+        """Queue one piece of work of a tenant."""
         assert is_successful(
             _offer(context, work_class, left_ms, tenant, name)
         )
@@ -141,26 +141,26 @@
     def offer_many_of(
         context: Any, count: int, work_class: str, tenant: str, ms: int
     ) -> None:
-        """Queue many pieces of a tenant's work."""
+        """Queue many pieces of work of a tenant."""
         for _ in range(count):
             _offer(context, work_class, ms, tenant)
 
     @staticmethod
     @when('the class "{work_class}" has missed its target')
     def miss_target(context: Any, work_class: str) -> None:
-        """Record late answers."""
+        """Record late answers of the class."""
         for _ in range(100):
             context.targets.record_outcome(work_class, False, context.now)
 
     @staticmethod
     @when('{elapsed_ms:d} ms pass')
-    def wait(context: Any, elapsed_ms: int) -> None:
-        """Move the clock."""
+    def advance_clock(context: Any, elapsed_ms: int) -> None:
+        """Advance the clock and expire late work."""
         context.now += elapsed_ms / 1000
         context.expired = context.queue.expire(context.now)
 
     @staticmethod
-    @when('the caller of "{name}" has gone')
+    @when('the work "{name}" is cancelled')
     def cancel(context: Any, name: str) -> None:
         """Cancel one piece of work."""
         found = [i for i, n in context.names.items() if n == name]
@@ -170,17 +170,17 @@
     @when(
         '{count:d} pieces of "{work_class}" are queued and cancelled in turn'
     )
-    def churn(context: Any, count: int, work_class: str) -> None:
-        """Queue and cancel without a take."""
+    def queue_and_cancel(context: Any, count: int, work_class: str) -> None:
+        """Queue and cancel work without taking any."""
         for _ in range(count):
             _offer(context, work_class, 2000, 'steady')
             context.queue.cancel(next(context.ids) - 1)
             context.now += 0.001
 
     @staticmethod
-    @then('the queue keeps no trace of them')
+    @then('the queue keeps no entries of the cancelled work')
     def check_memory(context: Any) -> None:
-        """Look at every structure that grows with the work."""
+        """Expect that every structure of the queue stays small."""
         queue = context.queue
         assert len(queue) == 0
         assert len(queue._expiries) < 500, len(queue._expiries)
@@ -188,47 +188,47 @@
             assert len(class_queue._heap) < 500, len(class_queue._heap)
 
     @staticmethod
-    @then('the slots go to "{names}"')
+    @then('the slots run "{names}"')
     def check_order(context: Any, names: str) -> None:
-        """Take everything and compare the order."""
+        """Take all work and compare the order."""
         assert _take_names(context, True) == names.split(', ')
 
     @staticmethod
-    @then('the slots go to ""')
+    @then('the slots run ""')
     def check_empty(context: Any) -> None:
-        """Expect nothing to run."""
+        """Expect that there is no work to run."""
         assert _take_names(context, True) == []
 
     @staticmethod
-    @then('the slots go to "{names}" while writes are held')
-    def check_held(context: Any, names: str) -> None:
-        """Take everything that a hold lets run."""
+    @then('the slots run "{names}" while writes are paused')
+    def check_paused(context: Any, names: str) -> None:
+        """Take all work that may run while writes are paused."""
         assert _take_names(context, False) == names.split(', ')
 
     @staticmethod
-    @then('the slots go to "{name}" within the first {count:d}')
+    @then('the slots run "{name}" within the first {count:d}')
     def check_early(context: Any, name: str, count: int) -> None:
-        """Take everything and look at the front."""
+        """Expect the work among the first that are taken."""
         assert name in _take_names(context, True)[:count]
 
     @staticmethod
     @then('"{work_class}" with {ms:d} ms left is refused as overloaded')
     def check_refused(context: Any, work_class: str, ms: int) -> None:
-        """Expect an early refusal that says "not run"."""
+        """Expect an early refusal with the run state ``NOT_RUN``."""
         result = _offer(context, work_class, ms, 'steady')
         assert isinstance(result.failure(), Overloaded)
         assert result.failure().run_state is RunState.NOT_RUN
 
     @staticmethod
-    @then('"{work_class}" with {ms:d} ms left is taken')
-    def check_taken(context: Any, work_class: str, ms: int) -> None:
-        """Expect work to be queued."""
+    @then('"{work_class}" with {ms:d} ms left is accepted')
+    def check_accepted(context: Any, work_class: str, ms: int) -> None:
+        """Expect that the work is queued."""
         assert is_successful(_offer(context, work_class, ms, 'steady'))
 
     @staticmethod
     @then('new work is expected to wait')
     def check_wait(context: Any) -> None:
-        """Expect a wait while every slot is taken."""
+        """Expect a wait while every slot is in use."""
         assert context.queue.expected_wait_ms(context.now) > 0
 
     @staticmethod
@@ -238,32 +238,32 @@
         assert context.queue.expected_wait_ms(context.now) == 0
 
     @staticmethod
-    @then('"{name}" is given back')
+    @then('the work "{name}" expires')
     def check_expired(context: Any, name: str) -> None:
-        """Expect expired work."""
+        """Expect this work as the only expired one."""
         found = [context.names[t.ticket_id] for t in context.expired]
         assert found == [name]
 
     @staticmethod
     @when('generated work is queued in {kind}')
     def generate(context: Any, kind: str) -> None:
-        """Check the rules on generated sequences."""
+        """Check the rules on generated sequences of work."""
 
         def check(pieces: list[tuple[str, str, float, float]]) -> None:
-            _check_rules(KINDS[kind], pieces)
+            _check_rules(QUEUE_TYPES[kind], pieces)
 
         context.broken = find_violation(check, EXAMPLES, _PIECES)
 
     @staticmethod
-    @then('each rule of the slots holds')
+    @then('each rule of the queue holds')
     def check_holds(context: Any) -> None:
-        """Expect no broken rule."""
+        """Expect that no rule is broken."""
         assert context.broken is None, context.broken
 
     @staticmethod
-    @then('a rule of the slots is broken')
+    @then('a rule of the queue is broken')
     def check_broken(context: Any) -> None:
-        """Expect the deliberate fault to show."""
+        """Expect that the rules detect the deliberate fault."""
         assert context.broken is not None
 
 
@@ -292,7 +292,7 @@
 def _check_rules(
     kind: type[DeadlineQueue], pieces: list[tuple[str, str, float, float]]
 ) -> None:
-    """Check order, hold, lateness and that each piece ends once."""
+    """Check the order, paused writes, deadlines and single completion."""
     queue = kind(2, make_targets())
     now = 100.0
     waiting: dict[int, Ticket] = {}
@@ -322,7 +322,7 @@
     now: float,
     action: str,
 ) -> None:
-    """Check one piece against what it left waiting."""
+    """Check one piece of work against the work that still waits."""
     assert taken.deadline >= now
     assert action == 'take' or not taken.is_write
     if any(class_queue.danger for class_queue in queue._class_queues):
@@ -330,16 +330,16 @@
     targets = queue._targets
     priority = targets.priority(taken.work_class)
     for other in waiting.values():
-        is_able = other.deadline >= now + _ABLE_S
-        is_held = action == 'held' and other.is_write
-        if is_held or not is_able:
+        has_time_left = other.deadline >= now + _MIN_TIME_LEFT_S
+        is_paused = action == 'held' and other.is_write
+        if is_paused or not has_time_left:
             continue
         if targets.priority(other.work_class) >= priority:
-            assert taken.deadline <= other.deadline + _LEAD_S
+            assert taken.deadline <= other.deadline + _MAX_POSTPONEMENT_S
 
 
-_ABLE_S = 0.01
-"""Time left with which work can still be in time, in seconds."""
+_MIN_TIME_LEFT_S = 0.01
+"""Minimum time left for work to meet its deadline, in seconds."""
 
-_LEAD_S = 0.2
-"""Largest time by which a lone tenant's own work may be put back."""
+_MAX_POSTPONEMENT_S = 0.2
+"""Maximum postponement of a single tenant's work, in seconds."""
