--- a/features/declarations.feature
+++ b/features/declarations.feature
@@ -1,6 +1,6 @@
-Feature: Declarations are checked whole
-  Nothing is written before the whole document is free of faults, and
-  every fault is reported with its JSON path.
+Feature: Check of the declarations
+  A document is accepted only if it has no fault at all. Every fault is
+  reported with its JSON path.
 
   Scenario Outline: the shipped examples have no fault
     When the declarations file "<file>" is checked
@@ -12,12 +12,12 @@
       | examples/karamanlis.json  | filing, search-order, order-status, lookup             |
       | examples/sleevecraft.json | booking, dispatch-update, order-status, catalogue-lookup |
 
-  Scenario: declarations written out are read back as they were
+  Scenario: formatted declarations are parsed to the same declarations
     When the declarations file "examples/karamanlis.json" is checked
-    Then the declarations survive being written and read again
+    Then the formatted declarations are parsed to the same declarations
 
   Scenario: every fault is reported, not only the first
-    Given declarations with the class "lookup" changed by
+    Given declarations with the only class "lookup" defined by
       """
       {"work": "read", "freshness": {"age_ms": 0, "weight": 3},
        "promptness": {"within_ms": "250", "share": 1.5, "unit": "ms"},
@@ -35,8 +35,8 @@
       | $.classes.lookup.safety.copies     | out-of-range   |
       | $.classes.lookup.safety.repeatable | wrong-type     |
 
-  Scenario Outline: one fault in a class is found at its path
-    Given declarations with the class "filing" changed by
+  Scenario Outline: one fault in a class is reported with its path
+    Given declarations with the only class "filing" defined by
       """
       <class>
       """
@@ -66,8 +66,8 @@
       | {"work": "read", "promptness": {"within_ms": 9, "share": 1}, "freshness": null} | wrong-type | .freshness |
       | {"work": "read", "promptness": {"within_ms": 9, "share": 1, "share": 1}, "freshness": "present"} | duplicate-name | .promptness.share |
 
-  Scenario Outline: one fault elsewhere is found at its path
-    Given declarations with the "<section>" replaced by
+  Scenario Outline: one fault in another section is reported with its path
+    Given declarations with the section "<section>" replaced by
       """
       <value>
       """
@@ -95,7 +95,7 @@
       | weights | {} | derived-key | $.weights |
       | version | 2 | unknown-key | $.version |
 
-  Scenario Outline: a text that is no document is refused
+  Scenario Outline: a text that is not a JSON object is refused
     Given the declarations text <text>
     When the declarations are checked
     Then the declarations' only fault is "<code>" at "$"
@@ -106,18 +106,18 @@
       | {"a": NaN}   | malformed-json |
       | []           | wrong-type     |
 
-  Scenario: a document over the service's limit is refused
+  Scenario: a document above the service's size limit is refused
     Given a declarations text of 1000001 bytes
     When the declarations are checked
     Then the declarations' only fault is "too-large" at "$"
 
-  Scenario: a ledger that the platform does not list is found
+  Scenario: a ledger that the platform does not list is reported
     Given the platform lists the ledger "shared-ledger" for declarations
     When the declarations file "examples/karamanlis.json" is checked
     Then the declarations' fault codes are "unknown-ledger"
 
-  Scenario Outline: a right on one database is no right on another
-    Given declarations with the "tenants" replaced by
+  Scenario Outline: a right on one database does not apply to another database
+    Given declarations with the section "tenants" replaced by
       """
       {"stalls": {"ledgers": {"l/0": ["filing"]}}}
       """
--- a/features/declarations_operations.feature
+++ b/features/declarations_operations.feature
@@ -1,6 +1,6 @@
-Feature: The state dump is described whole
+Feature: Documentation of the state dump and of operators' pages
 
-  Scenario: each field of the dump stands in docs/OPERATIONS.md
+  Scenario: docs/OPERATIONS.md describes each field of the state dump
     When the tables of the page "docs/OPERATIONS.md" are read
     Then each section of the state dump has a row for each field
 
@@ -8,12 +8,12 @@
     When the alarms of the page "docs/OPERATIONS.md" are read
     Then each event number of the alarms is in the code
 
-  Scenario: every page for operators is reached from the first
+  Scenario: docs/OPERATIONS.md links every page for operators
     When the links of the page "docs/OPERATIONS.md" are read
     Then each link leads to a file
     And each page of "docs/operations" is linked
 
-  Scenario Outline: no link of a page leads nowhere
+  Scenario Outline: each link of a page leads to an existing file
     When the links of the page "<page>" are read
     Then each link leads to a file
 
--- a/features/declarations_page.feature
+++ b/features/declarations_page.feature
@@ -1,8 +1,8 @@
-Feature: The page of the configuration is whole
+Feature: Documentation of the configuration
 
-  Scenario Outline: each <subject> stands in docs/CONFIGURATION.md
+  Scenario Outline: docs/CONFIGURATION.md lists each <subject>
     When the tables of the page "docs/CONFIGURATION.md" are read
-    Then each <subject> stands in the table of the section "<section>"
+    Then the table of the section "<section>" lists each <subject>
 
     Examples:
       | subject                     | section                              |
--- a/features/steps/configuration_page_steps.py
+++ b/features/steps/configuration_page_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the page of the configuration."""
+"""Steps on the documentation of the configuration."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     'setting of the process': {f.name for f in fields(NodeSettings)},
     'setting of the command line': {f.name for f in fields(OperatorSettings)},
 }
-"""Words that must stand in the first column of a table."""
+"""Names that the first column of a table must contain."""
 
 
 class ConfigurationPageSteps:
-    """Steps that compare the page with the code."""
+    """Steps that compare the tables of a page with the code."""
 
     @staticmethod
     @when('the tables of the page "{path}" are read')
     def read_tables(context: Any, path: str) -> None:
-        """Collect the words of the first columns by section."""
+        """Collect the names in the first columns of each section."""
         context.words = {}
         section = ''
         for line in Path(path).read_text().splitlines():
@@ -40,8 +40,8 @@
                 words.update(re.findall('`([^`]+)`', first))
 
     @staticmethod
-    @then('each {subject} stands in the table of the section "{section}"')
+    @then('the table of the section "{section}" lists each {subject}')
     def expect_words(context: Any, subject: str, section: str) -> None:
-        """Compare the words."""
+        """Compare the names in the table with those in the code."""
         found = context.words[section]
         assert found == SUBJECTS[subject], found ^ SUBJECTS[subject]
--- a/features/steps/declarations_steps.py
+++ b/features/steps/declarations_steps.py
@@ -1,4 +1,4 @@
-"""Steps on declarations."""
+"""Steps on the check of declarations."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 
 class DeclarationsSteps:
-    """Steps that check documents."""
+    """Steps that build and check documents of declarations."""
 
     @staticmethod
-    @given('declarations with the class "{name}" changed by')
-    def change_class(context: Any, name: str) -> None:
-        """Build a document with one class from the text."""
+    @given('declarations with the only class "{name}" defined by')
+    def define_class(context: Any, name: str) -> None:
+        """Build a document whose only class has the given text."""
         classes = _document({name: context.text})
         context.document = _document({'classes': classes, 'tenants': '{}'})
 
     @staticmethod
-    @given('declarations with the "{section}" replaced by')
+    @given('declarations with the section "{section}" replaced by')
     def replace_section(context: Any, section: str) -> None:
-        """Build a sound document but for one section."""
+        """Build a valid document and replace one section."""
         sections = {
             'classes': _document({'filing': _FILING}),
             'tenants': '{}',
@@ -49,14 +49,14 @@
 
     @staticmethod
     @given('the declarations text {text}')
-    def take_text(context: Any, text: str) -> None:
-        """Take a raw text."""
+    def use_text(context: Any, text: str) -> None:
+        """Use a raw text as the document."""
         context.document = text
 
     @staticmethod
     @given('a declarations text of {size:d} bytes')
     def make_long_text(context: Any, size: int) -> None:
-        """Build a text of a given size."""
+        """Build an empty document padded to a given size."""
         context.document = '{}'.ljust(size)
 
     @staticmethod
@@ -68,21 +68,21 @@
     @staticmethod
     @when('the declarations file "{path}" is checked')
     def check_file(context: Any, path: str) -> None:
-        """Check a file of the repository."""
+        """Check a document in the repository."""
         context.document = Path(path).read_text()
         DeclarationsSteps.check(context)
 
     @staticmethod
     @when('the declarations are checked')
     def check(context: Any) -> None:
-        """Check the document."""
+        """Check the document that was built."""
         ledgers = getattr(context, 'ledgers', None)
         context.checked = check_declarations(context.document, ledgers)
 
     @staticmethod
     @then('the declarations are accepted')
     def expect_accepted(context: Any) -> None:
-        """Expect no fault."""
+        """Expect that the document has no fault."""
         context.checked.unwrap()
 
     @staticmethod
@@ -93,17 +93,17 @@
         assert found == names.split(', '), found
 
     @staticmethod
-    @then('the declarations survive being written and read again')
+    @then('the formatted declarations are parsed to the same declarations')
     def expect_same(context: Any) -> None:
-        """Write, read and compare."""
-        before = context.checked.unwrap()
-        again = check_declarations(format_declarations(before)).unwrap()
-        assert again == before
+        """Format the declarations, parse the text and compare."""
+        original = context.checked.unwrap()
+        parsed = check_declarations(format_declarations(original)).unwrap()
+        assert parsed == original
 
     @staticmethod
     @then("the declarations' faults are")
     def expect_faults(context: Any) -> None:
-        """Compare paths and codes of all faults."""
+        """Compare the paths and codes of all faults."""
         found = [(f.path, f.code.value) for f in context.checked.failure()]
         expected = [(row['path'], row['code']) for row in context.table]
         assert sorted(found) == sorted(expected), found
@@ -111,14 +111,14 @@
     @staticmethod
     @then('the declarations\' only fault is "{code}" at "{path}"')
     def expect_fault(context: Any, code: str, path: str) -> None:
-        """Compare the only fault."""
+        """Compare the path and the code of the only fault."""
         found = [(f.path, f.code.value) for f in context.checked.failure()]
         assert found == [(path, code)], found
 
     @staticmethod
     @then('the declarations\' fault codes are "{code}"')
     def expect_codes(context: Any, code: str) -> None:
-        """Expect faults of one kind only."""
+        """Expect faults of one code only."""
         found = {f.code.value for f in context.checked.failure()}
         assert found == {code}, found
 
@@ -135,7 +135,7 @@
         database: str,
         ledger: str,
     ) -> None:
-        """Pass a request through the filter that checks rights."""
+        """Apply the filter that checks rights to a request."""
         declarations = context.checked.unwrap()
         entry = DatabaseEntry(database, ledger, ())
         step = ClassificationFilter(lambda: declarations, lambda name: entry)
