--- a/features/capacity_experiments.feature
+++ b/features/capacity_experiments.feature
@@ -1,9 +1,9 @@
-Feature: Experiments on the stand-ins
+Feature: Capacity experiments on the stand-ins
 
-  Scenario: The experiments of the examples are sound
+  Scenario: The experiments of the examples are valid
     Then each capacity example is accepted and has at least 4 points
 
-  Scenario Outline: An experiment that asks for too much is refused
+  Scenario Outline: An experiment with an invalid sweep is refused
     Given a capacity experiment that sweeps "<path>" to <value>
     Then the capacity experiment is refused for "<fault>"
 
@@ -18,21 +18,21 @@
     Given a capacity experiment with the key "speed"
     Then the capacity experiment is refused for "speed"
 
-  Scenario: Control and work are counted apart, with the headers
+  Scenario: Control and work traffic are counted separately, with headers
     Given a capacity window of 10 s with 50 probes and 20 reads of 100 bytes
     Then the capacity figure "membership messages/s mean" is 5
     And the capacity figure "membership bytes/s mean" is 800
     And the capacity figure "control bytes/s mean" is 800
     And the capacity figure "work bytes/s mean" is 320
 
-  Scenario: A member counts as moved once another host pools it
+  Scenario: A member counts as moved when another host pools it
     Given a capacity window in which "m1" moves and "m2" stays
     Then the capacity figure "members moved" is 1
     And the capacity figure "members a host before" is 1
 
   Scenario: Two results are compared point by point
-    Given capacity results at 1 and 2, and others that are half as great
+    Given capacity results at 1 and 2, and others that are half as large
     Then each capacity difference has the ratio 0.5
 
-  Scenario: Every message is counted as control or is known as work
-    Then each message without a capacity part is known as work
+  Scenario: Every message belongs to control or to work traffic
+    Then each message without a kind of control traffic is work
--- a/features/steps/capacity_experiment_steps.py
+++ b/features/steps/capacity_experiment_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the experiments."""
+"""Steps on the capacity experiments."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 from trefoilpulley_wire import member_codec
 
 EXAMPLES = Path('examples/experiments')
-PARTS_OF_MESSAGES = {'MemberDigest', 'Versions', 'WorkScope'}
-MEMBER_WORK = {
+NESTED_TYPES = {'MemberDigest', 'Versions', 'WorkScope'}
+MEMBER_WORK_MESSAGES = {
     'BeginTransaction',
     'CommitTransaction',
     'MemberDone',
@@ -66,10 +66,10 @@
 
 
 def _messages_of(module: Any) -> set[str]:
-    found = vars(module).values()
+    values = vars(module).values()
     return {
         kind.__name__
-        for kind in found
+        for kind in values
         if is_dataclass(kind) and kind.__module__ == module.__name__
     }
 
@@ -86,7 +86,7 @@
 
 
 class CapacityExperimentSteps:
-    """Steps on files, figures and comparisons."""
+    """Steps on the files, figures and comparisons of experiments."""
 
     @staticmethod
     @given('a capacity experiment that sweeps "{path}" to {value:d}')
@@ -97,8 +97,8 @@
 
     @staticmethod
     @given('a capacity experiment with the key "{key}"')
-    def make_unknown(context: Any, key: str) -> None:
-        """Parse an experiment with a key that does not exist."""
+    def make_unknown_key(context: Any, key: str) -> None:
+        """Parse an experiment with an unknown key."""
         sweep = {'path': 'load.callers', 'values': [1]}
         document = {'name': 'x', 'sweep': sweep, key: 1}
         context.parsed = parse_experiment(document)
@@ -111,7 +111,7 @@
     def make_window(
         context: Any, span: float, probes: int, reads: int
     ) -> None:
-        """Make the figures of a window with some traffic."""
+        """Compute the figures of a window with probes and reads."""
         hosts = {'h1': []}
         before = {'Probe': 7, 'PooledRead': 3}
         after = {'Probe': 7 + probes, 'PooledRead': 3 + reads}
@@ -122,7 +122,7 @@
     @staticmethod
     @given('a capacity window in which "{moved}" moves and "{kept}" stays')
     def make_move(context: Any, moved: str, kept: str) -> None:
-        """Make the figures of a window with a move of pooling."""
+        """Compute the figures of a window in which a member moves."""
         before = {'h1': [moved], 'h2': [kept]}
         after = {'h1': [], 'h2': [kept, moved]}
         context.figures = _figures(
@@ -132,10 +132,10 @@
     @staticmethod
     @given(
         'capacity results at {one:g} and {two:g}, and others that are '
-        'half as great'
+        'half as large'
     )
     def make_results(context: Any, one: float, two: float) -> None:
-        """Compare two results."""
+        """Compare two results, one with a point that the other lacks."""
         first = [_result(one, 8.0), _result(two, 16.0)]
         second = [_result(one, 4.0), _result(two, 8.0), _result(9.0, 1.0)]
         context.differences = list(compare_results(first, second))
@@ -145,7 +145,7 @@
         'each capacity example is accepted and has at least {least:d} points'
     )
     def check_examples(context: Any, least: int) -> None:
-        """Parse every file."""
+        """Parse every example and expect enough points."""
         paths = list(EXAMPLES.glob('*.json'))
         assert paths
         for path in paths:
@@ -156,31 +156,31 @@
     @staticmethod
     @then('the capacity experiment is refused for "{fault}"')
     def check_refused(context: Any, fault: str) -> None:
-        """Expect a fault that names the reason."""
+        """Expect a fault whose text contains the reason."""
         faults = context.parsed.failure().faults
         assert any(fault in f for f in faults), faults
 
     @staticmethod
-    @then('each message without a capacity part is known as work')
-    def check_parts(context: Any) -> None:
-        """Look at the messages of both codecs."""
+    @then('each message without a kind of control traffic is work')
+    def check_traffic_kinds(context: Any) -> None:
+        """Compare the messages of both codecs with the traffic kinds."""
         assert (
             _messages_of(member_codec) - set(MEMBER_TRAFFIC_KINDS)
-            == MEMBER_WORK
+            == MEMBER_WORK_MESSAGES
         )
         peers = _messages_of(peer) | _messages_of(membership)
-        rest = peers - set(PEER_TRAFFIC_KINDS) - PARTS_OF_MESSAGES
+        rest = peers - set(PEER_TRAFFIC_KINDS) - NESTED_TYPES
         assert all(name.startswith('Pooled') for name in rest), rest
 
     @staticmethod
     @then('the capacity figure "{name}" is {value:g}')
     def check_figure(context: Any, name: str, value: float) -> None:
-        """Compare one figure."""
+        """Compare the value of one figure."""
         assert context.figures[name] == value, context.figures
 
     @staticmethod
     @then('each capacity difference has the ratio {ratio:g}')
     def check_ratios(context: Any, ratio: float) -> None:
-        """Expect one difference a point that both hold."""
+        """Expect one difference for each point that both results have."""
         ratios = [d.ratio for d in context.differences]
         assert ratios == [ratio, ratio], ratios
--- a/features/steps/capacity_page_steps.py
+++ b/features/steps/capacity_page_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the page of capacity."""
+"""Steps on the capacity page."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from trefoilpulley_standins.measure.slopes import Point
 from trefoilpulley_standins.measure.slopes import SLOPES_FILE
 
-MODULE = re.compile(r'\btrefoilpulley_[a-z]+(?:\.[a-z_]+)*')
+MODULE_PATTERN = re.compile(r'\btrefoilpulley_[a-z]+(?:\.[a-z_]+)*')
 COLUMNS = 7
 
 
@@ -44,12 +44,12 @@
 
 
 class CapacityPageSteps:
-    """Compares docs/CAPACITY.md with docs/slopes.json and the code."""
+    """Steps that compare docs/CAPACITY.md with the slopes and the code."""
 
     @staticmethod
     @given('a copy of the capacity page with one figure changed')
     def change_figure(context: Any) -> None:
-        """Change one digit inside the tables."""
+        """Change one digit in the tables of a copy of the page."""
         text = PAGE.read_text(encoding='utf-8')
         tables = take_tables(text)
         digit = re.search(r'\d', tables)
@@ -60,7 +60,7 @@
     @staticmethod
     @given('a copy of the capacity slopes with one slope doubled')
     def change_slope(context: Any) -> None:
-        """Double the slope of the member's frames."""
+        """Double the slope ``member-frame`` in a copy of the slopes."""
         recorded = load_recorded(SLOPES_FILE)
         changed = [
             replace(s, slope=2 * s.slope) if s.key == 'member-frame' else s
@@ -71,29 +71,29 @@
     @staticmethod
     @given('a copy of the capacity page that names "{module}"')
     def name_module(context: Any, module: str) -> None:
-        """Add a line to the page."""
+        """Add a line that names a module to a copy of the page."""
         text = PAGE.read_text(encoding='utf-8')
         context.page = f'{text}\nSee `{module}`.\n'
 
     @staticmethod
     @when('the capacity page is compared with the recorded slopes')
     def compare_page(context: Any) -> None:
-        """Make the tables and take those of the page."""
-        context.made = render_tables(_read_slopes(context))
+        """Render the tables and extract those of the page."""
+        context.rendered = render_tables(_read_slopes(context))
         context.shown = take_tables(_read_page(context))
 
     @staticmethod
-    @when("the capacity page's modules are looked for")
+    @when('the modules named on the capacity page are looked up')
     def find_modules(context: Any) -> None:
-        """Look for each module that the page names."""
-        named = set(MODULE.findall(_read_page(context)))
+        """Collect the modules named on the page that do not exist."""
+        named = set(MODULE_PATTERN.findall(_read_page(context)))
         assert named
         context.missing = {m for m in named if not _exists(m)}
 
     @staticmethod
     @when('a capacity slope is fitted through {points}')
     def fit_points(context: Any, points: str) -> None:
-        """Fit a line, or keep the refusal."""
+        """Fit a line; ``None`` stands for a refusal."""
         pairs = [p.split(':') for p in points.split(', ')]
         try:
             context.fitted = _fit(
@@ -105,44 +105,46 @@
     @staticmethod
     @then('the capacity tables agree')
     def check_equal(context: Any) -> None:
-        """Expect no difference."""
-        assert context.shown == context.made
+        """Expect that the tables are equal."""
+        assert context.shown == context.rendered
 
     @staticmethod
     @then('the capacity tables differ')
     def check_different(context: Any) -> None:
-        """Expect a difference."""
-        assert context.shown != context.made
+        """Expect that the tables are different."""
+        assert context.shown != context.rendered
 
     @staticmethod
     @then('no capacity module is missing')
     def check_modules(context: Any) -> None:
-        """Expect every module to exist."""
+        """Expect that every named module exists."""
         assert not context.missing, context.missing
 
     @staticmethod
     @then('the capacity module "{module}" is missing')
     def check_missing(context: Any, module: str) -> None:
-        """Expect one module to be missing."""
+        """Expect that exactly one module is missing."""
         assert context.missing == {module}, context.missing
 
     @staticmethod
     @then('each capacity slope has at least {least:d} points and fits them')
     def check_slopes(context: Any, least: int) -> None:
-        """Fit each slope again."""
+        """Fit each recorded slope again and compare the results."""
         for found in load_recorded(SLOPES_FILE).slopes:
             assert len(found.points) >= least, found.key
             again = _fit(list(found.points))
             size = max(abs(p.y) for p in found.points)
             for name in ('base', 'slope', 'spread'):
                 old, new = getattr(found, name), getattr(again, name)
-                near = math.isclose(old, new, rel_tol=0.02, abs_tol=size / 100)
-                assert near, (found.key, name, old, new)
+                is_close = math.isclose(
+                    old, new, rel_tol=0.02, abs_tol=size / 100
+                )
+                assert is_close, (found.key, name, old, new)
 
     @staticmethod
     @then('each capacity row has a mechanism, arithmetic and a margin')
     def check_rows(context: Any) -> None:
-        """Look at each row of the first table."""
+        """Check the cells of each row of the first table."""
         tables = take_tables(PAGE.read_text(encoding='utf-8'))
         rows = tables.partition('\n\n')[0].splitlines()[2:]
         assert rows
@@ -150,13 +152,15 @@
             cells = [c.strip() for c in row.strip('|').split('|')]
             assert len(cells) == COLUMNS, row
             _, _, arithmetic, _, budget, margin, mechanism = cells
-            assert arithmetic and MODULE.search(mechanism), row
+            assert arithmetic and MODULE_PATTERN.search(mechanism), row
             assert bool(budget) == (margin != 'none stated'), row
 
     @staticmethod
-    @then('the capacity slope is {slope:g} from {base:g} with no spread')
+    @then(
+        'the capacity slope is {slope:g} with the base {base:g} and no spread'
+    )
     def check_fit(context: Any, slope: float, base: float) -> None:
-        """Compare the line."""
+        """Compare the parameters of the fitted line."""
         found = context.fitted
         assert (found.slope, found.base) == (slope, base), found
         assert found.spread == 0, found
@@ -164,5 +168,5 @@
     @staticmethod
     @then('the capacity slope is refused')
     def check_refused(context: Any) -> None:
-        """Expect no line."""
+        """Expect that no line was fitted."""
         assert context.fitted is None
--- a/features/steps/capacity_succession_steps.py
+++ b/features/steps/capacity_succession_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the order of succession and the view it is made from."""
+"""Steps on the order of succession and the coordinator's view."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from trefoilpulley_standins.measure.catalogue import make_databases
 from trefoilpulley_standins.measure.catalogue import make_hosts
 
-TICKS = 64
+UPDATES = 64
 
 
 def _rank(hosts: Any, databases: Any) -> Succession:
     succession = Succession()
-    for _ in range(TICKS):
+    for _ in range(UPDATES):
         succession.update(hosts, databases)
     return succession
 
@@ -41,12 +41,12 @@
 
 
 class CapacitySuccessionSteps:
-    """Steps on lists of the size of many regions."""
+    """Steps on lists of hosts and databases of several regions."""
 
     @staticmethod
     @given('the capacity lists of {hosts:d} hosts and {databases:d} databases')
     def make_lists(context: Any, hosts: int, databases: int) -> None:
-        """Make the lists and rank every shard."""
+        """Make the lists and rank the hosts for every shard."""
         context.hosts = make_hosts(hosts)
         context.databases = make_databases(databases)
         context.succession = _rank(context.hosts, context.databases)
@@ -54,7 +54,7 @@
     @staticmethod
     @given('a capacity observer of {hosts:d} hosts')
     def make_observer(context: Any, hosts: int) -> None:
-        """Make an observer of some live hosts."""
+        """Make an observer whose listed hosts are all live."""
         listed = make_hosts(hosts)
         catalog = Catalog((), listed)
         declarations = Declarations()
@@ -64,33 +64,33 @@
         )
 
     @staticmethod
-    @when('the capacity observer looks twice')
-    def look_twice(context: Any) -> None:
-        """Take two views."""
+    @when('the capacity observer is queried twice')
+    def observe_twice(context: Any) -> None:
+        """Request two views."""
         context.views = [context.observer.observe() for _ in range(2)]
 
     @staticmethod
-    @when('a host of the capacity observer dies')
-    def kill_host(context: Any) -> None:
-        """Leave the last host out of the live ones."""
+    @when('a host of the capacity observer fails')
+    def stop_host(context: Any) -> None:
+        """Remove the last host from the live hosts."""
         context.live = _live(make_hosts(9))
 
     @staticmethod
     @then('the shards of "{region}" have the same order without other regions')
     def check_order(context: Any, region: str) -> None:
-        """Rank with the region's hosts alone."""
-        near = [h for h in context.hosts if h.region == region]
-        alone = _rank(near, context.databases)
+        """Compare with a ranking of the region's hosts only."""
+        region_hosts = [h for h in context.hosts if h.region == region]
+        expected = _rank(region_hosts, context.databases)
         shards = _shards_of(context.succession, region)
         assert shards
         for shard in shards:
             order = context.succession.ranking(shard)
-            assert order == alone.ranking(shard), shard
+            assert order == expected.ranking(shard), shard
 
     @staticmethod
-    @then('each shard of "{region}" has a successor of another region')
-    def check_far(context: Any, region: str) -> None:
-        """Look for a successor of another region."""
+    @then('each shard of "{region}" has a successor in another region')
+    def check_other_region(context: Any, region: str) -> None:
+        """Expect two successors in the region and one elsewhere."""
         regions = {h.name: h.region for h in context.hosts}
         shards = _shards_of(context.succession, region)
         assert shards
@@ -101,13 +101,13 @@
             assert len(found) == 3, found
 
     @staticmethod
-    @then('it gives the same capacity view')
+    @then('it returns the same capacity view')
     def check_same(context: Any) -> None:
-        """Expect one object."""
+        """Expect the same object in both views."""
         assert context.views[0] is context.views[1]
 
     @staticmethod
-    @then('it gives a capacity view of {hosts:d} hosts')
+    @then('it returns a capacity view of {hosts:d} hosts')
     def check_view(context: Any, hosts: int) -> None:
-        """Count the live hosts of a new view."""
+        """Compare the number of live hosts in a new view."""
         assert len(context.observer.observe().live_hosts) == hosts
