--- a/features/coordination_duty.feature
+++ b/features/coordination_duty.feature
@@ -3,7 +3,7 @@
   others, so that a failure of that zone does not stop primary and
   coordinator together.
 
-  Scenario Outline: a holder releases its duty once another host has ranked first for long
+  Scenario Outline: a holder releases its duty when another host ranks first for the release delay
     Given a duty with home zone "a" that is held by a host of zone "<zone>"
     When a host of zone "<first>" has ranked first for <seconds> seconds
     Then the duty is <outcome>
--- a/features/steps/capacity_experiment_steps.py
+++ b/features/steps/capacity_experiment_steps.py
@@ -27,7 +27,7 @@
 from trefoilpulley_standins.experiment.spec import parse_experiment
 from trefoilpulley_wire import member_codec
 
-EXAMPLES = Path('examples/experiments')
+EXPERIMENTS_DIR = Path('examples/experiments')
 NESTED_TYPES = {'MemberDigest', 'Versions', 'WorkScope'}
 MEMBER_WORK_MESSAGES = {
     'BeginTransaction',
@@ -146,7 +146,7 @@
     )
     def check_examples(context: Any, least: int) -> None:
         """Parse every example and expect enough points."""
-        paths = list(EXAMPLES.glob('*.json'))
+        paths = list(EXPERIMENTS_DIR.glob('*.json'))
         assert paths
         for path in paths:
             found = load_experiment(path).unwrap()
--- a/features/steps/coordination_driver_steps.py
+++ b/features/steps/coordination_driver_steps.py
@@ -127,16 +127,16 @@
         view = DeploymentView(
             Catalog((entry,), (host,)), Declarations(), (host,)
         )
-        context.fake = FakeMembers(entry)
+        context.fake_members = FakeMembers(entry)
         context.service = GrantPlatform()
         context.driver = CoordinationDriver(
             'h',
             1,
             context.service,
-            context.fake,
+            context.fake_members,
             lambda: view,
             MonotonicClock(),
-            context.fake,
+            context.fake_members,
         )
         context.driver.start()
         context.cleanups.append(context.driver.stop)
@@ -157,7 +157,7 @@
     @when('the primary of the coordination driver fails')
     def lose_primary(context: Any) -> None:
         """Stop the home primary."""
-        context.fake.members['a'].is_up = False
+        context.fake_members.members['a'].is_up = False
 
     @staticmethod
     @when('the coordination driver stops')
@@ -170,10 +170,10 @@
     @then('the coordination driver reports a new primary')
     def check_promoted(context: Any) -> None:
         """Wait for the promotion and expect member b as the only primary."""
-        assert context.fake.promoted.wait(EVENT_TIMEOUT_S)
+        assert context.fake_members.promoted.wait(EVENT_TIMEOUT_S)
         primaries = [
             m.name
-            for m in context.fake.members.values()
+            for m in context.fake_members.members.values()
             if m.is_primary and m.is_up
         ]
         assert primaries == ['b'], primaries
