--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -268,7 +268,7 @@
         context.answers = []
         while not drain.ready() or len(context.answers) < 20:
             item = len(context.answers)
-            answer = context.caller.ask(f'WRITE w{item} {item}')
+            answer = context.caller.execute(f'WRITE w{item} {item}')
             context.answers.append(answer)
 
     @staticmethod
