--- a/packages/core/src/trefoilpulley_core/catalog.py
+++ b/packages/core/src/trefoilpulley_core/catalog.py
@@ -10,7 +10,10 @@
     """States of hosts and members in the platform's lists."""
 
     LIVE = 'live'
+    """The host or member accepts new work."""
+
     LEAVING = 'leaving'
+    """The host or member is about to stop."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/core/src/trefoilpulley_core/coordination/database.py
+++ b/packages/core/src/trefoilpulley_core/coordination/database.py
@@ -381,3 +381,4 @@
 
 
 _CANCELLED = 'cancelled'
+"""Outcome of a handover that is no longer needed."""
--- a/packages/core/src/trefoilpulley_core/coordination/detection.py
+++ b/packages/core/src/trefoilpulley_core/coordination/detection.py
@@ -35,8 +35,8 @@
 UNREACHABLE_TIMEOUT_S = 3.0
 """Time without an answer of the primary before a promotion, in seconds.
 
-Applies if replicas still hear from the primary and its pooler does not
-report it unreachable.
+Applies if replicas still hear from the primary and the primary's pooler
+does not report the primary unreachable.
 """
 
 ISOLATED_TIMEOUT_S = 1.0
--- a/packages/core/src/trefoilpulley_core/coordination/duty.py
+++ b/packages/core/src/trefoilpulley_core/coordination/duty.py
@@ -1,10 +1,11 @@
 """Elects the process that coordinates a shard.
 
 The duty of a shard is the right to coordinate its databases. A process
-has the duty while it owns the shard's key in the platform's service,
-which is bound to the process's lease. During an outage of the service
-no lease can be granted, so the last known holder continues; if its host
-is down, the first live host in the order of succession takes over.
+has the duty while it owns the shard's key in the platform's service.
+The key is bound to the process's lease. During an outage of the service
+no lease can be granted, so the last known holder continues. If the host
+of that holder is down, the first live host in the order of succession
+takes over.
 Two processes that both act on the same duty are safe, because each
 process uses only terms that were granted to it.
 """
@@ -49,7 +50,7 @@
 """Maximum age of a failed call as evidence of an outage, in seconds."""
 
 REACQUIRE_DELAY_S = 5.0
-"""Time before a process reads a duty again that it has released, in seconds.
+"""Time before a process reads a released duty again, in seconds.
 
 Leaves time for the process of a higher ranked host to acquire the duty.
 """
--- a/packages/core/src/trefoilpulley_core/coordination/terms.py
+++ b/packages/core/src/trefoilpulley_core/coordination/terms.py
@@ -16,7 +16,7 @@
 MAX_GRANTS = 30
 """Maximum number of grants in a record.
 
-Above it, the oldest grants of other processes are dropped.
+If a record would have more, the oldest grants of other processes are dropped.
 """
 
 
--- a/packages/core/src/trefoilpulley_core/failure.py
+++ b/packages/core/src/trefoilpulley_core/failure.py
@@ -12,8 +12,13 @@
     """States of execution of a failed request at an upstream."""
 
     NOT_RUN = 'not-run'
+    """The request has not run and will not run."""
+
     RUN = 'run'
+    """The request has run."""
+
     UNKNOWN = 'unknown'
+    """The request may or may not have run."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/core/src/trefoilpulley_core/membership/membership.py
+++ b/packages/core/src/trefoilpulley_core/membership/membership.py
@@ -186,7 +186,7 @@
             self._dissemination.learn(news)
 
     def on_exchange(self, exchange: Exchange) -> News:
-        """Merge another host's records and return the ones it lacks."""
+        """Merge a host's records and return this host's newer records."""
         return self._reconciler.on_exchange(exchange)
 
     def on_connection_lost(self, host: str, now: float) -> None:
--- a/packages/core/src/trefoilpulley_core/membership/news.py
+++ b/packages/core/src/trefoilpulley_core/membership/news.py
@@ -28,9 +28,10 @@
 
 
 class Dissemination:
-    """Merges records and forwards the ones that are new.
+    """Merges records and forwards the new records.
 
-    The host that detects a change sends it once to every host in its zone.
+    The host that detects a change sends the change once to every host in
+    its zone.
     The relays of the zone forward the change to a relay in each other zone,
     and that relay forwards the change to the hosts in its own zone.
 
@@ -117,7 +118,7 @@
             self.learn_zone(zone_record)
 
     def learn_host(self, record: HostRecord) -> None:
-        """Merge a record, or refute it if it is wrong about this host."""
+        """Merge a record, or refute a wrong record of this host."""
         if record.entry.name == self.own.entry.name:
             self._refute(record)
         elif self.table.merge(record):
--- a/packages/core/src/trefoilpulley_core/membership/reconciler.py
+++ b/packages/core/src/trefoilpulley_core/membership/reconciler.py
@@ -87,7 +87,7 @@
             self._exchange(host, zones, self._table.records_of(zones))
 
     def on_exchange(self, exchange: Exchange) -> News:
-        """Merge another host's records and return the ones it lacks."""
+        """Merge a host's records and return this host's newer records."""
         answer = self._table.records_newer_than(exchange.zones, exchange.news)
         self._learn(exchange.news)
         return answer
--- a/packages/core/src/trefoilpulley_core/membership/table.py
+++ b/packages/core/src/trefoilpulley_core/membership/table.py
@@ -106,7 +106,7 @@
         return tuple(v.zone for v in views if v.region != region)
 
     def merge(self, record: HostRecord) -> bool:
-        """Store a host's record if it is newer; return whether it was."""
+        """Store a host's record if newer; return whether it was stored."""
         name = record.entry.name
         if not record.supersedes(self._hosts.get(name)):
             return False
@@ -118,7 +118,7 @@
         return True
 
     def merge_zone(self, record: ZoneRecord) -> bool:
-        """Store a zone's record if it is newer; return whether it was."""
+        """Store a zone's record if newer; return whether it was stored."""
         current = self._zones.get(record.zone)
         if not record.supersedes(current):
             return False
@@ -185,7 +185,7 @@
         )
 
     def records_newer_than(self, zones: Collection[str], news: News) -> News:
-        """Return the records of some zones that are newer than given ones."""
+        """Return the records of some zones that are newer than a message's."""
         hosts = {r.entry.name: r for r in news.hosts}
         zone_records = {z.zone: z for z in news.zones}
         own_records = self.records_of(zones)
--- a/packages/core/src/trefoilpulley_core/platform.py
+++ b/packages/core/src/trefoilpulley_core/platform.py
@@ -171,6 +171,6 @@
         and the watch ends. The method returns when the watch is active,
         so that a subsequent read misses no change. A watch that is
         started after a broken one may continue where the broken watch
-        ended; it fails with `WatchExpired` if changes in between are no
-        longer available.
+        ended. Such a watch fails with `WatchExpired` if changes in between
+        are no longer available.
         """
--- a/packages/core/src/trefoilpulley_core/proxy/placement.py
+++ b/packages/core/src/trefoilpulley_core/proxy/placement.py
@@ -1,7 +1,7 @@
 """Choice of the member that serves a read.
 
 Load pattern: at peak load, writes and fresh reads occupy every slot of the
-primaries. Reads that accept older data would queue behind them unless the
+primaries. Reads that accept older data would queue behind this work unless the
 reads go to the replicas. A read goes to the member with the lowest cost: the
 recent latency of statements, weighted with the statements that this host has
 in flight there. A member that slows down therefore gets fewer reads at once.
--- a/packages/core/src/trefoilpulley_core/proxy/session_state.py
+++ b/packages/core/src/trefoilpulley_core/proxy/session_state.py
@@ -53,7 +53,7 @@
 
     The name depends on the statement's shape and on whether it writes, not
     on the name that the caller chose. Sessions that prepare the same
-    statement therefore share it.
+    statement therefore share the prepared statement.
     """
     kind = 'w' if statement.is_write else 'r'
     return f'{kind}.{statement.shape}'
--- a/packages/core/src/trefoilpulley_core/proxy/upstream_session.py
+++ b/packages/core/src/trefoilpulley_core/proxy/upstream_session.py
@@ -69,8 +69,13 @@
     """State of the transaction on a session."""
 
     IDLE = 'idle'
+    """No transaction is open."""
+
     OPEN = 'open'
+    """A transaction is open."""
+
     FAILED = 'failed'
+    """The transaction has failed and can only be rolled back."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/core/src/trefoilpulley_core/targets.py
+++ b/packages/core/src/trefoilpulley_core/targets.py
@@ -92,7 +92,7 @@
         """Declared classes of work."""
 
     def declare(self, classes: Sequence[WorkClass]) -> None:
-        """Set the declared classes and keep the counts of existing ones."""
+        """Set the declared classes and keep the counts of existing classes."""
         previous_windows = self._classes
         self.declared = tuple(classes)
         self._classes = {}
--- a/packages/core/src/trefoilpulley_core/upstream.py
+++ b/packages/core/src/trefoilpulley_core/upstream.py
@@ -162,8 +162,8 @@
         A write whose key was used before is not executed. The call then
         returns the stored outcome with ``is_recalled``, or fails with
         ``RequestIdReused`` if the digests differ, or with ``NotRun`` if
-        the key was abandoned. It fails with ``NotPrimary`` if the member
-        is not the primary of ``term``.
+        the key was abandoned. The call fails with ``NotPrimary`` if the
+        member is not the primary of ``term``.
         """
 
     @abc.abstractmethod
--- a/packages/node/src/trefoilpulley_node/entry/digest_store.py
+++ b/packages/node/src/trefoilpulley_node/entry/digest_store.py
@@ -39,7 +39,7 @@
     def observed_at(self, member: str) -> float:
         """Return the time at which the newest digest was requested.
 
-        The time is monotonic and in seconds; it is minus infinity if no
+        The time is monotonic and in seconds, and minus infinity if no
         digest is stored.
         """
         member_data = self._members.get(member)
--- a/packages/node/src/trefoilpulley_node/pipeline/answer.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/answer.py
@@ -48,5 +48,6 @@
 
 def _raises_floor(req: PipelineRequest) -> bool:
     # A read without a known floor sets the floor to the position that
-    # it read, so that later reads of the session see no older data.
+    # the read has seen, so that later reads of the session see no older
+    # data.
     return req.work_class.work is WorkKind.WRITE or req.floor is None
--- a/packages/node/src/trefoilpulley_node/pipeline/request.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/request.py
@@ -75,7 +75,7 @@
 
     @property
     def copies(self) -> int:
-        """Number of members that must hold a write before it is answered.
+        """Number of members that must hold a write before the answer.
 
         At least a majority of the group, so that a primary that is cut
         off with a minority of the members acknowledges no write.
--- a/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
+++ b/packages/node/src/trefoilpulley_node/pooler/pooled_work.py
@@ -97,7 +97,11 @@
     def confirm(
         self, member: PooledMember, result: StatementResult, copies: int
     ) -> Result[StatementResult, Failure]:
-        """Wait until enough members hold what a statement wrote or read."""
+        """Wait until enough members hold the records of a statement.
+
+        A write waits for the records that the write added, and a read waits
+        for the records that the read has seen.
+        """
         waited = member.monitor.copy_waiters.wait(
             member.monitor.status,
             result.position,
--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_session.py
@@ -55,7 +55,7 @@
 
 
 class SessionFactory:
-    """Creates the callers' sessions and holds what the sessions share.
+    """Creates the callers' sessions and holds the objects they share.
 
     Parameters
     ----------
--- a/packages/node/src/trefoilpulley_node/proxy/directory.py
+++ b/packages/node/src/trefoilpulley_node/proxy/directory.py
@@ -55,7 +55,7 @@
 
     @property
     def synchronous_replicas(self) -> int:
-        """Number of replicas that must receive a commit to acknowledge it."""
+        """Number of replicas that must receive a commit before the answer."""
         return self.limits.synchronous_replicas if self.limits else 0
 
     def find_access(self, member: str) -> MemberAccess | None:
@@ -115,7 +115,7 @@
         return self._live
 
     def wait_loaded(self, timeout_s: float) -> bool:
-        """Wait for the first configuration; return whether it is in force."""
+        """Wait for the first configuration; return whether one is in force."""
         return self._loaded.wait(timeout_s)
 
     def subscribe_groups(self, on_group: Callable[[Group], None]) -> None:
@@ -131,7 +131,7 @@
         return self.groups.get(route.group)
 
     def set_routes(self, table: RouteTable) -> bool:
-        """Apply a configuration; return whether it was newer."""
+        """Apply a configuration if newer; return whether it was applied."""
         if table.version <= self.table.version:
             return False
         self.table = table
--- a/packages/node/src/trefoilpulley_node/proxy/lent_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/lent_session.py
@@ -62,7 +62,7 @@
         timeout_s : float
             Timeout for the last reply, in seconds.
         setting : SessionSetting, optional
-            State to set on the connection first, as far as it differs.
+            State to set on the connection first, where the state differs.
         """
 
     def cancel_unsent(self) -> None:
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -47,7 +47,7 @@
 LIMIT_RETRY_INTERVAL_S = 0.05
 """Time between two attempts to connect to a full member, in seconds.
 
-A full member has as many connections as it allows. The interval applies while
+A full member has reached its connection limit. The interval applies while
 this host has no connection to the member.
 """
 
--- a/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
@@ -162,7 +162,7 @@
             events.PLATFORM_UNREACHABLE.log(failure=code)
 
     def _synchronize(self) -> bool:
-        """Read all entries and remove those that no longer exist."""
+        """Read all entries and remove the entries that no longer exist."""
         # A single call limits the load on the service, since all hosts may
         # start at the same time.
         result = self._platform.get_prefix('')
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -99,8 +99,8 @@
     groups : Mapping[str, Group]
         Groups by name.
     holder_id : Callable[[], int | None]
-        Number that is unique among the running hosts; ``None`` before it is
-        known.
+        Number that is unique among the running hosts; ``None`` before the
+        number is known.
     clock : Clock
         Monotonic time.
     metrics : ProxyMetrics
@@ -371,8 +371,8 @@
     ) -> int | None:
         """Claim the change; return its round, or ``None`` where that failed.
 
-        The claim fails where another host holds it or the platform's service
-        can't confirm it.
+        The attempt fails where another host holds the claim or the platform's
+        service can't confirm the claim.
         """
         name = group.state.group
         claimed = self._claims.try_claim(name, after_round, target)
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -103,7 +103,7 @@
         self._promotions = promotions
         self._clock = clock
         # The incarnation only distinguishes the starts of one host; no
-        # decision uses it as a time.
+        # decision uses the incarnation as a time.
         self._incarnation = time.time_ns()
         self._rng = random.Random(self._incarnation)
         self._watches: list[PrimaryWatch] = []
--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/proxy/session_registry.py
@@ -41,7 +41,7 @@
 
 
 class CallerConnection(abc.ABC):
-    """Connection of a caller, as the registry needs it for a drain."""
+    """Connection of a caller, with the operations that a drain needs."""
 
     @abc.abstractmethod
     def has_input(self) -> bool:
--- a/packages/node/src/trefoilpulley_node/proxy/work.py
+++ b/packages/node/src/trefoilpulley_node/proxy/work.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementRequest:
-    """One statement of a caller and what is needed to run it."""
+    """One statement of a caller, with its route, session and deadline."""
 
     run: Run
     """Statement."""
