--- a/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
@@ -293,7 +293,7 @@
     def _is_relay_only(self) -> bool:
         """Whether this host has no connection of its own to any member."""
         accesses = self._group.accesses.values()
-        return bool(accesses) and all(p.is_relayed for p in accesses)
+        return bool(accesses) and all(a.is_relayed for a in accesses)
 
     @property
     def _is_primary_relayed(self) -> bool:
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -375,17 +375,17 @@
         register(
             'connections',
             lambda: sum(
-                p.local_pool.open_connections for p in self._accesses()
+                a.local_pool.open_connections for a in self._accesses()
             ),
         )
         register('leases', lambda: self.relay_server.lease_count)
         register(
             'waiting',
-            lambda: sum(p.local_pool.waiting for p in self._accesses()),
+            lambda: sum(a.local_pool.waiting for a in self._accesses()),
         )
         register(
             'in_flight',
-            lambda: sum(p.health.in_flight for p in self._accesses()),
+            lambda: sum(a.health.in_flight for a in self._accesses()),
         )
         register(
             'groups_lost',
@@ -400,7 +400,7 @@
 
     def _accesses(self) -> list[MemberAccess]:
         groups = self.directory.groups.values()
-        return [p for g in groups for p in g.accesses.values()]
+        return [a for g in groups for a in g.accesses.values()]
 
     def dump(self) -> ProxyState:
         """Return the state of the host."""
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_state.py
@@ -139,7 +139,7 @@
         state.primary,
         state.term,
         round(1000 * (now - newest.at)) if newest else None,
-        tuple(_dump_member(p, now) for p in group.accesses.values()),
+        tuple(_dump_member(a, now) for a in group.accesses.values()),
     )
 
 
