--- a/features/entry_transactions.feature
+++ b/features/entry_transactions.feature
@@ -1,20 +1,21 @@
 Feature: Transactions at an entry host
-  A transaction belongs to one caller, and the session's token survives it.
+  A transaction belongs to one caller connection, and its answers carry
+  the session token on.
 
-  Scenario: writes elsewhere during a transaction stay in the session
-    Given a transaction that a caller has begun at "ledger/0"
-    When the caller commits it with a token of a write at "other/0"
+  Scenario: a commit keeps the floors of writes to other databases
+    Given a transaction that a caller has opened at "ledger/0"
+    When the caller commits the transaction with a token of a write at "other/0"
     Then the answer's token has floors for "ledger/0,other/0"
 
   Scenario: a commit with a forged token leaves the transaction open
-    Given a transaction that a caller has begun at "ledger/0"
-    When the caller commits it with a forged token
+    Given a transaction that a caller has opened at "ledger/0"
+    When the caller commits the transaction with a forged token
     Then the transaction's request is refused as "invalid-token"
     And 1 transactions are open at the entry host
 
-  Scenario Outline: nobody else reaches a caller's transaction
-    Given a transaction that a caller has begun at "ledger/0"
-    When <who> sends a statement in it
+  Scenario Outline: only the caller that opened a transaction can use it
+    Given a transaction that a caller has opened at "ledger/0"
+    When <who> sends a statement of the transaction
     Then the transaction's request is refused as "transaction-lost"
 
     Examples:
@@ -22,13 +23,13 @@
       | another connection of the tenant          |
       | a caller of another tenant                |
 
-  Scenario: a statement that ends after its caller has gone leaves nothing
-    Given a transaction that a caller has begun at "ledger/0"
-    When its caller goes while a statement runs in it
+  Scenario: a transaction ends when its caller disconnects during a statement
+    Given a transaction that a caller has opened at "ledger/0"
+    When the caller disconnects while a statement of the transaction runs
     Then 0 transactions are open at the entry host
 
-  Scenario: a transaction that begins after its caller was refused
-    Given a pooler whose answer comes after the caller's time
-    When the caller begins a transaction there
+  Scenario: a transaction that begins after its caller was refused is rolled back
+    Given a pooler that answers after the caller's deadline
+    When the caller begins a transaction at the late pooler
     Then the begin is refused as "no-upstream"
-    And the late transaction is rolled back at the pooler
+    And the transaction that began late is rolled back at the pooler
--- a/features/fakes/fake_entry_parts.py
+++ b/features/fakes/fake_entry_parts.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the request pipeline."""
+"""Fakes of the clock, peers, views and router of an entry host."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeClock(Clock):
-    """Clock that moves when it is told to."""
+    """Clock that advances only when a test sets ``at``."""
 
     def __init__(self) -> None:
         self.at = 100.0
@@ -37,26 +37,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class SentMessage:
     """One message that the pipeline has sent."""
 
     host: str
-    """Host that it went to."""
+    """Host that the message was sent to."""
 
     message: Any
-    """Message."""
+    """Message that was sent."""
 
 
 class FakePeers:
-    """Answers from a script; the last answer repeats."""
+    """Peers that answer from a script; the last answer repeats."""
 
     def __init__(self, clock: FakeClock, script: list[str]) -> None:
         self._clock = clock
         self._script = deque(script)
-        self.sent: list[Sent] = []
+        self.sent: list[SentMessage] = []
 
     def find_pooler(self, member: str) -> str:
-        """Return one host for each member."""
+        """Return the name of a pooler that serves only this member."""
         return f'pooler-of-{member}'
 
     def call_host_raw(
@@ -64,7 +64,7 @@
     ) -> Result[Any, Failure]:
         """Take the next answer of the script."""
         self._clock.at += STEP_S
-        self.sent.append(Sent(host, message))
+        self.sent.append(SentMessage(host, message))
         answer = self._script[0]
         if len(self._script) > 1:
             self._script.popleft()
@@ -83,7 +83,7 @@
     def call_host(
         self, host: str, message: Any, timeout_s: float
     ) -> Result[Any, Failure]:
-        """Take the next answer, a refusal as the typed failure."""
+        """Take the next answer of the script; map a refusal to its failure."""
         reply = self.call_host_raw(host, message, timeout_s)
         if isinstance(reply.value_or(None), PooledFailure):
             return Failed(read_failure(reply.unwrap()))
@@ -91,7 +91,10 @@
 
 
 class FakeViews:
-    """Digests that nobody reads; waits move the clock."""
+    """Views of the databases that ignore digests and never change.
+
+    A wait for another primary advances the clock by its timeout.
+    """
 
     def __init__(self, clock: FakeClock) -> None:
         self._clock = clock
@@ -113,12 +116,12 @@
         """Ignore the member."""
 
     def wait_for_primary_change(self, entry: Any, timeout_s: float) -> None:
-        """Let the time pass."""
+        """Advance the clock by the timeout."""
         self._clock.at += timeout_s
 
 
 class FakeRouter:
-    """Sends everything to one primary."""
+    """Router that sends every request to one primary."""
 
     def choose(
         self, req: Any, excluded: frozenset[str]
--- a/features/fakes/tenants_host.py
+++ b/features/fakes/tenants_host.py
@@ -1,4 +1,4 @@
-"""An entry host whose poolers are faked, and tenants' tries at it."""
+"""An entry host with simulated poolers, and connections of tenants."""
 
 from __future__ import annotations
 
@@ -46,13 +46,13 @@
     from trefoilpulley_core.failure import Failure
 
 
-class _Peers(FakePeers):
-    """Begins transactions too; all other work is answered."""
+class _BeginningPeers(FakePeers):
+    """Peers that open every transaction and answer all other work."""
 
     def call_host_raw(
         self, host: str, message: Any, timeout_s: float, abort: Any = None
     ) -> Result[Any, Failure]:
-        """Answer a message of any kind."""
+        """Answer a begin, or take the next answer of the script."""
         reply = super().call_host_raw(host, message, timeout_s, abort)
         if isinstance(message, PooledBegin):
             return Success(PooledBegun('p1'))
@@ -61,8 +61,8 @@
     call_host = call_host_raw
 
 
-class _Router(FakeRouter):
-    """Sends everything to the primary of its database."""
+class _DatabaseRouter(FakeRouter):
+    """Router that sends each request to the primary of its database."""
 
     def choose(
         self, req: Any, excluded: frozenset[str]
@@ -75,7 +75,7 @@
         return Success(Route(f'{req.database.name}/a', is_primary=True))
 
 
-class _LedgerAlone(ClassificationFilter):
+class _WholeLedgerFilter(ClassificationFilter):
     def _is_granted(
         self, tenant: Tenant, database: DatabaseEntry, work_class: str
     ) -> bool:
@@ -86,107 +86,113 @@
         )
 
 
-class _AnyTenantsTokens(TokenCodec):
+class _AnyTenantTokenCodec(TokenCodec):
     def _read_body(self, body: Any, tenant: str) -> Result[Any, Failure]:
         return super()._read_body(body, body[1])
 
 
-class _AnyCallersTransactions(EntryTransactions):
+class _SharedTransactions(EntryTransactions):
     def _find(self, transaction: str, tenant: str, connection: int) -> Any:
         return self._open.get(transaction)
 
 
 @dataclass(frozen=True, slots=True)
-class HostParts:
-    """Types of the parts that keep tenants apart."""
+class IsolationComponents:
+    """Types of the components that isolate tenants from each other."""
 
     classify: type[ClassificationFilter] = ClassificationFilter
-    """Checks rights."""
+    """Type of the filter that checks grants."""
 
     tokens: type[TokenCodec] = TokenCodec
-    """Reads session tokens."""
+    """Type of the codec of session tokens."""
 
     transactions: type[EntryTransactions] = EntryTransactions
-    """Holds open transactions."""
+    """Type of the store of open transactions."""
 
 
 FAULTS = {
-    'none': HostParts(),
-    'rights count for the whole ledger': HostParts(classify=_LedgerAlone),
-    'tokens of any tenant are taken': HostParts(tokens=_AnyTenantsTokens),
-    'transactions of any caller are found': HostParts(
-        transactions=_AnyCallersTransactions
+    'none': IsolationComponents(),
+    'rights count for the whole ledger': IsolationComponents(
+        classify=_WholeLedgerFilter
+    ),
+    'tokens of any tenant are taken': IsolationComponents(
+        tokens=_AnyTenantTokenCodec
+    ),
+    'transactions of any caller are found': IsolationComponents(
+        transactions=_SharedTransactions
     ),
 }
-"""Deliberate faults."""
+"""Components with deliberate faults, by the name of the fault."""
 
 
 class TenantsHost:
-    """Entry host with the declarations of a file.
+    """Entry host with the declarations of a file and simulated poolers.
 
     Parameters
     ----------
     path : Path
-        Declarations; each tenant has rights on one database.
-    parts : HostParts
-        Types of the parts.
+        File with the declarations; each tenant has a grant on one database.
+    components : IsolationComponents
+        Types of the components that isolate tenants.
     """
 
-    def __init__(self, path: Path, parts: HostParts) -> None:
+    def __init__(self, path: Path, components: IsolationComponents) -> None:
         text = path.read_text(encoding='utf-8')
         self.declarations = check_declarations(text).unwrap()
         """Declarations in force."""
 
-        self.rights = {
+        self.grants = {
             t.name: grant
             for t in self.declarations.tenants
             for grant in t.grants
         }
-        """Right of each tenant."""
+        """Grant of each tenant."""
 
         self._databases = {
             g.ledger: DatabaseEntry(g.ledger, g.ledger.partition('/')[0], ())
-            for g in self.rights.values()
+            for g in self.grants.values()
         }
         self._clock = FakeClock()
-        self._peers = _Peers(self._clock, ['ran'])
-        self._server = self._make_server(parts)
+        self._peers = _BeginningPeers(self._clock, ['ran'])
+        self._server = self._make_server(components)
 
     def connect(self, tenant: str) -> TenantCaller:
-        """Return a new connection of a tenant."""
+        """Open a new connection as a tenant."""
         channel = SimpleNamespace(context=None)
         hello = Hello(tenant, _secret_of(tenant))
         welcome = self._server.on_request(channel, hello)
         return TenantCaller(self, channel, welcome.token)
 
     def serve(self, channel: Any, message: Any) -> Any:
-        """Serve one message of a connection."""
+        """Return the reply to a message of a connection."""
         return self._server.on_request(channel, message)
 
     def take_reached(self) -> set[str]:
-        """Return the databases reached since the last call."""
+        """Return and reset the databases reached since the last call."""
         hosts = {sent.host for sent in self._peers.sent}
         self._peers.sent.clear()
         return {h.removeprefix('pooler-of-').removesuffix('/a') for h in hosts}
 
-    def _make_server(self, parts: HostParts) -> CallerServer:
-        tokens = parts.tokens('deployment', ('key',))
+    def _make_server(self, components: IsolationComponents) -> CallerServer:
+        tokens = components.tokens('deployment', ('key',))
         targets = ClassTargets()
         targets.declare(self.declarations.classes)
         admit = AdmissionFilter(Admission(targets), self._clock)
         authenticate = AuthenticationFilter(
-            [TenantSecret(t, _secret_of(t)) for t in self.rights],
+            [TenantSecret(t, _secret_of(t)) for t in self.grants],
             lambda: self.declarations,
         )
         floor = SessionFloorFilter(tokens)
         prepare = (
             authenticate,
-            parts.classify(lambda: self.declarations, self._databases.get),
+            components.classify(
+                lambda: self.declarations, self._databases.get
+            ),
             floor,
             admit,
         )
         views = FakeViews(self._clock)
-        router = _Router()
+        router = _DatabaseRouter()
         executor = Executor(self._peers, views, self._clock)
         confirm = OutcomeResolver(
             router, executor, views, lambda: False, self._clock
@@ -207,7 +213,7 @@
                 admit,
                 Pipeline(prepare),
                 Pipeline((deliver,)),
-                parts.transactions(
+                components.transactions(
                     router, self._peers, floor, confirm, views, self._clock
                 ),
                 AnswerBuilder(tokens),
@@ -221,14 +227,14 @@
 
 
 class TenantCaller:
-    """Connection of a tenant.
+    """Connection of a tenant to the host.
 
     Parameters
     ----------
     host : TenantsHost
-        Host at the other side.
+        Host that serves the connection.
     channel : Any
-        Connection as the host knows it.
+        Channel that identifies the connection at the host.
     token : bytes
         Token of the session.
     """
--- a/features/pipeline.feature
+++ b/features/pipeline.feature
@@ -1,11 +1,11 @@
 Feature: Request pipeline
-  A refusal that says "not run" is true, and what may not be repeated
-  runs at most once.
+  A request refused as "not run" has never run, and a request that must
+  not be repeated runs at most once.
 
-  Scenario Outline: a request that may not be served is refused by type
+  Scenario Outline: an invalid request is refused with a typed failure
     Given a pipeline with the tenants "north" and "south"
     When "<tenant>" sends a request of class "<class>" to "<database>" with <token>
-    Then the pipeline refuses it as "<code>", not run
+    Then the pipeline refuses the request as "<code>", not run
 
     Examples:
       | tenant | class   | database | token                         | code              |
@@ -21,15 +21,15 @@
 
   Scenario: a draining host refuses new requests
     Given a pipeline with the tenants "north" and "south"
-    And its host drains
+    And the host is draining
     When "north" sends a request of class "filing" to "ledger/0" with no token
-    Then the pipeline refuses it as "draining", not run
+    Then the pipeline refuses the request as "draining", not run
 
-  Scenario Outline: a write settles truly whatever happens to its answers
+  Scenario Outline: a write's outcome is reported correctly when answers are lost
     Given a pooler that answers a write: <answers>
     When the pipeline delivers the write
-    Then its outcome is "<outcome>"
-    And every message about it carried the same key
+    Then the reported outcome is "<outcome>"
+    And every message for the write carried the same outcome key
 
     Examples:
       | answers                              | outcome         |
@@ -48,23 +48,23 @@
       | lost, overloaded, lost               | refused unknown |
       | lost                                 | refused unknown |
 
-  Scenario: a pipeline that does not settle lost answers is caught
+  Scenario: a pipeline that does not resolve lost answers is detected
     Given a pooler that answers a write: lost, statement-failed, kept
-    And a pipeline that takes the last refusal for the outcome
+    And a pipeline that reports the last refusal as the outcome
     When the pipeline delivers the write
-    Then its outcome is "refused not-run"
-    And that is false, since the write has run
+    Then the reported outcome is "refused not-run"
+    And the reported outcome is wrong because the write has run
 
-  Scenario: a read without an answer has not run
+  Scenario: a read without an answer is refused as not run
     Given a pooler that answers a read: lost
     When the pipeline delivers the read
-    Then its outcome is "refused not-run"
+    Then the reported outcome is "refused not-run"
 
-  Scenario Outline: a host that is cut off lets its callers go elsewhere
+  Scenario Outline: a host that is cut off refuses early so that callers try another host
     Given a pooler that answers a <kind>: <answers>
-    And its zone is cut off
+    And the host's zone is cut off
     When the pipeline delivers the <kind>
-    Then its outcome is "<outcome>"
+    Then the reported outcome is "<outcome>"
     And the caller waited less than 0.5 s
 
     Examples:
@@ -75,11 +75,11 @@
       | read  | lost         | refused not-run |
       | read  | ran          | answered        |
 
-  Scenario Outline: a write asks for a majority of copies at the least
+  Scenario Outline: a write requires copies on a majority of members
     Given a pooler that answers a write: ran
-    And its database has <members> members
+    And the write's database has <members> members
     When the pipeline delivers the write
-    Then the pooler was asked for <copies> copies
+    Then the message to the pooler requires <copies> copies
 
     Examples:
       | members | copies |
--- a/features/pooled_reads.feature
+++ b/features/pooled_reads.feature
@@ -1,9 +1,10 @@
 Feature: Reads at a pooled member
-  A read within a stated age never sees older data, also at a primary
-  that was deposed behind a network partition and does not know it.
+  A read with a maximum age never sees older data. The limit also holds at
+  a primary that was replaced during a network partition and has not
+  noticed.
 
-  Scenario Outline: a read is refused where its class's freshness is not met
-    Given a pooled <role> whose data were last proven <proven> ms ago
+  Scenario Outline: a read is refused when the member can't meet its class's freshness
+    Given a pooled <role> whose data were last proven current <proven> ms ago
     When a read <asks> is pooled
     Then the pooled read is <outcome>
 
--- a/features/steps/entry_transactions_steps.py
+++ b/features/steps/entry_transactions_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the transactions of an entry host."""
+"""Steps for the transactions of an entry host."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
 )
 
 
-class LeavingPeers(FakePeers):
-    """Loses the caller while a statement runs."""
+class CallerLosingPeers(FakePeers):
+    """Peers that lose the caller's connection while a statement runs."""
 
     def call_host(self, host: str, message: Any, timeout_s: float) -> Any:
-        """Let the caller go before the answer."""
+        """Report the lost connection before the second answer."""
         reply = super().call_host(host, message, timeout_s)
         if len(self.sent) == 2:
             self.transactions.on_caller_lost(CONNECTION)
@@ -59,36 +59,36 @@
 
 
 class LatePeers(FakePeers):
-    """Answers a begin when the caller's time has passed."""
+    """Peers that answer a begin after the caller's deadline."""
 
     def __init__(self, clock: FakeClock) -> None:
         super().__init__(clock, ['begun', 'ran'])
-        self.has_refused = Event()
+        self.is_refused = Event()
         self.is_rolled_back = Event()
 
     def call_host_raw(
         self, host: str, message: Any, timeout_s: float, abort: Any = None
     ) -> Any:
-        """Hold the answer to a begin back."""
+        """Delay the answer to a begin until the caller was refused."""
         reply = super().call_host_raw(host, message, timeout_s)
         if isinstance(message, PooledBegin):
             self._clock.at += 1
-            self.has_refused.wait(5)
+            self.is_refused.wait(5)
         if isinstance(message, PooledRollback):
             self.is_rolled_back.set()
         return reply
 
 
 class EntryTransactionSteps:
-    """Drives the transactions over a scripted pooler."""
+    """Steps for transactions over a scripted pooler."""
 
     @staticmethod
-    @given('a transaction that a caller has begun at "{database}"')
+    @given('a transaction that a caller has opened at "{database}"')
     def begin(context: Any, database: str) -> None:
-        """Begin one transaction."""
+        """Open one transaction."""
         clock = FakeClock()
-        peers = LeavingPeers(clock, ['begun', 'ran'])
-        EntryTransactionSteps._start(context, clock, peers)
+        peers = CallerLosingPeers(clock, ['begun', 'ran'])
+        EntryTransactionSteps._make_transactions(context, clock, peers)
         peers.transactions = context.transactions
         req = _make_request(database, clock.now() + 1)
         context.transaction = context.transactions.begin(
@@ -96,37 +96,41 @@
         ).unwrap()
 
     @staticmethod
-    @given("a pooler whose answer comes after the caller's time")
-    def start_late(context: Any) -> None:
-        """Hold the pooler's answer back."""
+    @given("a pooler that answers after the caller's deadline")
+    def make_late_pooler(context: Any) -> None:
+        """Build the transactions over a pooler that answers late."""
         context.clock = FakeClock()
         context.peers = LatePeers(context.clock)
-        EntryTransactionSteps._start(context, context.clock, context.peers)
+        EntryTransactionSteps._make_transactions(
+            context, context.clock, context.peers
+        )
 
     @staticmethod
-    @when('the caller begins a transaction there')
+    @when('the caller begins a transaction at the late pooler')
     def begin_late(context: Any) -> None:
-        """Begin, and let the pooler answer after the refusal."""
+        """Begin, then release the answer of the pooler after the refusal."""
         req = _make_request('ledger/0', context.clock.now() + 0.001)
         context.result = context.transactions.begin(req, CONNECTION)
-        context.peers.has_refused.set()
+        context.peers.is_refused.set()
 
     @staticmethod
     @then('the begin is refused as "{code}"')
     def check_begin_refused(context: Any, code: str) -> None:
-        """Compare the failure."""
+        """Compare the failure code."""
         assert context.result.failure().code == code, context.result
 
     @staticmethod
-    @then('the late transaction is rolled back at the pooler')
+    @then('the transaction that began late is rolled back at the pooler')
     def check_rolled_back(context: Any) -> None:
-        """Await the rollback."""
+        """Wait for the rollback message."""
         assert context.peers.is_rolled_back.wait(5)
         rollback = context.peers.sent[-1].message
         assert rollback == PooledRollback('t1'), rollback
 
     @staticmethod
-    def _start(context: Any, clock: FakeClock, peers: FakePeers) -> None:
+    def _make_transactions(
+        context: Any, clock: FakeClock, peers: FakePeers
+    ) -> None:
         views = FakeViews(clock)
         router = FakeRouter()
         context.codec = TokenCodec('deployment', ('key',))
@@ -147,9 +151,12 @@
         )
 
     @staticmethod
-    @when('the caller commits it with a token of a write at "{database}"')
+    @when(
+        'the caller commits the transaction with a token of a write at '
+        '"{database}"'
+    )
     def commit(context: Any, database: str) -> None:
-        """Commit with the newer token."""
+        """Commit with a token that has a floor of another database."""
         token = SessionToken(TENANT).with_floor(database, Position(2, 5))
         data = context.codec.encode(token)
         message = Commit(context.transaction, 'c-1', data)
@@ -158,9 +165,9 @@
         )
 
     @staticmethod
-    @when('the caller commits it with a forged token')
+    @when('the caller commits the transaction with a forged token')
     def commit_forged(context: Any) -> None:
-        """Commit with a token signed by another key."""
+        """Commit with a token signed with another key."""
         forged = TokenCodec('deployment', ('guess',))
         data = forged.encode(SessionToken(TENANT))
         message = Commit(context.transaction, 'c-1', data)
@@ -169,27 +176,29 @@
         )
 
     @staticmethod
-    @when('another connection of the tenant sends a statement in it')
-    def run_elsewhere(context: Any) -> None:
+    @when(
+        'another connection of the tenant sends a statement of the transaction'
+    )
+    def run_on_other_connection(context: Any) -> None:
         """Use the transaction from another connection."""
         EntryTransactionSteps._run(context, TENANT, CONNECTION + 1)
 
     @staticmethod
-    @when('a caller of another tenant sends a statement in it')
-    def run_foreign(context: Any) -> None:
+    @when('a caller of another tenant sends a statement of the transaction')
+    def run_as_other_tenant(context: Any) -> None:
         """Use the transaction as another tenant."""
         EntryTransactionSteps._run(context, 'south', CONNECTION)
 
     @staticmethod
-    @when('its caller goes while a statement runs in it')
-    def run_and_go(context: Any) -> None:
-        """Run a statement that outlives its caller."""
+    @when('the caller disconnects while a statement of the transaction runs')
+    def run_and_disconnect(context: Any) -> None:
+        """Run a statement during which the caller disconnects."""
         EntryTransactionSteps._run(context, TENANT, CONNECTION)
 
     @staticmethod
     @then('the answer\'s token has floors for "{databases}"')
     def check_floors(context: Any, databases: str) -> None:
-        """Read the token of the answer."""
+        """Compare the databases of the floors in the token."""
         answer = AnswerBuilder(context.codec).make(context.result.unwrap())
         token = context.codec.decode(answer.token, TENANT).unwrap()
         found = sorted(floor.database for floor in token.floors)
@@ -198,13 +207,13 @@
     @staticmethod
     @then('the transaction\'s request is refused as "{code}"')
     def check_refused(context: Any, code: str) -> None:
-        """Compare the failure."""
+        """Compare the failure code."""
         assert context.result.failure().code == code, context.result
 
     @staticmethod
     @then('{count:d} transactions are open at the entry host')
     def check_open(context: Any, count: int) -> None:
-        """Count them."""
+        """Compare the number of open transactions."""
         assert len(context.transactions) == count
 
     @staticmethod
--- a/features/steps/pipeline_steps.py
+++ b/features/steps/pipeline_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the request pipeline."""
+"""Steps for the request pipeline."""
 
 from __future__ import annotations
 
@@ -64,19 +64,19 @@
 }
 
 
-class _LastRefusal(OutcomeResolver):
+class _LastRefusalResolver(OutcomeResolver):
     def resolve_outcome(self, req: PipelineRequest, refusal: Any) -> Any:
-        """Say the refusal without a look-up."""
+        """Return the refusal without looking the outcome up."""
         return Failed(refusal)
 
 
-class PrepareSteps:
-    """Filters up to admission."""
+class RequestFilterSteps:
+    """Steps for the filters up to and including admission."""
 
     @staticmethod
     @given('a pipeline with the tenants "north" and "south"')
     def make_pipeline(context: Any) -> None:
-        """Let north file at the ledger, and south look up only."""
+        """Grant north both classes at the ledger, and south only look-ups."""
         declarations = Declarations(
             (FILING, LOOKUP),
             (
@@ -99,9 +99,9 @@
         )
 
     @staticmethod
-    @given('its host drains')
+    @given('the host is draining')
     def drain(context: Any) -> None:
-        """Begin to drain."""
+        """Mark the host as draining."""
         context.admit.is_draining = True
 
     @staticmethod
@@ -112,19 +112,19 @@
     def send(
         context: Any, tenant: str, work_class: str, database: str, token: str
     ) -> None:
-        """Pass one request through the filters."""
-        good = context.codec.encode(SessionToken(tenant))
-        foreign = TokenCodec('elsewhere', ('key',))
+        """Run one request through the filters."""
+        valid = context.codec.encode(SessionToken(tenant))
+        other_deployment = TokenCodec('elsewhere', ('key',))
         tokens = {
             'no token': b'',
             'a forged token': TokenCodec('deployment', ('guess',)).encode(
                 SessionToken(tenant)
             ),
-            'an altered token': good[:-1] + bytes([good[-1] ^ 1]),
+            'an altered token': valid[:-1] + bytes([valid[-1] ^ 1]),
             'a token of the other tenant': context.codec.encode(
                 SessionToken('south')
             ),
-            'a token of another deployment': foreign.encode(
+            'a token of another deployment': other_deployment.encode(
                 SessionToken(tenant)
             ),
         }
@@ -135,37 +135,37 @@
         context.result = context.pipeline.run(req)
 
     @staticmethod
-    @then('the pipeline refuses it as "{code}", not run')
+    @then('the pipeline refuses the request as "{code}", not run')
     def check_refusal(context: Any, code: str) -> None:
-        """Expect the typed failure."""
+        """Check the failure code and the run state."""
         failure = context.result.failure()
         assert failure.code == code, failure
         assert str(failure.run_state) == 'not-run'
 
 
-class DeliverSteps:
-    """Routing, execution and the settling of lost answers."""
+class DeliverySteps:
+    """Steps for routing, execution and the resolution of lost answers."""
 
     @staticmethod
     @given('a pooler that answers a {kind:w}: {answers}')
     def make_pooler(context: Any, kind: str, answers: str) -> None:
-        """Script the answers; the last one repeats."""
+        """Script the answers of the pooler; the last one repeats."""
         context.clock = FakeClock()
         context.peers = FakePeers(context.clock, answers.split(', '))
-        context.confirm_type = OutcomeResolver
+        context.resolver_type = OutcomeResolver
         context.is_cut_off = False
         context.database = DATABASES['ledger/0']
 
     @staticmethod
-    @given('a pipeline that takes the last refusal for the outcome')
-    def break_confirm(context: Any) -> None:
-        """Put a deliberate fault in."""
-        context.confirm_type = _LastRefusal
+    @given('a pipeline that reports the last refusal as the outcome')
+    def use_faulty_resolver(context: Any) -> None:
+        """Replace the outcome resolver by a faulty one."""
+        context.resolver_type = _LastRefusalResolver
 
     @staticmethod
-    @given('its database has {count:d} members')
+    @given("the write's database has {count:d} members")
     def set_members(context: Any, count: int) -> None:
-        """Build a database group."""
+        """Give the database the number of members."""
         members = tuple(
             MemberEntry(f'm{n}', 'zone', Endpoint('127.0.0.1', 1), 2, 16)
             for n in range(count)
@@ -173,33 +173,33 @@
         context.database = DatabaseEntry('ledger/0', 'ledger', members)
 
     @staticmethod
-    @then('the pooler was asked for {count:d} copies')
+    @then('the message to the pooler requires {count:d} copies')
     def check_copies(context: Any, count: int) -> None:
-        """Compare the copies in the message."""
+        """Compare the number of copies in the first message."""
         assert context.peers.sent[0].message.copies == count
 
     @staticmethod
-    @given('its zone is cut off')
-    def cut_zone(context: Any) -> None:
-        """Let no other zone answer."""
+    @given("the host's zone is cut off")
+    def cut_zone_off(context: Any) -> None:
+        """Mark the zone of the host as cut off from the other zones."""
         context.is_cut_off = True
 
     @staticmethod
     @then('the caller waited less than {limit:g} s')
-    def check_waited(context: Any, limit: float) -> None:
-        """Compare the virtual time that has passed."""
+    def check_wait(context: Any, limit: float) -> None:
+        """Compare the virtual time that has passed, in seconds."""
         waited_s = context.clock.now() - 100.0
         assert waited_s < limit, waited_s
 
     @staticmethod
     @when('the pipeline delivers the {kind:w}')
     def deliver(context: Any, kind: str) -> None:
-        """Deliver one request."""
+        """Run one request through the delivery filter."""
         clock = context.clock
         views = FakeViews(clock)
         router = FakeRouter()
         executor = Executor(context.peers, views, clock)
-        confirm = context.confirm_type(
+        confirm = context.resolver_type(
             router, executor, views, lambda: context.is_cut_off, clock
         )
         deliver = DeliveryFilter(
@@ -227,9 +227,9 @@
         )
 
     @staticmethod
-    @then('its outcome is "{outcome}"')
+    @then('the reported outcome is "{outcome}"')
     def check_outcome(context: Any, outcome: str) -> None:
-        """Expect an answer or a refusal with its run state."""
+        """Compare the result: an answer, or a refusal and its run state."""
         if isinstance(context.result, Success):
             found = 'answered'
         else:
@@ -237,15 +237,15 @@
         assert found == outcome, context.result
 
     @staticmethod
-    @then('every message about it carried the same key')
-    def check_keys(context: Any) -> None:
-        """Expect one key, so that members run the write once."""
+    @then('every message for the write carried the same outcome key')
+    def check_outcome_key(context: Any) -> None:
+        """Check that one key lets the members run the write only once."""
         keys = {sent.message.key for sent in context.peers.sent}
         assert len(keys) == 1, keys
 
     @staticmethod
-    @then('that is false, since the write has run')
-    def check_false(context: Any) -> None:
-        """Expect the pooler to hold the outcome of the write."""
+    @then('the reported outcome is wrong because the write has run')
+    def check_outcome_is_wrong(context: Any) -> None:
+        """Check that the pooler has stored the outcome of the write."""
         answer = context.peers.call_host_raw('a', None, 1.0)
         assert answer.unwrap().result.is_recalled
--- a/features/steps/pooled_reads_steps.py
+++ b/features/steps/pooled_reads_steps.py
@@ -1,4 +1,4 @@
-"""Steps on reads at a pooled member."""
+"""Steps for reads at a pooled member."""
 
 from __future__ import annotations
 
@@ -22,57 +22,57 @@
 
 
 class FakeLink:
-    """Connection that answers every read."""
+    """Connection to a member that answers every read."""
 
     def read(
         self, statement: Statement, floor: Any
     ) -> Result[StatementResult, Failure]:
-        """Return a result."""
+        """Return a result of one row."""
         return Success(StatementResult(row_count=1))
 
 
 class FakeLease:
-    """Slot with a connection."""
+    """Lease of a slot with a connection."""
 
     link = FakeLink()
 
 
 class FakePool:
-    """Pool with a free slot."""
+    """Pool that always has a free slot."""
 
     def acquire(
         self, scope: WorkScope, is_write: bool
     ) -> Result[FakeLease, Failure]:
-        """Lend the slot."""
+        """Lease the slot."""
         return Success(FakeLease())
 
     def release(self, lease: FakeLease) -> None:
-        """Take the slot back."""
+        """Do nothing."""
 
 
 class FakeMonitor:
-    """Monitor of a reachable member that holds every floor."""
+    """Monitor of a reachable member that has reached every floor."""
 
     is_reachable = True
 
     def wait_for_position(self, floor: Any, timeout_s: float) -> bool:
-        """Hold the floor."""
+        """Report that the member has reached the floor."""
         return True
 
 
 class FakeProver:
-    """Proof of leadership from a set time; no later round succeeds."""
+    """Prover whose last successful round of proof was at a fixed time."""
 
     def __init__(self, proven_at: float) -> None:
         self._proven_at = proven_at
 
     def prove(self, since: float) -> bool:
-        """Compare with the last proof."""
+        """Return whether the last proof is no older than a time."""
         return self._proven_at >= since
 
 
 class FakeMember:
-    """Member whose data were last proven at a set time."""
+    """Member whose data were last proven current at a fixed time."""
 
     def __init__(self, role: str, proven_ms: int, now: float) -> None:
         self.is_primary = role == 'primary'
@@ -83,32 +83,34 @@
         self._proven_ms = proven_ms
 
     def age_ms(self) -> int:
-        """Return the age of the data."""
+        """Return the age of the data in milliseconds."""
         return self._proven_ms
 
 
 class PooledReadSteps:
-    """Pools one read at a fake member."""
+    """Steps that run one read at a fake member."""
 
     @staticmethod
-    @given('a pooled {role:w} whose data were last proven {age:d} ms ago')
+    @given(
+        'a pooled {role:w} whose data were last proven current {age:d} ms ago'
+    )
     def make_member(context: Any, role: str, age: int) -> None:
-        """Build the member."""
+        """Build a primary or a replica."""
         context.clock = FakeClock()
         context.member = FakeMember(role, age, context.clock.now())
 
     @staticmethod
-    @when('a read of {wanted} is pooled')
-    def pool_read(context: Any, wanted: str) -> None:
-        """Run the read."""
-        max_age_ms = 2000 if wanted == 'at most 2000 ms' else None
+    @when('a read of {freshness} is pooled')
+    def pool_read(context: Any, freshness: str) -> None:
+        """Run a read with a freshness requirement."""
+        max_age_ms = 2000 if freshness == 'at most 2000 ms' else None
         req = PooledRead(
             WorkScope('a', 'north', 'lookup', 1000),
             Statement('select'),
             BEGINNING,
             max_age_ms,
             0,
-            needs_leader=wanted == 'the present',
+            needs_leader=freshness == 'the present',
         )
         context.result = PooledStatementRunner(context.clock).read(
             context.member, req
@@ -117,7 +119,7 @@
     @staticmethod
     @then('the pooled read is {outcome}')
     def check_read(context: Any, outcome: str) -> None:
-        """Compare the outcome."""
+        """Compare the outcome: an answer or a failure code."""
         found = 'answered'
         if not isinstance(context.result, Success):
             found = context.result.failure().code
--- a/features/steps/tenants_steps.py
+++ b/features/steps/tenants_steps.py
@@ -1,4 +1,4 @@
-"""Steps on tenants that share a ledger by databases of their own."""
+"""Steps for tenants that share a ledger and have a database each."""
 
 from __future__ import annotations
 
@@ -28,30 +28,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Try:
+class _Attempt:
     kind: str
-    """What is tried."""
+    """Kind of the attempt, as in the feature's table."""
 
     message: Any
-    """Message."""
+    """Message that the tenant sends."""
 
     code: str
-    """Code of the refusal that is due."""
+    """Code of the expected refusal."""
 
 
 class TenantsSteps:
-    """Tries of every tenant at every database."""
+    """Steps that send messages of every tenant to every database."""
 
     @staticmethod
-    @given('a tenants host with the fault "{fault}"')
+    @given('an entry host for tenants with the fault "{fault}"')
     def make_host(context: Any, fault: str) -> None:
-        """Make a host with the example's declarations."""
+        """Build a host with the example's declarations."""
         context.host = TenantsHost(_EXAMPLE, FAULTS[fault])
 
     @staticmethod
-    @then('tenants of the example have these rights alone')
-    def check_rights(context: Any) -> None:
-        """Compare the rights with the table."""
+    @then('the tenants of the example have exactly these grants')
+    def check_grants(context: Any) -> None:
+        """Compare the grants with the table."""
         found = {
             (t.name, g.ledger, ' '.join(g.classes))
             for t in context.host.declarations.tenants
@@ -60,22 +60,22 @@
         assert found == {tuple(row.cells) for row in context.table}, found
 
     @staticmethod
-    @then('tenants are answered on their own databases alone')
-    def check_own(context: Any) -> None:
-        """Send each kind of message in each class."""
-        for tenant, right in context.host.rights.items():
+    @then('each tenant is answered only on its own database')
+    def check_own_database(context: Any) -> None:
+        """Send each kind of message in each class of the tenant."""
+        for tenant, grant in context.host.grants.items():
             caller = context.host.connect(tenant)
-            for name in right.classes:
-                _use(caller, name, right.ledger)
-                assert context.host.take_reached() == {right.ledger}
+            for name in grant.classes:
+                _check_access(caller, name, grant.ledger)
+                assert context.host.take_reached() == {grant.ledger}
 
     @staticmethod
-    @when('tenants try to reach the databases of all others')
-    def try_all(context: Any) -> None:
-        """Note the tries that were not refused as they should be."""
+    @when('each tenant tries to reach the databases of the other tenants')
+    def attempt_all(context: Any) -> None:
+        """Collect the attempts that were not refused as expected."""
         context.got_through = set()
-        for tenant, other in permutations(context.host.rights, 2):
-            for attempt in _make_tries(context.host, tenant, other):
+        for tenant, other in permutations(context.host.grants, 2):
+            for attempt in _make_attempts(context.host, tenant, other):
                 caller = context.host.connect(tenant)
                 context.host.take_reached()
                 reply = caller.send(attempt.message)
@@ -84,14 +84,14 @@
                     context.got_through.add(attempt.kind)
 
     @staticmethod
-    @then('tenants got through by {kinds}')
+    @then('the attempts that got through are {kinds}')
     def check_kinds(context: Any, kinds: str) -> None:
-        """Compare the kinds of the tries that got through."""
+        """Compare the kinds of the attempts that got through."""
         expected = set() if kinds == 'nothing' else set(kinds.split(', '))
         assert context.got_through == expected, context.got_through
 
 
-def _use(caller: TenantCaller, name: str, database: str) -> None:
+def _check_access(caller: TenantCaller, name: str, database: str) -> None:
     token = caller.token
     ran = caller.send(Execute('r1', name, database, 'sql', token=token))
     assert isinstance(ran, Answer), ran
@@ -107,26 +107,28 @@
     assert isinstance(ended, Answer), ended
 
 
-def _make_tries(host: TenantsHost, tenant: str, other: str) -> Iterator[_Try]:
-    own = host.rights[tenant]
+def _make_attempts(
+    host: TenantsHost, tenant: str, other: str
+) -> Iterator[_Attempt]:
+    own = host.grants[tenant]
     owner = host.connect(other)
     token = host.connect(tenant).token
-    target = host.rights[other].ledger
+    target = host.grants[other].ledger
     for name in own.classes:
-        for kind, message in _messages(name, target, token):
-            yield _Try(kind, message, 'not-authorized')
-        for _, message in _messages(name, own.ledger, owner.token):
-            yield _Try('token', message, 'invalid-token')
+        for kind, message in _make_messages(name, target, token):
+            yield _Attempt(kind, message, 'not-authorized')
+        for _, message in _make_messages(name, own.ledger, owner.token):
+            yield _Attempt('token', message, 'invalid-token')
         begun = owner.send(Begin(name, target, owner.token)).transaction
         for message in (
             Execute('r1', name, target, 'sql', transaction=begun),
             Commit(begun, 'r1', token),
             Rollback(begun),
         ):
-            yield _Try('open transaction', message, 'transaction-lost')
+            yield _Attempt('open transaction', message, 'transaction-lost')
 
 
-def _messages(
+def _make_messages(
     name: str, database: str, token: bytes
 ) -> tuple[tuple[str, Any], ...]:
     return (
--- a/features/tenants_apart.feature
+++ b/features/tenants_apart.feature
@@ -1,23 +1,23 @@
 Feature: Tenants that share a ledger
-  The members of the consortium share a ledger and are rivals: none reaches
-  a database of another's.
+  Competing tenants share one ledger. No tenant can reach a database of
+  another tenant.
 
-  Scenario: each member has one database, and no other has it
-    Given a tenants host with the fault "none"
-    Then tenants of the example have these rights alone
+  Scenario: each tenant has a database that no other tenant has
+    Given an entry host for tenants with the fault "none"
+    Then the tenants of the example have exactly these grants
       | tenant          | ledger          | classes                                               |
       | bulacan-sleeves | shared-ledger/0 | booking dispatch-update order-status catalogue-lookup |
       | cavite-sleeves  | shared-ledger/1 | booking dispatch-update order-status catalogue-lookup |
       | quezon-sleeves  | shared-ledger/2 | booking dispatch-update order-status catalogue-lookup |
 
-  Scenario: a tenant is served on its own database, whatever a statement in its transaction names
-    Given a tenants host with the fault "none"
-    Then tenants are answered on their own databases alone
+  Scenario: a statement of a transaction runs on the tenant's own database whichever it names
+    Given an entry host for tenants with the fault "none"
+    Then each tenant is answered only on its own database
 
-  Scenario Outline: tries at another's database are refused, and a fault lets them through
-    Given a tenants host with the fault "<fault>"
-    When tenants try to reach the databases of all others
-    Then tenants got through by <kinds>
+  Scenario Outline: attempts on other tenants' databases succeed only with a fault
+    Given an entry host for tenants with the fault "<fault>"
+    When each tenant tries to reach the databases of the other tenants
+    Then the attempts that got through are <kinds>
 
     Examples:
       | fault                                | kinds                           |
