--- a/features/channel.feature
+++ b/features/channel.feature
@@ -1,21 +1,21 @@
 Feature: Requests multiplexed over one connection
-  A caller gets the whole answer to its own request, and only its own,
-  and a fault of one request leaves the connection's others unharmed.
+  A caller gets the complete answer to its own request and no other. A
+  fault of one request does not affect other requests on the connection.
 
-  Scenario: answers that come in another order reach their own requests
-    Given a channel whose server answers the later request first
+  Scenario: answers in another order are matched to their requests
+    Given a channel to a server that answers the later request first
     When 8 requests are sent at once over the channel
-    Then each request on the channel got its own answer
+    Then each request on the channel has its own answer
 
-  Scenario: a message over the limit is refused and the connection goes on
-    Given a channel whose server answers at once
+  Scenario: a request over the size limit is refused and the connection stays open
+    Given a channel to a server that answers at once
     When a request over the size limit is sent over the channel
-    Then it is answered with the refusal "message-too-large"
+    Then the request on the channel is answered with the refusal "message-too-large"
     And a further request over the channel is answered
 
-  Scenario Outline: bytes that are no message are refused on the open connection
-    Given a channel whose server answers at once
-    When the frame "<hex>" is sent raw over the channel
+  Scenario Outline: a malformed frame is refused and the connection stays open
+    Given a channel to a server that answers at once
+    When the frame "<hex>" is sent as raw bytes over the channel
     Then the raw frame is answered with the refusal "malformed-message"
     And a further request over the channel is answered
 
@@ -26,18 +26,18 @@
       | 1903e763666f6fa0 |
       | 1903e76445786563 |
 
-  Scenario: an answer over the limit fails by type and the connection goes on
-    Given a channel whose server sends answers over the size limit
+  Scenario: an answer over the size limit fails and the connection stays open
+    Given a channel to a server that sends answers over the size limit
     When one request is sent over the channel
-    Then it fails as "result-too-large", run
+    Then the request on the channel fails as "result-too-large", run
     And the channel is still open
 
-  Scenario: a connection that ends fails the requests that wait on it
-    Given a channel whose server closes on each request
+  Scenario: a closed connection fails the requests that wait for answers
+    Given a channel to a server that closes on each request
     When one request is sent over the channel
-    Then it fails as "peer-unreachable", unknown
+    Then the request on the channel fails as "peer-unreachable", unknown
 
-  Scenario: requests before the greeting are refused
-    Given an entry host's connection without a greeting
+  Scenario: a request before the greeting is refused
+    Given a channel to an entry host before the greeting
     When one request is sent over the channel
-    Then it is answered with the refusal "not-authenticated"
+    Then the request on the channel is answered with the refusal "not-authenticated"
--- a/features/steps/channel_steps.py
+++ b/features/steps/channel_steps.py
@@ -1,4 +1,4 @@
-"""Steps on channels over loopback sockets."""
+"""Steps for channels over loopback sockets."""
 
 from __future__ import annotations
 
@@ -31,34 +31,34 @@
 
 
 class EchoHandler(Handler):
-    """Answers each request with its own identifier."""
+    """Handler that answers each request with its identifier."""
 
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Answer at once."""
+        """Answer immediately."""
         return Answer(rows=((message.request_id,),))
 
     def on_malformed(self, channel: Channel, failure: Failure) -> Any:
-        """Refuse by type."""
+        """Answer with the refusal of the failure."""
         return make_refusal(failure)
 
 
 class ReversingHandler(EchoHandler):
-    """Answers the last of eight requests first."""
+    """Handler that answers eight requests in reverse order."""
 
     def __init__(self) -> None:
         self._answered = [Event() for _ in range(9)]
         self._answered[8].set()
 
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Answer once the next request has been answered."""
+        """Answer after the next request has been answered."""
         number = int(message.request_id)
         self._answered[number + 1].wait()
         gevent.spawn(self._answered[number].set)
         return super().on_request(channel, message)
 
 
-class LargeHandler(EchoHandler):
-    """Sends answers over the size limit."""
+class LargeAnswerHandler(EchoHandler):
+    """Handler that sends answers over the size limit."""
 
     def on_request(self, channel: Channel, message: Any) -> Any:
         """Answer with one large row."""
@@ -66,10 +66,10 @@
 
 
 class ClosingHandler(EchoHandler):
-    """Closes the connection on each request."""
+    """Handler that closes the connection on each request."""
 
     def on_request(self, channel: Channel, message: Any) -> Any:
-        """Close instead of an answer."""
+        """Close the connection before the answer is sent."""
         channel.close()
         return Answer()
 
@@ -77,16 +77,16 @@
 HANDLERS = {
     'answers the later request first': ReversingHandler,
     'answers at once': EchoHandler,
-    'sends answers over the size limit': LargeHandler,
+    'sends answers over the size limit': LargeAnswerHandler,
     'closes on each request': ClosingHandler,
 }
 
 
-def _execute(request_id: str, sql: str = 'select 1') -> Execute:
+def _make_request(request_id: str, sql: str = 'select 1') -> Execute:
     return Execute(request_id, 'lookup', 'ledger/0', sql)
 
 
-def _open(context: Any, handler: Handler) -> None:
+def _open_channel(context: Any, handler: Handler) -> None:
     listener = Listener(Endpoint('127.0.0.1', 0), CALLER_CODEC, handler)
     listener.start()
     context.cleanups.append(listener.stop)
@@ -97,26 +97,29 @@
 
 
 class ChannelSteps:
-    """Sends requests over a channel to a scripted server."""
+    """Steps that send requests over a channel to a scripted server."""
 
     @staticmethod
-    @given('a channel whose server {behaviour}')
+    @given('a channel to a server that {behaviour}')
     def open_channel(context: Any, behaviour: str) -> None:
-        """Listen and dial on loopback."""
-        _open(context, HANDLERS[behaviour]())
+        """Listen and connect over loopback."""
+        _open_channel(context, HANDLERS[behaviour]())
 
     @staticmethod
-    @given("an entry host's connection without a greeting")
-    def open_entry(context: Any) -> None:
-        """Listen with the entry role, which has no parts yet to use."""
-        _open(context, CallerServer(None))
+    @given('a channel to an entry host before the greeting')
+    def open_entry_channel(context: Any) -> None:
+        """Listen as an entry host without components.
+
+        A request before the greeting must not need any component.
+        """
+        _open_channel(context, CallerServer(None))
 
     @staticmethod
     @when('{count:d} requests are sent at once over the channel')
     def send_many(context: Any, count: int) -> None:
-        """Send all, then wait for all."""
+        """Send all requests at once, then wait for all replies."""
         context.calls = [
-            gevent.spawn(context.channel.call, _execute(str(number)))
+            gevent.spawn(context.channel.call, _make_request(str(number)))
             for number in range(count)
         ]
         gevent.joinall(context.calls)
@@ -125,19 +128,19 @@
     @when('one request is sent over the channel')
     def send_one(context: Any) -> None:
         """Send one request."""
-        context.reply = context.channel.call(_execute('1'))
+        context.reply = context.channel.call(_make_request('1'))
 
     @staticmethod
     @when('a request over the size limit is sent over the channel')
     def send_large(context: Any) -> None:
-        """Send one request that is too large."""
+        """Send one request over the size limit."""
         sql = 'x' * (MAX_MESSAGE_BYTES + 1)
-        context.reply = context.channel.call(_execute('1', sql))
+        context.reply = context.channel.call(_make_request('1', sql))
 
     @staticmethod
-    @when('the frame "{data}" is sent raw over the channel')
+    @when('the frame "{data}" is sent as raw bytes over the channel')
     def send_raw(context: Any, data: str) -> None:
-        """Send bytes that are no message."""
+        """Send raw bytes and wait for a reply with their sequence number."""
         channel = context.channel
         waiter = channel._waiters[RAW_SEQUENCE] = AsyncResult()
         channel._protocol.send_binary(bytes.fromhex(data))
@@ -145,16 +148,16 @@
         context.reply = waiter.get()
 
     @staticmethod
-    @then('each request on the channel got its own answer')
-    def check_own(context: Any) -> None:
-        """Compare the identifiers."""
+    @then('each request on the channel has its own answer')
+    def check_own_answers(context: Any) -> None:
+        """Compare the identifiers in the answers."""
         rows = [call.get().unwrap().rows for call in context.calls]
         assert rows == [((str(n),),) for n in range(len(rows))], rows
 
     @staticmethod
-    @then('it is answered with the refusal "{code}"')
+    @then('the request on the channel is answered with the refusal "{code}"')
     def check_refusal(context: Any, code: str) -> None:
-        """Expect a typed refusal."""
+        """Compare the code of the refusal."""
         reply = context.reply.unwrap()
         assert isinstance(reply, Refusal)
         assert reply.code == code
@@ -162,20 +165,20 @@
     @staticmethod
     @then('the raw frame is answered with the refusal "{code}"')
     def check_raw_refusal(context: Any, code: str) -> None:
-        """Expect a typed refusal under the frame's own number."""
+        """Compare the code of the refusal with the frame's sequence number."""
         ChannelSteps.check_refusal(context, code)
 
     @staticmethod
     @then('a further request over the channel is answered')
-    def check_further(context: Any) -> None:
-        """Send one more."""
-        reply = context.channel.call(_execute('2')).unwrap()
+    def check_next_request(context: Any) -> None:
+        """Send one more request and compare its answer."""
+        reply = context.channel.call(_make_request('2')).unwrap()
         assert reply.rows == (('2',),)
 
     @staticmethod
-    @then('it fails as "{code}", {state:w}')
+    @then('the request on the channel fails as "{code}", {state:w}')
     def check_failure(context: Any, code: str, state: str) -> None:
-        """Expect a typed failure."""
+        """Compare the failure code and the run state."""
         assert not isinstance(context.reply, Success)
         failure = context.reply.failure()
         assert failure.code == code, failure
@@ -184,5 +187,5 @@
     @staticmethod
     @then('the channel is still open')
     def check_open(context: Any) -> None:
-        """Expect a working connection."""
+        """Check that the channel is open."""
         assert context.channel.is_open
--- a/features/steps/tls_steps.py
+++ b/features/steps/tls_steps.py
@@ -1,4 +1,4 @@
-"""Steps on TLS between processes."""
+"""Steps for TLS between processes."""
 
 from __future__ import annotations
 
@@ -35,41 +35,41 @@
     return TlsSettings(path, path, f'{path}.ca')
 
 
-def _anonymous_context(cfg: TlsSettings) -> ssl.SSLContext:
+def _make_anonymous_context(cfg: TlsSettings) -> ssl.SSLContext:
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.load_verify_locations(cfg.authorities)
     return context
 
 
 class TlsSteps:
-    """Calls a host's peer port over loopback."""
+    """Steps that connect to a host's peer port over loopback."""
 
     @staticmethod
     @given("a host's peer port with TLS")
     def listen(context: Any) -> None:
-        """Listen with a certificate of the common authority."""
+        """Listen with a certificate of the same authority as the peer's."""
         TlsSteps._make_certificates(context)
         TlsSteps._listen(context, context.host_cfg)
 
     @staticmethod
-    @given("a host's peer port with TLS of another authority")
-    def listen_foreign(context: Any) -> None:
+    @given("a host's peer port with a TLS certificate of another authority")
+    def listen_with_other_authority(context: Any) -> None:
         """Listen with a certificate of another authority."""
         TlsSteps._make_certificates(context)
-        TlsSteps._listen(context, context.foreign_cfg)
+        TlsSteps._listen(context, context.other_authority_cfg)
 
     @staticmethod
-    @when('a peer {with_what} calls it')
-    def call(context: Any, with_what: str) -> None:
-        """Dial and greet."""
+    @when('a peer {with_what} connects to the port')
+    def connect(context: Any, with_what: str) -> None:
+        """Connect and send the greeting."""
         contexts = {
             'without TLS': None,
-            'without a certificate': _anonymous_context(context.peer_cfg),
+            'without a certificate': _make_anonymous_context(context.peer_cfg),
             'with a certificate of another authority': (
                 make_peer_client_context(
                     TlsSettings(
-                        context.foreign_cfg.certificate,
-                        context.foreign_cfg.key,
+                        context.other_authority_cfg.certificate,
+                        context.other_authority_cfg.key,
                         context.peer_cfg.authorities,
                     )
                 )
@@ -79,24 +79,26 @@
             ),
         }
         hello = PeerHello('host-2', 'zone', 1, 'secret')
-        dialled = dial(
+        channel_result = dial(
             Endpoint(ADDRESS, context.port),
             PEER_CODEC,
             tls=contexts[with_what],
         )
-        context.reply = dialled.bind(lambda channel: channel.call(hello))
+        context.reply = channel_result.bind(
+            lambda channel: channel.call(hello)
+        )
 
     @staticmethod
-    @then('the TLS call is answered')
+    @then('the greeting over TLS is answered')
     def check_answered(context: Any) -> None:
-        """Expect the host's welcome."""
+        """Check that the reply is the host's welcome."""
         assert isinstance(context.reply, Success), context.reply
         assert isinstance(context.reply.unwrap(), PeerWelcome)
 
     @staticmethod
-    @then('the TLS call fails as "{code}"')
+    @then('the greeting over TLS fails as "{code}"')
     def check_failed(context: Any, code: str) -> None:
-        """Expect no answer."""
+        """Compare the failure code."""
         assert not isinstance(context.reply, Success), context.reply
         assert context.reply.failure().code == code
 
@@ -108,7 +110,7 @@
         path = Path(folder.name)
         context.host_cfg = _issue(common, path, 'host')
         context.peer_cfg = _issue(common, path, 'peer')
-        context.foreign_cfg = _issue(other, path, 'foreign')
+        context.other_authority_cfg = _issue(other, path, 'foreign')
 
     @staticmethod
     def _listen(context: Any, cfg: TlsSettings) -> None:
--- a/features/steps/wire_steps.py
+++ b/features/steps/wire_steps.py
@@ -1,4 +1,4 @@
-"""Steps on frames."""
+"""Steps for frames on the wire."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     @staticmethod
     @given("a caller's request with every kind of parameter")
     def make_request(context: Any) -> None:
-        """Build a request with a value of each type."""
+        """Build a request with a parameter of each type."""
         context.request = Execute(
             'r-1',
             'filing',
@@ -34,48 +34,48 @@
         )
 
     @staticmethod
-    @when('it is encoded and decoded')
-    def convert_request(context: Any) -> None:
-        """Send the request through the codec."""
+    @when('the request is encoded and decoded')
+    def encode_and_decode(context: Any) -> None:
+        """Encode the request and decode the frame."""
         data = CALLER_CODEC.encode(5, context.request)
         context.frame = CALLER_CODEC.decode(data).unwrap()
 
     @staticmethod
-    @then('the same request comes out')
-    def compare_request(context: Any) -> None:
-        """Compare with the original."""
+    @then('the decoded request equals the original')
+    def check_request(context: Any) -> None:
+        """Compare the frame with the original request."""
         assert context.frame.sequence == 5
         assert context.frame.message == context.request
 
     @staticmethod
     @when('the frame "{data}" is decoded')
     def decode_frame(context: Any, data: str) -> None:
-        """Decode raw bytes."""
+        """Decode a frame of raw bytes."""
         context.data = bytes.fromhex(data)
         context.decoded = CALLER_CODEC.decode(context.data)
 
     @staticmethod
-    @then('it is refused as malformed')
+    @then('the frame is refused as malformed')
     def check_malformed(context: Any) -> None:
-        """Expect the typed failure."""
+        """Check the class of the failure."""
         assert not is_successful(context.decoded)
         assert isinstance(context.decoded.failure(), MalformedMessage)
 
     @staticmethod
-    @then('its sequence number is {sequence:d}')
+    @then("the frame's sequence number is {sequence:d}")
     def check_sequence(context: Any, sequence: int) -> None:
-        """Compare the sequence number that a refusal would carry."""
+        """Compare the sequence number that the refusal would use."""
         found = CALLER_CODEC.decode_sequence(context.data)
         assert found == sequence
 
     @staticmethod
     @when('the failure "{code}" is read from the wire')
     def read_failure(context: Any, code: str) -> None:
-        """Turn a wire form into a typed failure."""
+        """Convert a failure message into a typed failure."""
         context.failure = read_failure(PooledFailure(code))
 
     @staticmethod
-    @then('it is the very class that decisions test for')
+    @then('the failure is of the class that the delivery filter tests for')
     def check_failure(context: Any) -> None:
-        """Expect the class itself, not a copy of the same name."""
+        """Check for the class itself, not for another class of that name."""
         assert isinstance(context.failure, ReplicaBehind)
--- a/features/tls.feature
+++ b/features/tls.feature
@@ -1,15 +1,16 @@
 Feature: TLS between processes
-  Hosts show certificates to each other; callers check the host's.
+  Hosts verify each other's certificates; callers verify the certificate
+  of the host.
 
-  Scenario: hosts that show certificates of the authority talk
+  Scenario: hosts with certificates of the same authority can connect
     Given a host's peer port with TLS
-    When a peer with a certificate of the same authority calls it
-    Then the TLS call is answered
+    When a peer with a certificate of the same authority connects to the port
+    Then the greeting over TLS is answered
 
-  Scenario Outline: a peer without the right certificate is kept out
+  Scenario Outline: a peer without a valid certificate is rejected
     Given a host's peer port with TLS
-    When a peer <with> calls it
-    Then the TLS call fails as "peer-unreachable"
+    When a peer <with> connects to the port
+    Then the greeting over TLS fails as "peer-unreachable"
 
     Examples:
       | with                                    |
@@ -17,7 +18,7 @@
       | without a certificate                   |
       | with a certificate of another authority |
 
-  Scenario: a host whose certificate is of another authority is refused
-    Given a host's peer port with TLS of another authority
-    When a peer with a certificate of the same authority calls it
-    Then the TLS call fails as "peer-unreachable"
+  Scenario: a peer rejects a host whose certificate is of another authority
+    Given a host's peer port with a TLS certificate of another authority
+    When a peer with a certificate of the same authority connects to the port
+    Then the greeting over TLS fails as "peer-unreachable"
--- a/features/wire.feature
+++ b/features/wire.feature
@@ -1,15 +1,16 @@
 Feature: Frames on the wire
-  Each caller gets the whole answer to its own request, and only that.
+  Messages survive encoding, and malformed frames are refused with the
+  sequence number of their request.
 
   Scenario: a message survives encoding and decoding
     Given a caller's request with every kind of parameter
-    When it is encoded and decoded
-    Then the same request comes out
+    When the request is encoded and decoded
+    Then the decoded request equals the original
 
   Scenario Outline: a malformed frame is refused with its sequence number
     When the frame "<hex>" is decoded
-    Then it is refused as malformed
-    And its sequence number is <sequence>
+    Then the frame is refused as malformed
+    And the frame's sequence number is <sequence>
 
     Examples:
       | hex            | sequence |
@@ -18,6 +19,6 @@
       | ff             | 0        |
       | 6161           | 0        |
 
-  Scenario: a refusal read from the wire is of the type that was sent
+  Scenario: a failure read from the wire has the class that was sent
     When the failure "replica-behind" is read from the wire
-    Then it is the very class that decisions test for
+    Then the failure is of the class that the delivery filter tests for
