--- a/features/client_errors.feature
+++ b/features/client_errors.feature
@@ -1,8 +1,8 @@
-Feature: Every error stands on its page
-  Callers look up in docs/ERRORS.md whether a request has run and whether
-  it may be sent again.
+Feature: The page of errors matches the catalogue of failures
+  docs/ERRORS.md states for each error whether the request has run and
+  whether it may be sent again.
 
-  Scenario: the page agrees with the catalogue
+  Scenario: each failure has a row on the page
     When the errors of the page "docs/ERRORS.md" are compared with the catalogue
-    Then each error has the row that the catalogue gives
+    Then the page has exactly the rows of the catalogue
     And no two errors share a code
--- a/features/client_generated.feature
+++ b/features/client_generated.feature
@@ -1,17 +1,17 @@
 Feature: The client under generated faults
-  Whatever breaks and in whatever order, an answer means that the request
-  ran once, and "not run" means that it never runs.
+  With any sequence of connection breaks and refusals, an answered request
+  has run once and a request reported as "not run" never runs.
 
   Scenario: single statements
-    Given entry hosts that break and refuse in 300 generated orders
-    When a client writes through them with single statements
-    Then each answered write ran once
-    And each write told as not run never ran
+    Given entry hosts with faults in 300 generated sequences
+    When a client writes through the hosts with single statements
+    Then each answered write ran exactly once
+    And no write that was reported as not run has run
     And no write ran twice
 
   Scenario: transactions
-    Given entry hosts that break and refuse in 300 generated orders
-    When a client writes through them in transactions
-    Then each answered write ran once
-    And each write told as not run never ran
+    Given entry hosts with faults in 300 generated sequences
+    When a client writes through the hosts in transactions
+    Then each answered write ran exactly once
+    And no write that was reported as not run has run
     And no write ran twice
--- a/features/client_retry.feature
+++ b/features/client_retry.feature
@@ -1,16 +1,16 @@
-Feature: The client repeats only what may be repeated
-  A request takes effect at most once, "not run" is true, and a session
-  goes on at another entry host.
+Feature: Retries of the client
+  A request takes effect at most once, a request reported as "not run" has
+  never run, and a session continues at another entry host.
 
   Background:
     Given a client of 2 entry hosts
 
-  Scenario Outline: a write whose host dies runs once
-    Given the client's host breaks at "Execute" <moment>
-    When the client runs "insert" on its own
+  Scenario Outline: a write runs once when its host fails
+    Given the client's host breaks its connection at "Execute" <moment>
+    When the client runs "insert" as a single statement
     Then the client gets an answer
     And the database has run "insert" 1 times
-    And the client has moved to another host
+    And the client is connected to another host
     And every attempt of the client had the same request id
 
     Examples:
@@ -18,89 +18,89 @@
       | before it is taken |
       | after it has run   |
 
-  Scenario: a draining host is left at once for another
-    Given the client's host refuses "Execute" with "draining"
-    When the client runs "insert" on its own
+  Scenario: the client moves from a draining host to another without a pause
+    Given the client's host refuses the next "Execute" with "draining"
+    When the client runs "insert" as a single statement
     Then the client gets an answer
-    And the client has moved to another host
+    And the client is connected to another host
     And the client has not paused
 
-  Scenario: a refusal that may be repeated is repeated after a pause
-    Given the client's host refuses "Execute" with "no-upstream"
-    When the client runs "insert" on its own
+  Scenario: a request is repeated after a pause when its refusal allows it
+    Given the client's host refuses the next "Execute" with "no-upstream"
+    When the client runs "insert" as a single statement
     Then the client gets an answer
     And the client has paused 1 times
 
-  Scenario: a refusal in overload is not repeated
-    Given the client's host refuses "Execute" with "overloaded"
-    When the client runs "insert" on its own
+  Scenario: a request that is refused as overloaded is not repeated
+    Given the client's host refuses the next "Execute" with "overloaded"
+    When the client runs "insert" as a single statement
     Then the client gets the error "OverloadedError" with "overloaded" and "not-run"
     And the client has sent "Execute" 1 times
 
-  Scenario: a refusal of a repeat says nothing of the first attempt
-    Given the client's host breaks at "Execute" after it has run
-    And every other host refuses "Execute" with "no-upstream" for ever
-    And the client's host refuses "Execute" with "no-upstream" for ever
-    When the client runs "insert" on its own
+  Scenario: a refused repeat does not settle the outcome of the first attempt
+    Given the client's host breaks its connection at "Execute" after it has run
+    And every other host always refuses "Execute" with "no-upstream"
+    And the client's host always refuses "Execute" with "no-upstream"
+    When the client runs "insert" as a single statement
     Then the client gets the error "OutcomeUnknownError" with "outcome-unknown" and "unknown"
-    And the error tells the request id under which "insert" ran
+    And the error has the request id under which "insert" ran
 
-  Scenario: a doubtful "not run" is settled by a look-up
-    Given the client's host breaks at "Execute" after it has run
-    And the other host refuses "Execute" with "not-run"
-    When the client runs "insert" on its own
+  Scenario: a look-up settles a "not run" that may concern only the last attempt
+    Given the client's host breaks its connection at "Execute" after it has run
+    And the other host refuses the next "Execute" with "not-run"
+    When the client runs "insert" as a single statement
     Then the client gets an answer
     And the database has run "insert" 1 times
 
-  Scenario: a request that was abandoned is repeated under a new id
-    Given the client's host breaks at "Execute" before it is taken
-    And the other host refuses "Execute" with "not-run"
-    When the client runs "insert" on its own
+  Scenario: an abandoned request is repeated under a new request id
+    Given the client's host breaks its connection at "Execute" before it is taken
+    And the other host refuses the next "Execute" with "not-run"
+    When the client runs "insert" as a single statement
     Then the client gets an answer
     And the database has run "insert" 1 times
-    And the abandoned request id never runs
+    And no write has run under the abandoned request id
 
-  Scenario: a program's own request id is never replaced
-    Given the client's host refuses "Execute" with "not-run"
-    When the client runs "insert" on its own as "order-7"
+  Scenario: a request id that the application has set is never replaced
+    Given the client's host refuses the next "Execute" with "not-run"
+    When the client runs "insert" as a single statement with the request id "order-7"
     Then the client gets the error "NotRunError" with "not-run" and "not-run"
     And the client has sent "Execute" 1 times
 
   Scenario: attempts end within the deadline
-    Given every host refuses "Execute" with "no-upstream" for ever
-    When the client runs "insert" on its own
+    Given every host always refuses "Execute" with "no-upstream"
+    When the client runs "insert" as a single statement
     Then the client gets the error "NotRunError" with "no-upstream" and "not-run"
     And the client has waited at most 10 seconds
     And the client has sent "Execute" at most 16 times
 
-  Scenario: a request over which every host went down stays unknown
+  Scenario: the outcome is unknown when every host fails during a request
     Given every host of the client is down
-    When the client runs "insert" on its own
+    When the client runs "insert" as a single statement
     Then the client gets the error "OutcomeUnknownError" with "outcome-unknown" and "unknown"
 
-  Scenario: a request that no host could be reached for has not run
+  Scenario: a request has not run when no host can be reached
     Given every host of the client is down
-    And the client runs "insert" on its own
-    When the client runs "insert" on its own
+    And the client runs "insert" as a single statement
+    When the client runs "insert" as a single statement
     Then the client gets the error "NotRunError" with "host-unreachable" and "not-run"
 
-  Scenario: a client leaves a host that goes on refusing
-    Given the client's host refuses "Execute" with "no-upstream" for ever
-    When the client runs "insert" on its own
+  Scenario: the client moves from a host that keeps refusing
+    Given the client's host always refuses "Execute" with "no-upstream"
+    When the client runs "insert" as a single statement
     Then the client gets an answer
-    And the client has moved to another host
+    And the client is connected to another host
     And the client has sent "Execute" 5 times
 
-  Scenario: an answer of another kind closes the connection
-    Given the client's host answers "Execute" with a message of another kind
-    When the client runs "insert" on its own
+  Scenario: an answer of another type closes the connection
+    Given the client's host answers "Execute" with a message of another type
+    When the client runs "insert" as a single statement
     Then the client gets an answer
     And the database has run "insert" 1 times
-    And the client has moved to another host
+    And the client is connected to another host
 
-  Scenario Outline: each typed refusal has its exception
-    Given the client's host refuses "Execute" with "<code>"
-    When the client runs "insert" on its own
+  Scenario Outline: each refusal code raises its exception
+    Given the client's host refuses the next "Execute" with "<code>"
+    When the client runs "insert" as a single statement
     Then the client gets the error "<error>" with "<code>" and "<run state>"
     And the client has sent "Execute" 1 times
 
@@ -117,9 +117,9 @@
       | statement-failed  | StatementFailedError  | not-run   |
       | result-too-large  | ResultTooLargeError   | run       |
 
-  Scenario Outline: other refusals are told by what they say of the run
-    Given every host refuses "Execute" with "<code>" for ever
-    When the client runs "insert" on its own
+  Scenario Outline: other refusals raise the exception of their run state
+    Given every host always refuses "Execute" with "<code>"
+    When the client runs "insert" as a single statement
     Then the client gets the error "<error>" with "<told>" and "<run state>"
 
     Examples:
@@ -133,7 +133,7 @@
       | outcome-unknown  | OutcomeUnknownError  | outcome-unknown  | unknown   |
       | peer-unreachable | OutcomeUnknownError  | outcome-unknown  | unknown   |
 
-  Scenario: wrong credentials are told when connecting
-    Given every host refuses "Hello" with "not-authenticated" for ever
+  Scenario: wrong credentials raise an error on connecting
+    Given every host always refuses "Hello" with "not-authenticated"
     When the client connects
     Then the client gets the error "NotAuthenticatedError" with "not-authenticated" and "not-run"
--- a/features/fakes/client_rig.py
+++ b/features/fakes/client_rig.py
@@ -1,4 +1,4 @@
-"""A client with its fake hosts."""
+"""A client connected to simulated entry hosts."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from trefoilpulley_client import Error
 
 SEED = 7
-"""Seed of request ids, pauses and the order of hosts."""
+"""Seed of the request ids, the pauses and the order of hosts."""
 
 
-class Client:
-    """A client with its fake hosts."""
+class ClientRig:
+    """Client, its simulated entry hosts, and the result of its last call."""
 
     def __init__(self, hosts: int) -> None:
         self.database = FakeDatabase()
@@ -27,13 +27,13 @@
         }
         self.timer = VirtualTimer()
         self.error: Error | None = None
-        self.answered = False
+        self.is_answered = False
         self.connection = self.connect()
         self.cursor = self.connection.cursor()
-        self.first = self.host_named(self.connection.host)
+        self.first_host = self.find_host(self.connection.host)
 
     def connect(self, **options: Any) -> Any:
-        """Open a connection to the fake hosts."""
+        """Open a connection to the simulated hosts."""
         return connect(
             options.pop('hosts', [f'10.0.0.1:{p}' for p in self.hosts]),
             'tenant',
@@ -46,16 +46,16 @@
             **options,
         )
 
-    def host_named(self, name: str) -> FakeHost:
-        """Return a host."""
+    def find_host(self, name: str) -> FakeHost:
+        """Return the host with a name."""
         return next(h for h in self.hosts.values() if h.name == name)
 
-    def others(self) -> list[FakeHost]:
-        """Return the hosts but for the first one in use."""
-        return [h for h in self.hosts.values() if h is not self.first]
+    def other_hosts(self) -> list[FakeHost]:
+        """Return all hosts except the one that was connected first."""
+        return [h for h in self.hosts.values() if h is not self.first_host]
 
-    def sent(self, kind: str) -> list[Any]:
-        """Return the messages of a type that hosts have taken."""
+    def received_messages(self, kind: str) -> list[Any]:
+        """Return the messages of a type that the hosts have received."""
         return [
             m
             for h in self.hosts.values()
@@ -64,11 +64,11 @@
         ]
 
     def attempt(self, call: Any, *args: Any, **options: Any) -> None:
-        """Call and keep the error."""
+        """Make a call and record its error or its success."""
         self.error = None
-        self.answered = False
+        self.is_answered = False
         try:
             call(*args, **options)
-            self.answered = True
+            self.is_answered = True
         except Error as exc:
             self.error = exc
--- a/features/fakes/fake_entry.py
+++ b/features/fakes/fake_entry.py
@@ -1,4 +1,4 @@
-"""Entry hosts in memory that share one database, with faults to order."""
+"""Simulated entry hosts that share one database, with scripted faults."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
     from trefoilpulley_core.catalog import Endpoint
     from trefoilpulley_core.failure import Failure
 
-BROKEN = Failed(PeerUnreachable('broken'))
+CONNECTION_LOST = Failed(PeerUnreachable('broken'))
 
 
-class Break(StrEnum):
-    """Moments at which a connection breaks."""
+class BreakMoment(StrEnum):
+    """Moments of a request at which its connection breaks."""
 
     BEFORE = 'before it is taken'
     AFTER = 'after it has run'
 
 
 class VirtualTimer(Timer):
-    """Time that passes only in sleeps."""
+    """Timer whose virtual time passes only during sleeps."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -45,65 +45,66 @@
         return self.time
 
     def sleep(self, seconds: float) -> None:
-        """Let time pass."""
+        """Record the pause and advance virtual time, in seconds."""
         self.sleeps.append(seconds)
         self.time += seconds
 
 
 @dataclass
 class FakeDatabase:
-    """Outcomes by request id, as the members keep them."""
+    """Database that stores outcomes by request id, as members do."""
 
     outcomes: dict[str, caller.Answer | None] = field(default_factory=dict)
-    """Kept answers; ``None`` under an abandoned id."""
+    """Stored answers; ``None`` for an abandoned request id."""
 
     runs: list[tuple[str, ...]] = field(default_factory=list)
     """Statements of each write that took effect."""
 
     def write(self, request_id: str, sql: tuple[str, ...]) -> Any:
-        """Run a write once for its request id."""
+        """Run a write at most once for its request id."""
         if request_id not in self.outcomes:
             self.runs.append(sql)
             token = b'token-%d' % len(self.runs)
             self.outcomes[request_id] = caller.Answer(
                 ('n',), ((len(self.runs),),), 1, token, 'ledger/0/a'
             )
-        return self._tell(request_id)
+        return self._stored_reply(request_id)
 
     def look_up(self, request_id: str) -> Any:
         """Return an outcome, or abandon the request id."""
         self.outcomes.setdefault(request_id, None)
-        return self._tell(request_id)
+        return self._stored_reply(request_id)
 
-    def _tell(self, request_id: str) -> Any:
+    def _stored_reply(self, request_id: str) -> Any:
         return self.outcomes[request_id] or make_refusal('not-run')
 
 
 @dataclass
 class FakeHost:
-    """One entry host."""
+    """Simulated entry host."""
 
     name: str
     database: FakeDatabase
     is_up: bool = True
     orders: list[tuple[str, Any]] = field(default_factory=list)
-    """Type of a message, or ``*``, and what it meets.
+    """Pairs of a message type, or ``*`` for any type, and its reply.
 
-    That is a break, a reply, or a function of host and message.
+    The reply is a message, the moment of a break, or a function of the
+    host and the message.
     """
 
     received: list[Any] = field(default_factory=list)
     transactions: dict[str, list[str]] = field(default_factory=dict)
 
-    def take_order(self, message: Any) -> Any:
-        """Return the order for a message, or ``None``."""
+    def pop_reply(self, message: Any) -> Any:
+        """Remove and return the scripted reply to a message, or ``None``."""
         expected = ('*', type(message).__name__)
         if self.orders and self.orders[0][0] in expected:
             return self.orders.pop(0)[1]
         return None
 
     def serve(self, message: Any) -> Any:
-        """Return the reply to a message."""
+        """Serve a message and return the reply."""
         transaction = getattr(message, 'transaction', '')
         if transaction and transaction not in self.transactions:
             return make_refusal('transaction-lost')
@@ -133,40 +134,40 @@
 
 
 class FakeTransport(Transport):
-    """Connection to a fake host."""
+    """Connection to a simulated host."""
 
     def __init__(self, host: FakeHost) -> None:
         self._host = host
         self.is_open = True
 
     def call(self, message: Any, timeout_s: float) -> Result[Any, Failure]:
-        """Serve the message, or break as ordered."""
+        """Serve the message, or apply the scripted reply or break."""
         assert self.is_open, 'call on a closed connection'
         if not self._host.is_up:
             return self._break()
-        order = self._host.take_order(message)
-        if order is Break.BEFORE:
+        reply = self._host.pop_reply(message)
+        if reply is BreakMoment.BEFORE:
             return self._break()
         self._host.received.append(message)
-        if order is Break.AFTER:
+        if reply is BreakMoment.AFTER:
             self._host.serve(message)
             return self._break()
-        if callable(order):
-            return Success(order(self._host, message))
-        return Success(order or self._host.serve(message))
+        if callable(reply):
+            return Success(reply(self._host, message))
+        return Success(reply or self._host.serve(message))
 
     def close(self) -> None:
-        """Close; the host rolls back what is open."""
+        """Close; the host rolls its open transactions back."""
         self.is_open = False
         self._host.transactions.clear()
 
     def _break(self) -> Result[Any, Failure]:
         self.close()
-        return BROKEN
+        return CONNECTION_LOST
 
 
 class FakeDialer(Dialer):
-    """Dials fake hosts by their port."""
+    """Dialer that finds simulated hosts by their port."""
 
     def __init__(self, hosts: dict[int, FakeHost]) -> None:
         self._hosts = hosts
@@ -176,10 +177,12 @@
     ) -> Result[Transport, Failure]:
         """Open a connection to a host that is up."""
         host = self._hosts[endpoint.port]
-        return Success(FakeTransport(host)) if host.is_up else BROKEN
+        return Success(FakeTransport(host)) if host.is_up else CONNECTION_LOST
 
 
 def make_refusal(code: str) -> caller.Refusal:
-    """Return the refusal of a failure of the catalogue."""
-    kind = failures_by_code()[code]
-    return caller.Refusal(code, kind.run_state.value, kind.is_repeatable)
+    """Return the refusal for a failure code of the catalogue."""
+    failure_type = failures_by_code()[code]
+    return caller.Refusal(
+        code, failure_type.run_state.value, failure_type.is_repeatable
+    )
--- a/features/steps/client_generated_steps.py
+++ b/features/steps/client_generated_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the client under generated faults."""
+"""Steps for the client under generated faults."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from hypothesis import settings
 from hypothesis import strategies
 
-from features.fakes.client_rig import Client
-from features.fakes.fake_entry import Break
+from features.fakes.client_rig import ClientRig
+from features.fakes.fake_entry import BreakMoment
 from features.fakes.fake_entry import FakeHost
 from features.fakes.fake_entry import make_refusal
 from trefoilpulley_client import Error
 from trefoilpulley_core import caller
 from trefoilpulley_core.failure import RunState
 
-WRITES = 3
-"""Writes under each order of faults."""
+WRITE_COUNT = 3
+"""Number of writes under each sequence of faults."""
 
 
 def answer_unknown(host: FakeHost, message: Any) -> Any:
-    """Run the message and lose its outcome on the host's side."""
+    """Serve the message but refuse with an unknown outcome."""
     if not isinstance(message, caller.Hello):
         host.serve(message)
     return make_refusal('outcome-unknown')
 
 
 def refuse_attempt(host: FakeHost, message: Any) -> Any:
-    """Say of this attempt alone that it has not run."""
+    """Refuse this attempt as not run without abandoning the request id."""
     if isinstance(message, caller.Execute):
         return make_refusal('not-run')
     return make_refusal('no-upstream')
 
 
-def abandon(host: FakeHost, message: Any) -> Any:
-    """Abandon the request id, as a host does that settles a write."""
+def abandon_request(host: FakeHost, message: Any) -> Any:
+    """Abandon the request id, as a host that looks the outcome up does."""
     if isinstance(message, caller.Execute) and not message.transaction:
         return host.database.look_up(message.request_id)
     return make_refusal('no-upstream')
@@ -47,34 +47,34 @@
 
 FAULTS = (
     None,
-    Break.BEFORE,
-    Break.AFTER,
+    BreakMoment.BEFORE,
+    BreakMoment.AFTER,
     make_refusal('no-upstream'),
     make_refusal('draining'),
     make_refusal('overloaded'),
     make_refusal('outcome-unknown'),
     answer_unknown,
     refuse_attempt,
-    abandon,
+    abandon_request,
 )
-"""What a message may meet; ``None`` stands for service."""
+"""Possible replies to a message; ``None`` stands for normal service."""
 
 
 def serve(host: FakeHost, message: Any) -> Any:
-    """Serve a message."""
+    """Serve a message without a fault."""
     return host.serve(message)
 
 
 class Outcomes:
-    """What the client was told, and what ran."""
+    """Number of runs of each write, by the outcome that was reported."""
 
     def __init__(self) -> None:
         self.answered: list[int] = []
         self.not_run: list[int] = []
         self.unknown: list[int] = []
 
-    def judge(self, client: Client, sql: str, exc: Error | None) -> None:
-        """Compare one outcome with the database at the very end."""
+    def record(self, client: ClientRig, sql: str, exc: Error | None) -> None:
+        """Record the runs of a write after the last write has ended."""
         runs = Counter(s for run in client.database.runs for s in run)[sql]
         if exc is None:
             self.answered.append(runs)
@@ -84,37 +84,41 @@
             self.unknown.append(runs)
 
 
-class GeneratedSteps:
-    """Steps that run generated orders of faults."""
+class GeneratedFaultSteps:
+    """Steps that run generated sequences of faults."""
 
     @staticmethod
-    @given('entry hosts that break and refuse in {count:d} generated orders')
-    def set_count(context: Any, count: int) -> None:
-        """Keep the number of orders."""
-        context.count = count
+    @given('entry hosts with faults in {sequence_count:d} generated sequences')
+    def set_sequence_count(context: Any, sequence_count: int) -> None:
+        """Set the number of sequences."""
+        context.sequence_count = sequence_count
         context.outcomes = Outcomes()
 
     @staticmethod
-    @when('a client writes through them with single statements')
+    @when('a client writes through the hosts with single statements')
     def run_single(context: Any) -> None:
-        """Write in autocommit."""
-        GeneratedSteps.run_all(context, is_autocommit=True)
+        """Write in autocommit mode."""
+        GeneratedFaultSteps.run_all(context, is_autocommit=True)
 
     @staticmethod
-    @when('a client writes through them in transactions')
+    @when('a client writes through the hosts in transactions')
     def run_transactions(context: Any) -> None:
-        """Write and commit."""
-        GeneratedSteps.run_all(context, is_autocommit=False)
+        """Write and commit in transactions."""
+        GeneratedFaultSteps.run_all(context, is_autocommit=False)
 
     @staticmethod
     def run_all(context: Any, is_autocommit: bool) -> None:
-        """Run each generated order."""
+        """Run the client under each generated sequence."""
         faults = strategies.lists(strategies.sampled_from(FAULTS), max_size=12)
 
-        @settings(max_examples=context.count, derandomize=True, database=None)
+        @settings(
+            max_examples=context.sequence_count,
+            derandomize=True,
+            database=None,
+        )
         @generate(faults, faults)
         def run(first: list[Any], second: list[Any]) -> None:
-            GeneratedSteps.run_one(
+            GeneratedFaultSteps.run_one(
                 context.outcomes, (first, second), is_autocommit
             )
 
@@ -124,20 +128,22 @@
     def run_one(
         outcomes: Outcomes, faults: tuple[Any, ...], is_autocommit: bool
     ) -> None:
-        """Write under one order of faults, then judge."""
-        client = Client(2)
+        """Write under one sequence of faults, then record the outcomes."""
+        client = ClientRig(2)
         client.connection.autocommit = is_autocommit
-        for host, found in zip(client.hosts.values(), faults, strict=True):
-            host.orders = [('*', fault or serve) for fault in found]
-        told = [
-            (sql, GeneratedSteps.write(client, sql))
-            for sql in (f'insert {n}' for n in range(WRITES))
+        for host, host_faults in zip(
+            client.hosts.values(), faults, strict=True
+        ):
+            host.orders = [('*', fault or serve) for fault in host_faults]
+        results = [
+            (sql, GeneratedFaultSteps.write(client, sql))
+            for sql in (f'insert {n}' for n in range(WRITE_COUNT))
         ]
-        for sql, exc in told:
-            outcomes.judge(client, sql, exc)
+        for sql, exc in results:
+            outcomes.record(client, sql, exc)
 
     @staticmethod
-    def write(client: Client, sql: str) -> Error | None:
+    def write(client: ClientRig, sql: str) -> Error | None:
         """Write once and return the error."""
         try:
             client.cursor.execute(sql)
@@ -148,19 +154,19 @@
         return None
 
     @staticmethod
-    @then('each answered write ran once')
+    @then('each answered write ran exactly once')
     def expect_answered(context: Any) -> None:
-        """Compare with the runs."""
+        """Check that each answered write has one run."""
         assert set(context.outcomes.answered) == {1}
 
     @staticmethod
-    @then('each write told as not run never ran')
+    @then('no write that was reported as not run has run')
     def expect_not_run(context: Any) -> None:
-        """Compare with the runs."""
+        """Check that each write reported as not run has no run."""
         assert set(context.outcomes.not_run) == {0}
 
     @staticmethod
     @then('no write ran twice')
     def expect_at_most_once(context: Any) -> None:
-        """Look at the writes whose outcome stayed unknown."""
+        """Check the writes whose outcome is unknown."""
         assert max(context.outcomes.unknown, default=0) <= 1
--- a/features/steps/client_look_up_steps.py
+++ b/features/steps/client_look_up_steps.py
@@ -1,4 +1,4 @@
-"""Steps on look-ups at a member."""
+"""Steps for look-ups at a member."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """Steps that write and look up."""
 
     @staticmethod
-    @given('a member that leads its database')
+    @given('a primary member')
     def make_member(context: Any) -> None:
         """Build a primary with one table."""
         schema = ('create table orders (id integer primary key)',)
@@ -30,12 +30,16 @@
 
     @staticmethod
     @given(
-        'the member has run the write "{request_id}" with the content "{x}"'
+        'the member has run the write "{request_id}" with the content '
+        '"{content}"'
     )
-    @when('the member is sent the write "{request_id}" with the content "{x}"')
-    def write(context: Any, request_id: str, x: str) -> None:
-        """Write under a request id."""
-        key = OutcomeKey('tenant', request_id, x)
+    @when(
+        'the member is sent the write "{request_id}" with the content '
+        '"{content}"'
+    )
+    def write(context: Any, request_id: str, content: str) -> None:
+        """Write with a request id and the digest of its content."""
+        key = OutcomeKey('tenant', request_id, content)
         context.reply = context.member.write(INSERT, FIRST_TERM, key)
 
     @staticmethod
@@ -46,9 +50,9 @@
         context.reply = context.member.resolve(key, FIRST_TERM)
 
     @staticmethod
-    @then('the look-up gives the kept outcome')
+    @then('the look-up returns the stored outcome')
     def expect_outcome(context: Any) -> None:
-        """Expect the answer of the write."""
+        """Check that the answer is the stored one of the write."""
         answer = context.reply.unwrap()
         assert answer.is_recalled
         assert answer.row_count == 1
@@ -56,13 +60,13 @@
     @staticmethod
     @then('the member answers "{code}"')
     def expect_code(context: Any, code: str) -> None:
-        """Compare the failure."""
+        """Compare the failure code."""
         assert context.reply.failure().code == code, context.reply
 
     @staticmethod
     @then('the member holds no row')
     def expect_no_row(context: Any) -> None:
-        """Count the rows."""
+        """Check that the table is empty."""
         count = Statement('select count(*) from orders')
         floor = context.member.log.last
         assert context.member.read(count, floor).unwrap().rows == ((0,),)
--- a/features/steps/client_orphans_steps.py
+++ b/features/steps/client_orphans_steps.py
@@ -1,4 +1,4 @@
-"""Steps on transactions whose owners are lost."""
+"""Steps for transactions whose owner's connection ends."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     from collections.abc import Callable
 
 OWNER = PeerIdentity('host-1', 'zone-a', 1, 1)
-OTHER = PeerIdentity('host-2', 'zone-a', 1, 2)
+OTHER_PEER = PeerIdentity('host-2', 'zone-a', 1, 2)
 PROMPTNESS_S = 2.0
-REQUEST = PooledBegin(
+BEGIN_REQUEST = PooledBegin(
     WorkScope('ledger/0/a', 'tenant', 'filing', round(1000 * PROMPTNESS_S))
 )
 
 
-class VirtualCalls:
-    """Calls functions when virtual time has come."""
+class VirtualScheduler:
+    """Scheduler that makes calls in virtual time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -42,11 +42,11 @@
     def call_later(
         self, seconds: float, call: Callable[..., Any], *args: Any
     ) -> None:
-        """Keep a call."""
+        """Schedule a call after a delay in seconds."""
         self._calls.append((self.now + seconds, call, args))
 
-    def pass_time(self, seconds: float) -> None:
-        """Let time pass and make the calls that are due."""
+    def advance(self, seconds: float) -> None:
+        """Advance virtual time and make the calls that are due."""
         self.now += seconds
         due = [c for c in self._calls if c[0] <= self.now]
         self._calls = [c for c in self._calls if c[0] > self.now]
@@ -55,7 +55,7 @@
 
 
 class FakeLink:
-    """Connection to a member."""
+    """Connection to a member that accepts every call."""
 
     def __init__(self) -> None:
         self.is_open = True
@@ -76,7 +76,7 @@
 
 
 class FakePool:
-    """One slot; something happens while work waits for it."""
+    """Pool of one slot that calls a hook while a request waits."""
 
     def __init__(self) -> None:
         self.lease = SimpleNamespace(link=FakeLink())
@@ -84,23 +84,23 @@
         self.on_wait: Callable[[], None] = lambda: None
 
     def acquire(self, scope: Any, is_write: bool) -> Success:
-        """Take the slot."""
+        """Call the hook, then lease the slot."""
         self.is_free = False
         self.on_wait()
         return Success(self.lease)
 
     def release(self, lease: Any) -> None:
-        """Give the slot back."""
+        """Release the slot."""
         self.is_free = True
 
 
-class OrphansSteps:
-    """Steps that lose a peer."""
+class LostOwnerSteps:
+    """Steps in which the connection of a peer ends."""
 
     @staticmethod
     @given('a pooler whose member has one slot')
     def make_pooler(context: Any) -> None:
-        """Build the transactions and their member."""
+        """Build the transactions of a pooler and their member."""
         context.pool = FakePool()
         status = SimpleNamespace(term=1, history=LogHistory())
         context.member = SimpleNamespace(
@@ -108,34 +108,36 @@
             monitor=SimpleNamespace(status=status),
             pool=context.pool,
         )
-        context.calls = VirtualCalls()
+        context.scheduler = VirtualScheduler()
         context.transactions = PoolerTransactions(
-            work=None, call_later=context.calls.call_later
+            work=None, call_later=context.scheduler.call_later
         )
 
     @staticmethod
     @when("a peer's connection ends while its transaction waits for the slot")
     def lose_owner(context: Any) -> None:
-        """Lose the owner within the wait."""
+        """End the owner's connection during the wait for the slot."""
         transactions = context.transactions
         context.pool.on_wait = lambda: transactions.on_peer_lost(OWNER)
-        transactions.begin(context.member, REQUEST, OWNER)
+        transactions.begin(context.member, BEGIN_REQUEST, OWNER)
 
     @staticmethod
     @when(
         "another peer's connection ends while a transaction waits for the slot"
     )
-    def lose_other(context: Any) -> None:
-        """Lose another peer within the wait."""
+    def lose_other_peer(context: Any) -> None:
+        """End another peer's connection during the wait for the slot."""
         transactions = context.transactions
-        context.pool.on_wait = lambda: transactions.on_peer_lost(OTHER)
-        transactions.begin(context.member, REQUEST, OWNER).unwrap()
+        context.pool.on_wait = lambda: transactions.on_peer_lost(OTHER_PEER)
+        transactions.begin(context.member, BEGIN_REQUEST, OWNER).unwrap()
 
     @staticmethod
     @when("a peer's connection ends after its transaction began")
-    def lose_later(context: Any) -> None:
-        """Lose the owner of an open transaction."""
-        context.transactions.begin(context.member, REQUEST, OWNER).unwrap()
+    def lose_owner_after_begin(context: Any) -> None:
+        """End the owner's connection while the transaction is open."""
+        context.transactions.begin(
+            context.member, BEGIN_REQUEST, OWNER
+        ).unwrap()
         context.transactions.on_peer_lost(OWNER)
 
     @staticmethod
@@ -144,45 +146,49 @@
         "than its class's promptness"
     )
     def leave_idle(context: Any, seconds: float) -> None:
-        """Begin, then do nothing."""
-        begun = context.transactions.begin(context.member, REQUEST, OWNER)
+        """Begin a transaction, then let it be idle."""
+        begun = context.transactions.begin(
+            context.member, BEGIN_REQUEST, OWNER
+        )
         context.transaction = begun.unwrap()
-        context.calls.pass_time(PROMPTNESS_S + seconds)
+        context.scheduler.advance(PROMPTNESS_S + seconds)
 
     @staticmethod
-    @when('a transaction runs a statement shortly before each idle limit')
+    @when('a transaction runs a statement shortly before each idle timeout')
     def keep_using(context: Any) -> None:
-        """Run statements in time."""
-        begun = context.transactions.begin(context.member, REQUEST, OWNER)
+        """Run statements before the idle timeout."""
+        begun = context.transactions.begin(
+            context.member, BEGIN_REQUEST, OWNER
+        )
         statement = PooledRun(begun.unwrap(), Statement('select 1'))
         for _ in range(3):
-            context.calls.pass_time(0.9 * PROMPTNESS_S)
+            context.scheduler.advance(0.9 * PROMPTNESS_S)
             context.transactions.run(statement, OWNER).unwrap()
 
     @staticmethod
-    @then('its next statement is told that the transaction is lost')
+    @then('the next statement is refused because the transaction is lost')
     def expect_lost(context: Any) -> None:
-        """Expect the typed failure."""
+        """Check the class of the failure."""
         statement = PooledRun(context.transaction, Statement('select 1'))
         ran = context.transactions.run(statement, OWNER)
         assert isinstance(ran.failure(), TransactionLost), ran
 
     @staticmethod
     @then('no transaction is open at the pooler')
-    def expect_none(context: Any) -> None:
-        """Expect nothing open."""
+    def expect_no_transaction(context: Any) -> None:
+        """Check that no transaction is open."""
         assert len(context.transactions) == 0
 
     @staticmethod
     @then('one transaction is open at the pooler')
-    def expect_one(context: Any) -> None:
-        """Expect the transaction of the peer that lives."""
+    def expect_one_transaction(context: Any) -> None:
+        """Check that the owner's transaction is open and holds the slot."""
         assert len(context.transactions) == 1
         assert not context.pool.is_free
 
     @staticmethod
     @then("the member's slot is free and its transaction rolled back")
-    def expect_free(context: Any) -> None:
-        """Expect a free slot."""
+    def expect_free_slot(context: Any) -> None:
+        """Check that the slot is free and the transaction rolled back."""
         assert context.pool.is_free
         assert context.pool.lease.link.is_rolled_back
--- a/features/steps/client_steps.py
+++ b/features/steps/client_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the client."""
+"""Steps for the client."""
 
 from __future__ import annotations
 
@@ -9,63 +9,63 @@
 from behave import then
 from behave import when
 
-from features.fakes.client_rig import Client
-from features.fakes.fake_entry import Break
+from features.fakes.client_rig import ClientRig
+from features.fakes.fake_entry import BreakMoment
 from features.fakes.fake_entry import make_refusal
 from trefoilpulley_core.caller import Done
 
-FOR_EVER = 100
-"""Orders that no scenario uses up."""
+REPEAT_COUNT = 100
+"""Number of scripted replies that no scenario uses up."""
 
 
-class ClientOrders:
-    """Steps that order faults."""
+class ClientFaultSteps:
+    """Steps that script faults of the hosts."""
 
     @staticmethod
     @given('a client of {count:d} entry hosts')
     def make_client(context: Any, count: int) -> None:
-        """Connect a client."""
-        context.client = Client(count)
+        """Connect a client to simulated hosts."""
+        context.client = ClientRig(count)
 
     @staticmethod
-    @given('the client\'s host breaks at "{kind}" {moment}')
-    def order_break(context: Any, kind: str, moment: str) -> None:
-        """Break the connection at a message."""
-        context.client.first.orders.append((kind, Break(moment)))
+    @given('the client\'s host breaks its connection at "{kind}" {moment}')
+    def script_break(context: Any, kind: str, moment: str) -> None:
+        """Break the connection at the next message of a type."""
+        context.client.first_host.orders.append((kind, BreakMoment(moment)))
 
     @staticmethod
-    @given('the client\'s host refuses "{kind}" with "{code}"')
-    def order_refusal(context: Any, kind: str, code: str) -> None:
-        """Refuse the next message of a type."""
-        context.client.first.orders.append((kind, make_refusal(code)))
+    @given('the client\'s host refuses the next "{kind}" with "{code}"')
+    def script_refusal(context: Any, kind: str, code: str) -> None:
+        """Refuse the next message of a type at the host in use."""
+        context.client.first_host.orders.append((kind, make_refusal(code)))
 
     @staticmethod
-    @given('the other host refuses "{kind}" with "{code}"')
-    def order_other_refusal(context: Any, kind: str, code: str) -> None:
-        """Refuse once at the other host."""
-        (other,) = context.client.others()
+    @given('the other host refuses the next "{kind}" with "{code}"')
+    def script_other_refusal(context: Any, kind: str, code: str) -> None:
+        """Refuse the next message of a type at the other host."""
+        (other,) = context.client.other_hosts()
         other.orders.append((kind, make_refusal(code)))
 
     @staticmethod
-    @given('every other host refuses "{kind}" with "{code}" for ever')
-    def order_others(context: Any, kind: str, code: str) -> None:
-        """Refuse at each host but the one in use."""
-        for host in context.client.others():
-            host.orders += [(kind, make_refusal(code))] * FOR_EVER
+    @given('every other host always refuses "{kind}" with "{code}"')
+    def script_other_refusals(context: Any, kind: str, code: str) -> None:
+        """Refuse messages of a type at each host except the one in use."""
+        for host in context.client.other_hosts():
+            host.orders += [(kind, make_refusal(code))] * REPEAT_COUNT
 
     @staticmethod
-    @given('every host refuses "{kind}" with "{code}" for ever')
-    def order_everywhere(context: Any, kind: str, code: str) -> None:
-        """Refuse at each host."""
+    @given('every host always refuses "{kind}" with "{code}"')
+    def script_all_refusals(context: Any, kind: str, code: str) -> None:
+        """Refuse messages of a type at each host."""
         for host in context.client.hosts.values():
-            host.orders += [(kind, make_refusal(code))] * FOR_EVER
+            host.orders += [(kind, make_refusal(code))] * REPEAT_COUNT
 
     @staticmethod
-    @given('the client\'s host refuses "{kind}" with "{code}" for ever')
-    def order_refusals(context: Any, kind: str, code: str) -> None:
-        """Refuse at the host in use."""
-        order = (kind, make_refusal(code))
-        context.client.first.orders += [order] * FOR_EVER
+    @given('the client\'s host always refuses "{kind}" with "{code}"')
+    def script_refusals(context: Any, kind: str, code: str) -> None:
+        """Refuse messages of a type at the host in use."""
+        reply = (kind, make_refusal(code))
+        context.client.first_host.orders += [reply] * REPEAT_COUNT
 
     @staticmethod
     @given('every host of the client is down')
@@ -76,35 +76,38 @@
 
     @staticmethod
     @given(
-        'the client\'s host answers "{kind}" with a message of another kind'
+        'the client\'s host answers "{kind}" with a message of another type'
     )
-    def order_other_kind(context: Any, kind: str) -> None:
-        """Answer with a message that does not fit."""
-        context.client.first.orders.append((kind, Done()))
+    def script_other_type(context: Any, kind: str) -> None:
+        """Answer the next message of a type with an unexpected type."""
+        context.client.first_host.orders.append((kind, Done()))
 
     @staticmethod
-    @when('the hosts serve again')
-    def clear_orders(context: Any) -> None:
-        """End every fault."""
+    @when('the hosts stop refusing requests')
+    def clear_faults(context: Any) -> None:
+        """Remove the scripted faults of every host."""
         for host in context.client.hosts.values():
             host.orders.clear()
 
 
-class ClientCalls:
-    """Steps that use the client."""
+class ClientCallSteps:
+    """Steps that call the client."""
 
     @staticmethod
-    @step('the client runs "{sql}" on its own')
+    @step('the client runs "{sql}" as a single statement')
     def run_single(context: Any, sql: str) -> None:
-        """Run a single statement."""
+        """Run a statement in autocommit mode."""
         client = context.client
         client.connection.autocommit = True
         client.attempt(client.cursor.execute, sql)
 
     @staticmethod
-    @when('the client runs "{sql}" on its own as "{request_id}"')
-    def run_named(context: Any, sql: str, request_id: str) -> None:
-        """Run a single statement under the program's request id."""
+    @when(
+        'the client runs "{sql}" as a single statement with the request id '
+        '"{request_id}"'
+    )
+    def run_with_request_id(context: Any, sql: str, request_id: str) -> None:
+        """Run a statement in autocommit mode with a request id."""
         client = context.client
         client.connection.autocommit = True
         client.attempt(client.cursor.execute, sql, request_id=request_id)
@@ -112,24 +115,24 @@
     @staticmethod
     @step('the client runs "{sql}" in a transaction')
     def run_in_transaction(context: Any, sql: str) -> None:
-        """Run a statement of a transaction."""
+        """Run a statement in the current transaction."""
         context.client.attempt(context.client.cursor.execute, sql)
 
     @staticmethod
     @when('the client commits')
     def commit(context: Any) -> None:
-        """Commit."""
+        """Commit the current transaction."""
         context.client.attempt(context.client.connection.commit)
 
     @staticmethod
     @when('the client rolls back')
     def roll_back(context: Any) -> None:
-        """Roll back."""
+        """Roll the current transaction back."""
         context.client.attempt(context.client.connection.rollback)
 
     @staticmethod
-    @when('the client runs "{sql}" in a block that {end}')
-    def run_block(context: Any, sql: str, end: str) -> None:
+    @when('the client runs "{sql}" in a context manager that {end}')
+    def run_in_context_manager(context: Any, sql: str, end: str) -> None:
         """Use the connection as a context manager."""
         try:
             with context.client.connection as connection:
@@ -140,9 +143,9 @@
             pass
 
     @staticmethod
-    @when('another client goes on with the session')
-    def roam(context: Any) -> None:
-        """Carry the token to a new connection."""
+    @when('another connection continues the session with its token')
+    def continue_session(context: Any) -> None:
+        """Open a new connection with the token of the session."""
         client = context.client
         token = client.connection.token
         client.connection.close()
@@ -156,22 +159,22 @@
         context.client.attempt(context.client.connect)
 
     @staticmethod
-    @when('the client looks "{request_id}" up')
-    def look_up_named(context: Any, request_id: str) -> None:
-        """Ask for the outcome of a request."""
+    @when('the client looks up the request "{request_id}"')
+    def look_up_request(context: Any, request_id: str) -> None:
+        """Look up the outcome of a request."""
         context.client.attempt(context.client.connection.look_up, request_id)
 
     @staticmethod
-    @when("the client looks the error's request up")
-    def look_up(context: Any) -> None:
-        """Ask for the outcome of the failed request."""
+    @when("the client looks up the error's request")
+    def look_up_error(context: Any) -> None:
+        """Look up the outcome of the failed request."""
         request_id = context.client.error.request_id
         context.client.attempt(context.client.connection.look_up, request_id)
 
     @staticmethod
     @when('the client passes a parameter of an unknown type')
     def pass_object(context: Any) -> None:
-        """Pass what no database knows."""
+        """Pass an object that has no type on the wire."""
         context.client.attempt(
             context.client.cursor.execute, 'select ?', [object()]
         )
@@ -179,19 +182,19 @@
     @staticmethod
     @when('the client passes parameters as a text')
     def pass_text(context: Any) -> None:
-        """Pass one text where a list belongs."""
+        """Pass a string instead of a sequence of parameters."""
         context.client.attempt(context.client.cursor.execute, 'select ?', 'a')
 
     @staticmethod
     @when('the client fetches before a statement')
     def fetch_early(context: Any) -> None:
-        """Fetch without a result."""
+        """Fetch before a statement has run."""
         context.client.attempt(context.client.cursor.fetchone)
 
     @staticmethod
     @when('the client changes the class inside a transaction')
     def change_class(context: Any) -> None:
-        """Use a cursor of another class."""
+        """Run a statement of another class inside the transaction."""
         client = context.client
         client.cursor.execute('insert')
         other = client.connection.cursor(work_class='lookup')
@@ -200,7 +203,7 @@
     @staticmethod
     @when('the client changes the token inside a transaction')
     def change_token(context: Any) -> None:
-        """Set the token of another session."""
+        """Set another token inside the transaction."""
         client = context.client
         client.cursor.execute('insert')
         client.attempt(setattr, client.connection, 'token', b'other')
@@ -208,7 +211,7 @@
     @staticmethod
     @when('the client is used after it was closed')
     def use_closed(context: Any) -> None:
-        """Use a closed connection."""
+        """Run a statement on a closed connection."""
         context.client.connection.close()
         context.client.attempt(context.client.cursor.execute, 'select')
 
@@ -219,22 +222,22 @@
         context.client.attempt(context.client.connect, hosts=[address])
 
 
-class ClientOutcomes:
-    """Steps that judge."""
+class ClientOutcomeSteps:
+    """Steps that check the results of the client."""
 
     @staticmethod
     @then('the client gets an answer')
     @then('the client gets no error')
     def expect_answer(context: Any) -> None:
-        """Expect success."""
-        assert context.client.answered, context.client.error
+        """Check that the last call succeeded."""
+        assert context.client.is_answered, context.client.error
 
     @staticmethod
     @then('the client gets the error "{kind}" with "{code}" and "{run_state}"')
     def expect_error(
         context: Any, kind: str, code: str, run_state: str
     ) -> None:
-        """Compare type, code and run state."""
+        """Compare the error's type, code and run state."""
         exc = context.client.error
         found = (type(exc).__name__, exc.code, exc.run_state.value)
         assert found == (kind, code, run_state), found
@@ -249,33 +252,35 @@
     @staticmethod
     @then('the database has run nothing')
     def expect_no_run(context: Any) -> None:
-        """Expect no effect."""
+        """Check that no write took effect."""
         assert not context.client.database.runs
 
     @staticmethod
-    @then('the client has moved to another host')
-    def expect_move(context: Any) -> None:
-        """Expect another host than the first."""
-        assert context.client.connection.host != context.client.first.name
+    @then('the client is connected to another host')
+    def expect_other_host(context: Any) -> None:
+        """Check that the current host is not the first one."""
+        assert context.client.connection.host != context.client.first_host.name
 
     @staticmethod
     @then('every attempt of the client had the same request id')
     def expect_same_id(context: Any) -> None:
-        """Compare with the id that the database knows."""
-        ids = {m.request_id for m in context.client.sent('Execute')}
+        """Compare the request ids with those of the database."""
+        ids = {
+            m.request_id for m in context.client.received_messages('Execute')
+        }
         assert ids == set(context.client.database.outcomes), ids
 
     @staticmethod
-    @then('the abandoned request id never runs')
+    @then('no write has run under the abandoned request id')
     def expect_abandoned(context: Any) -> None:
-        """Expect one abandoned id beside the one that ran."""
+        """Check for one abandoned request id and one that ran."""
         kept = list(context.client.database.outcomes.values())
         assert [k is None for k in kept] == [True, False], kept
 
     @staticmethod
-    @then('the error tells the request id under which "{sql}" ran')
+    @then('the error has the request id under which "{sql}" ran')
     def expect_request_id(context: Any, sql: str) -> None:
-        """Compare with the kept outcome."""
+        """Compare the request id with that of the stored outcome."""
         client = context.client
         assert client.database.runs == [(sql,)]
         assert list(client.database.outcomes) == [client.error.request_id]
@@ -283,59 +288,62 @@
     @staticmethod
     @then('the client has paused {count:d} times')
     def expect_pauses(context: Any, count: int) -> None:
-        """Compare the pauses."""
+        """Compare the number of pauses."""
         assert len(context.client.timer.sleeps) == count
 
     @staticmethod
     @then('the client has not paused')
     def expect_no_pause(context: Any) -> None:
-        """Expect no pause."""
+        """Check that the client made no pause."""
         assert not context.client.timer.sleeps
 
     @staticmethod
     @then('the client has waited at most {seconds:d} seconds')
     def expect_wait(context: Any, seconds: int) -> None:
-        """Compare the virtual time."""
+        """Compare the virtual time that has passed, in seconds."""
         assert 0 < context.client.timer.time <= seconds
 
     @staticmethod
     @then('the client has sent "{kind}" {count:d} times')
     def expect_sent(context: Any, kind: str, count: int) -> None:
-        """Count the messages of a type."""
-        assert len(context.client.sent(kind)) == count
+        """Compare the number of messages of a type."""
+        assert len(context.client.received_messages(kind)) == count
 
     @staticmethod
     @then('the client has sent "{kind}" at most {count:d} times')
     def expect_sent_at_most(context: Any, kind: str, count: int) -> None:
-        """Bound the messages of a type."""
-        assert 1 < len(context.client.sent(kind)) <= count
+        """Check that a message was repeated and how often at most."""
+        assert 1 < len(context.client.received_messages(kind)) <= count
 
     @staticmethod
     @then('the client\'s requests carried the tokens "{tokens}"')
     def expect_tokens(context: Any, tokens: str) -> None:
-        """Compare the tokens in order."""
-        sent = [m.token.decode() for m in context.client.sent('Execute')]
+        """Compare the tokens of the statements in order."""
+        sent = [
+            m.token.decode()
+            for m in context.client.received_messages('Execute')
+        ]
         assert sent == tokens.split(', '), sent
 
     @staticmethod
     @then('no transaction is open at any host of the client')
     def expect_none_open(context: Any) -> None:
-        """Expect that each host has ended its transactions."""
+        """Check that no host has an open transaction."""
         hosts = context.client.hosts.values()
         assert not any(h.transactions for h in hosts)
 
     @staticmethod
     @then('the client\'s cursor has the columns "{name}" and {count:d} rows')
     def expect_columns(context: Any, name: str, count: int) -> None:
-        """Compare description and count."""
+        """Compare the description and the row count."""
         cursor = context.client.cursor
         assert cursor.description == ((name, *(None,) * 6),)
         assert cursor.rowcount == count
 
     @staticmethod
-    @then("the client's cursor gives the row {value:d} and then nothing")
+    @then("the client's cursor returns the row {value:d} and then no row")
     def expect_row(context: Any, value: int) -> None:
-        """Fetch what there is."""
+        """Fetch the only row, then check that no row is left."""
         cursor = context.client.cursor
         assert cursor.fetchone() == (value,)
         assert cursor.fetchone() is None
--- a/features/steps/errors_steps.py
+++ b/features/steps/errors_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the page of errors."""
+"""Steps for the page of errors."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     trefoilpulley_core,
     trefoilpulley_node,
 )
-"""Packages whose failures reach callers and operators."""
+"""Packages whose failures are reported to callers and operators."""
 
 ROW = re.compile(r'\| `[a-z-]+` \| .* \|')
-"""Row of a table that begins with the code of an error."""
+"""Pattern of a table row that begins with the code of an error."""
 
 
 def import_modules() -> None:
-    """Import each module of the packages but for the commands."""
+    """Import each module of the packages except the commands."""
     for package in PACKAGES:
         prefix = f'{package.__name__}.'
         for info in pkgutil.walk_packages(package.__path__, prefix):
@@ -41,20 +41,20 @@
                 importlib.import_module(info.name)
 
 
-def is_told(kind: type[Failure]) -> bool:
-    """Return whether a failure is of one of the packages."""
-    package = kind.__module__.partition('.')[0]
+def is_reported(failure_type: type[Failure]) -> bool:
+    """Return whether one of the packages defines a failure."""
+    package = failure_type.__module__.partition('.')[0]
     return any(package == p.__name__ for p in PACKAGES)
 
 
-def format_row(kind: type[Failure]) -> str:
-    """Return the row of a failure."""
-    exc = to_error(to_refusal(kind()))
-    repeat = 'yes' if kind.is_repeatable else 'no'
-    meaning = kind.__doc__.partition('\n')[0]
+def format_row(failure_type: type[Failure]) -> str:
+    """Return the table row of a failure."""
+    exc = to_error(to_refusal(failure_type()))
+    repeat = 'yes' if failure_type.is_repeatable else 'no'
+    meaning = failure_type.__doc__.partition('\n')[0]
     cells = (
-        f'`{kind.code}`',
-        kind.run_state.value,
+        f'`{failure_type.code}`',
+        failure_type.run_state.value,
         repeat,
         f'`{type(exc).__name__}`',
         meaning,
@@ -62,41 +62,41 @@
     return f'| {" | ".join(cells)} |'
 
 
-class ErrorsSteps:
+class ErrorsPageSteps:
     """Steps that compare the page with the catalogue."""
 
     @staticmethod
     @when('the errors of the page "{path}" are compared with the catalogue')
     def compare(context: Any, path: str) -> None:
-        """Collect the rows on both sides."""
+        """Collect the rows of the page and those of the catalogue."""
         import_modules()
         lines = Path(path).read_text().splitlines()
-        context.written = {x for x in lines if ROW.fullmatch(x)}
-        context.expected = {
-            format_row(kind)
-            for kind in failures_by_code().values()
-            if kind is not Failure and is_told(kind)
+        context.page_rows = {x for x in lines if ROW.fullmatch(x)}
+        context.catalogue_rows = {
+            format_row(failure_type)
+            for failure_type in failures_by_code().values()
+            if failure_type is not Failure and is_reported(failure_type)
         }
 
     @staticmethod
-    @then('each error has the row that the catalogue gives')
-    def expect_rows(context: Any) -> None:
-        """Print what is missing and what is not known."""
-        missing = '\n'.join(sorted(context.expected - context.written))
-        unknown = '\n'.join(sorted(context.written - context.expected))
-        assert not missing, f'rows that are missing:\n{missing}'
-        assert not unknown, f'rows of no error:\n{unknown}'
+    @then('the page has exactly the rows of the catalogue')
+    def expect_same_rows(context: Any) -> None:
+        """Report the missing rows and the rows without a failure."""
+        missing = '\n'.join(sorted(context.catalogue_rows - context.page_rows))
+        unknown = '\n'.join(sorted(context.page_rows - context.catalogue_rows))
+        assert not missing, f'missing rows:\n{missing}'
+        assert not unknown, f'rows without a failure:\n{unknown}'
 
     @staticmethod
     @then('no two errors share a code')
     def expect_unique_codes(context: Any) -> None:
-        """Compare the names of the types under each code."""
+        """Check that only one type of failure has each code."""
         names: dict[str, set[str]] = {}
         pending: list[type[Failure]] = [Failure]
         while pending:
-            kind = pending.pop()
-            name = f'{kind.__module__}.{kind.__name__}'
-            names.setdefault(kind.code, set()).add(name)
-            pending.extend(kind.__subclasses__())
+            failure_type = pending.pop()
+            name = f'{failure_type.__module__}.{failure_type.__name__}'
+            names.setdefault(failure_type.code, set()).add(name)
+            pending.extend(failure_type.__subclasses__())
         repeated = [v for v in names.values() if len(v) > 1]
         assert not repeated, repeated
