--- a/features/cli_changes.feature
+++ b/features/cli_changes.feature
@@ -1,6 +1,6 @@
 Feature: Declarations are changed from the command line
-  A change is refused whole or applied whole, and its outcome is told
-  truly also where the service's answer was lost.
+  A change is applied as a whole or not at all, and the command reports
+  the correct outcome also when the answer of the service was lost.
 
   Background:
     Given a command line with the platform's service
@@ -13,13 +13,13 @@
     When the command "show --json" is run
     Then the command's JSON has 2000 at "declarations.classes.lookup.freshness.age_ms"
 
-  Scenario: what is shown can be applied again
+  Scenario: shown declarations can be applied again
     Given the command "apply examples/sleevecraft.json" was run
     When the shown declarations are applied
     Then the command exits with 0
     And the shown declarations are the same as before
 
-  Scenario: declarations with faults are refused before anything is written
+  Scenario: invalid declarations are refused before the service is called
     When the command "apply" is run on the declarations
       """
       {"classes": {"a": {"work": "read", "weight": 1}}, "tenants": {}}
@@ -34,9 +34,9 @@
     When the command "apply examples/karamanlis.json" is run
     Then the command exits with 1
     And the command's output has "$.tenants.karamanlis.ledgers.register-ledger: unknown-ledger"
-    And nothing is in force
+    And no declarations are in force
 
-  Scenario: another revision than expected is a conflict
+  Scenario: an unexpected revision is a conflict
     Given the command "apply examples/karamanlis.json" was run
     When the command "apply examples/karamanlis.json --expect-revision 0 --json" is run
     Then the command exits with 1
@@ -45,7 +45,7 @@
     When the command "apply examples/karamanlis.json --expect-revision 1" is run
     Then the command exits with 0
 
-  Scenario: an operator whose change came second is told so
+  Scenario: the second of two concurrent changes is reported as not applied
     Given the command "apply examples/karamanlis.json" was run
     And another operator changes the declarations after the next read
     When the command "targets set lookup --age-ms 900 --json" is run
@@ -55,8 +55,8 @@
     Then the command exits with 0
     And the other operator's change is still in force
 
-  Scenario Outline: a lost answer is resolved by the change's id
-    Given the service's next write is <fault>
+  Scenario Outline: a lost answer is resolved by the change id
+    Given the fault of the service's next write is <fault>
     When the command "apply examples/karamanlis.json --json" is run
     Then the command exits with 0
     And the command's JSON has "applied" at "outcome"
@@ -67,23 +67,23 @@
       | lost-before |
       | lost-after  |
 
-  Scenario: a service that is down leaves a change not applied
+  Scenario: a change is not applied while the service is down
     Given the service is down for the command line
     When the command "apply examples/karamanlis.json --json" is run
     Then the command exits with 1
     And the command's JSON has "not-applied" at "outcome"
 
-  Scenario: a change that nobody can settle is unknown until it is asked again
-    Given the service's next write is lost-after
+  Scenario: an unknown outcome is resolved when the change is repeated with its id
+    Given the fault of the service's next write is lost-after
     And the service goes down after the next write
     When the command "apply examples/karamanlis.json --json" is run
     Then the command exits with 1
     And the command's JSON has "unknown" at "outcome"
-    When the command "apply examples/karamanlis.json --json" is run under the same change id
+    When the command "apply examples/karamanlis.json --json" is run with the same change id
     Then the command exits with 1
     And the command's JSON has "unknown" at "outcome"
     When the service is up again for the command line
-    And the command "apply examples/karamanlis.json --json" is run under the same change id
+    And the command "apply examples/karamanlis.json --json" is run with the same change id
     Then the command exits with 0
     And the command's JSON has 1 at "revision"
 
@@ -96,7 +96,7 @@
     And the command's JSON has 0.99 at "classes.filing.promptness.share"
     And the command's JSON has 3 at "classes.filing.safety.copies"
 
-  Scenario Outline: a target out of its bounds is refused
+  Scenario Outline: an invalid change of a target is refused
     Given the command "apply examples/karamanlis.json" was run
     When the command "targets set <arguments>" is run
     Then the command exits with <code>
@@ -129,14 +129,14 @@
     Then the command exits with 1
     And the command's output has "unknown-stop"
 
-  Scenario: a cancelled stop whose answer was lost is asked again
+  Scenario: a cancellation whose answer was lost is repeated with its change id
     Given the command "apply examples/karamanlis.json" was run
     And the command "stop plan cooling --ledger register-ledger --zone gr-north-b" was run
-    And the service's next write is lost-after
+    And the fault of the service's next write is lost-after
     And the service goes down after the next write
     When the command "stop cancel cooling --json" is run
     Then the command's JSON has "unknown" at "outcome"
     When the service is up again for the command line
-    And the command "stop cancel cooling --json" is run under the same change id
+    And the command "stop cancel cooling --json" is run with the same change id
     Then the command exits with 0
     And the command's JSON has 3 at "revision"
--- a/features/fakes/fake_platform.py
+++ b/features/fakes/fake_platform.py
@@ -1,4 +1,4 @@
-"""The platform's service in memory, with faults to order."""
+"""Simulated key-value service of the platform, with scripted faults."""
 
 from __future__ import annotations
 
@@ -28,24 +28,24 @@
 
 
 class Fault(StrEnum):
-    """Faults of the next call."""
+    """Faults of a write."""
 
     DOWN = 'down'
-    """The call has no effect."""
+    """The service is down and the call has no effect."""
 
     LOST_BEFORE = 'lost-before'
-    """The answer is lost and the call had no effect."""
+    """The answer is lost before the call takes effect."""
 
     LOST_AFTER = 'lost-after'
-    """The answer is lost and the call took effect."""
+    """The answer is lost after the call has taken effect."""
 
     CONFLICT = 'conflict'
-    """Another writer's change came first."""
+    """The call fails because another writer changed the key first."""
 
 
 @dataclass
 class FakeLease:
-    """Lease at the fake service."""
+    """Lease at the simulated service."""
 
     lease_id: int
     ttl_s: int
@@ -54,7 +54,7 @@
 
 @dataclass
 class FakeWatch(Watch):
-    """Watch at the fake service."""
+    """Watch at the simulated service."""
 
     platform: FakePlatform
     prefix: str
@@ -69,43 +69,46 @@
 
 @dataclass
 class FakePlatform(Platform):
-    """Service on a virtual clock; each call takes ``delay_s`` of it."""
+    """Simulated service with a virtual clock.
+
+    Each call advances the clock by ``delay_s``.
+    """
 
     now: float = 0.0
-    """Virtual time in seconds; the scenario sets it."""
+    """Virtual time in seconds; a scenario may set it."""
 
     delay_s: float = 0.0
-    """Time that each call takes."""
+    """Time that each call takes, in seconds."""
 
     is_down: bool = False
     """Whether every call fails without effect."""
 
     faults: list[Fault] = field(default_factory=list)
-    """Faults of the next writes, first one first."""
+    """Faults of the next writes in order."""
 
     values: dict[str, KeyValue] = field(default_factory=dict)
-    """Keys that exist."""
+    """Existing keys and their values."""
 
     watches: list[FakeWatch] = field(default_factory=list)
-    """Watches in force."""
+    """Active watches."""
 
     calls: Counter[str] = field(default_factory=Counter)
-    """Calls by name."""
+    """Number of calls by name."""
 
     revision: int = 0
     """Revision of the newest change."""
 
     leases: dict[int, FakeLease] = field(default_factory=dict)
-    """Leases that have not lapsed."""
+    """Leases that have not expired."""
 
     def get(self, key: str) -> Result[KeyValue | None, Failure]:
-        """Return the value of a key, or ``None`` where it is absent."""
+        """Return the value of a key, or ``None`` if the key does not exist."""
         if not self._begin('get'):
             return Failed(PlatformDown())
         return Success(self.values.get(key))
 
     def get_prefix(self, prefix: str) -> Result[tuple[KeyValue, ...], Failure]:
-        """Return the values of every key with a prefix."""
+        """Return the values of all keys with a prefix, sorted by key."""
         if not self._begin('get'):
             return Failed(PlatformDown())
         keys = sorted(k for k in self.values if k.startswith(prefix))
@@ -118,7 +121,7 @@
         value: bytes,
         lease_id: int = 0,
     ) -> Result[int, Failure]:
-        """Write a key where its revision is as expected."""
+        """Write a key if its revision is the expected one."""
         return self._write(
             'compare_and_swap',
             lambda: self._swap(key, expected_revision, value, lease_id),
@@ -127,7 +130,7 @@
     def delete(
         self, key: str, expected_revision: int
     ) -> Result[None, Failure]:
-        """Delete a key where its revision is as expected."""
+        """Delete a key if its revision is the expected one."""
         return self._write(
             'delete', lambda: self._swap(key, expected_revision, b'', 0)
         ).map(lambda revision: None)
@@ -137,7 +140,7 @@
         return self._write('grant_lease', lambda: self._grant(ttl_s))
 
     def keep_alive(self, lease_id: int) -> Result[Lease, Failure]:
-        """Renew a lease once."""
+        """Renew a lease."""
         return self._write('keep_alive', lambda: self._renew(lease_id))
 
     def revoke_lease(self, lease_id: int) -> Result[None, Failure]:
@@ -159,11 +162,11 @@
         return watch
 
     def put(self, key: str, value: bytes) -> int:
-        """Write a key as another party would."""
+        """Write a key without a check, as another writer."""
         return self._store(key, value, 0)
 
     def take_down(self) -> None:
-        """Begin an outage and break the watches."""
+        """Begin an outage and end all watches with a failure."""
         self.is_down = True
         watches, self.watches = self.watches, []
         for watch in watches:
@@ -173,23 +176,23 @@
         """End the outage."""
         self.is_down = False
 
-    def lapse(self, lease_id: int) -> None:
-        """Let a lease lapse."""
+    def expire_lease(self, lease_id: int) -> None:
+        """Expire a lease and delete the keys bound to it."""
         self.leases.pop(lease_id, None)
         bound = [k for k, v in self.values.items() if v.lease_id == lease_id]
         for key in bound:
             self._store(key, b'', 0)
 
-    def lapse_due(self) -> None:
-        """Let every lease lapse whose time is over."""
+    def expire_due_leases(self) -> None:
+        """Expire every lease whose time to live has passed."""
         due = [i for i, v in self.leases.items() if v.expires_at <= self.now]
         for lease_id in due:
-            self.lapse(lease_id)
+            self.expire_lease(lease_id)
 
     def _begin(self, name: str) -> bool:
         self.calls[name] += 1
         self.now += self.delay_s
-        self.lapse_due()
+        self.expire_due_leases()
         return not self.is_down
 
     def _write(self, name: str, effect: Callable[[], Result]) -> Result:
@@ -202,10 +205,10 @@
             return Failed(PlatformAnswerLost())
         if fault is Fault.CONFLICT:
             return Failed(RevisionConflict())
-        answer = effect()
+        result = effect()
         if fault is Fault.LOST_AFTER:
             return Failed(PlatformAnswerLost())
-        return answer
+        return result
 
     def _swap(
         self, key: str, expected: int, value: bytes, lease_id: int
@@ -246,5 +249,5 @@
     def _revoke(self, lease_id: int) -> Result[None, Failure]:
         if lease_id not in self.leases:
             return Failed(LeaseExpired())
-        self.lapse(lease_id)
+        self.expire_lease(lease_id)
         return Success(None)
