--- a/.ci/verdict.py
+++ b/.ci/verdict.py
@@ -1,4 +1,4 @@
-"""Counts the scenarios of a behave run and passes over known faults."""
+"""Counts the scenarios of a behave run, without failing on known faults."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from pathlib import Path
 import sys
 
-KNOWN_RED = Path('KNOWN-RED.txt')
-"""Each entry begins with a line ``scenario: NAME``."""
+KNOWN_FAULTS_PATH = Path('KNOWN-RED.txt')
+"""File of known faults; each entry begins with ``scenario: NAME``."""
 
-PREFIX = 'scenario: '
+ENTRY_PREFIX = 'scenario: '
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """Scenarios of one run by outcome."""
+    """Names of the scenarios of one run, by outcome."""
 
     passed: tuple[str, ...]
     """Names of the scenarios that passed."""
@@ -25,7 +25,7 @@
 
 
 def read_verdict(path: Path) -> Verdict:
-    """Return the outcomes in a report of behave's JSON formatter."""
+    """Read the outcomes from a report of behave's JSON formatter."""
     scenarios = [
         element
         for feature in json.loads(path.read_text(encoding='utf-8'))
@@ -37,28 +37,32 @@
     return Verdict(tuple(passed), tuple(failed))
 
 
-def read_known_red() -> tuple[str, ...]:
-    """Return the names of the scenarios with known faults."""
-    if not KNOWN_RED.exists():
+def read_known_faults() -> tuple[str, ...]:
+    """Read the names of the scenarios with known faults."""
+    if not KNOWN_FAULTS_PATH.exists():
         return ()
-    lines = KNOWN_RED.read_text(encoding='utf-8').splitlines()
+    lines = KNOWN_FAULTS_PATH.read_text(encoding='utf-8').splitlines()
     return tuple(
-        line.removeprefix(PREFIX) for line in lines if line.startswith(PREFIX)
+        line.removeprefix(ENTRY_PREFIX)
+        for line in lines
+        if line.startswith(ENTRY_PREFIX)
     )
 
 
 def main() -> int:
-    """Print the verdict and return the exit code."""
+    """Print the outcomes and return the exit code."""
     verdict = read_verdict(Path(sys.argv[1]))
-    known = read_known_red()
-    unexpected = [name for name in verdict.failed if name not in known]
+    known_faults = read_known_faults()
+    unexpected_failures = [
+        name for name in verdict.failed if name not in known_faults
+    ]
     for name in verdict.failed:
-        label = 'known red' if name in known else 'FAILED'
+        label = 'known red' if name in known_faults else 'FAILED'
         print(f'{label}: {name}')
     if not verdict.passed:
         print('no scenario has run')
     print(f'{len(verdict.passed)} passed, {len(verdict.failed)} failed')
-    return 1 if unexpected or not verdict.passed else 0
+    return 1 if unexpected_failures or not verdict.passed else 0
 
 
 if __name__ == '__main__':
--- a/features/fakes/small_host.py
+++ b/features/fakes/small_host.py
@@ -1,4 +1,4 @@
-"""A host with membership and documents alone, over loopback."""
+"""A host that runs only membership and documents, over loopback."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
     from trefoilpulley_node.settings import SeedPeer
 
 SECRET = 'secret'
-"""Secret of the hosts."""
+"""Shared secret of the hosts."""
 
-LOOK_S = 0.01
-"""Time between two looks at a condition that must come true."""
+POLL_INTERVAL_S = 0.01
+"""Time between two checks of a condition, in seconds."""
 
 _INCARNATIONS = count(1)
 
 
 class SmallHost:
-    """Membership, documents and their connections, without callers.
+    """Host with membership, documents and peer connections only.
 
     Parameters
     ----------
@@ -50,9 +50,9 @@
     zone : str
         Availability zone of the host.
     url : str
-        Address of the platform's service.
+        URL of the platform's service.
     seeds : Sequence[SeedPeer]
-        Hosts to ask where no list is to be had.
+        Peers to contact when the list of hosts is not available.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._listener.start()
         endpoint = Endpoint('127.0.0.1', self._listener.port)
         self.entry = HostEntry(name, 'r', zone, endpoint, endpoint)
-        """Name, place and addresses."""
+        """Entry of the host in the catalogue."""
 
         membership = Membership(
             self.entry,
@@ -99,17 +99,17 @@
 
     @property
     def live(self) -> frozenset[str]:
-        """Names of the hosts that it takes for live."""
+        """Names of the hosts that this host considers live."""
         zones = self.membership.live_hosts.zones
         return frozenset(h for zone in zones for h in zone.hosts)
 
     def start(self) -> None:
-        """Begin to work."""
+        """Start documents and membership."""
         self.documents.start()
         self.membership.start()
 
     def stop(self) -> None:
-        """Stop at once, as a process that is killed."""
+        """Stop immediately without an announcement, like a killed process."""
         self.membership.stop()
         self.documents.stop()
         self._listener.stop()
@@ -121,10 +121,10 @@
             self.membership.set_host_list(self.documents.catalog.hosts)
 
 
-def wait_for(condition: Callable[[], bool], limit_s: float) -> bool:
-    """Wait until a condition holds; false where it never does."""
-    with gevent.Timeout(limit_s, False):
+def wait_for(condition: Callable[[], bool], timeout_s: float) -> bool:
+    """Wait for a condition; return whether it held within the limit."""
+    with gevent.Timeout(timeout_s, False):
         while not condition():
-            gevent.sleep(LOOK_S)
+            gevent.sleep(POLL_INTERVAL_S)
         return True
     return False
--- a/features/membership_hosts.feature
+++ b/features/membership_hosts.feature
@@ -5,7 +5,7 @@
 
   Scenario: Hosts agree on who is live and on the documents
     Then all small hosts see each other live
-    When a small change is applied
+    When a change of the declarations is applied
     Then all small hosts hold the change
 
   Scenario: A host that is killed is left out
@@ -16,13 +16,13 @@
   Scenario: A host that leaves is left out while it still runs
     Given all small hosts see each other live
     When the small host "z1-h0" leaves
-    Then the other small hosts see "z1-h0" no more
+    Then the other small hosts no longer see "z1-h0" live
 
   Scenario: A host starts while the service is out
     Given all small hosts see each other live
-    And a small change is applied
+    And a change of the declarations is applied
     And all small hosts hold the change
-    When the service of the small hosts goes out
+    When the platform service of the small hosts goes down
     And the small host "z2-h9" starts with the seed "z0-h1"
     Then all small hosts see each other live
     And all small hosts hold the change
--- a/features/steps/small_host_steps.py
+++ b/features/steps/small_host_steps.py
@@ -1,4 +1,4 @@
-"""Steps on membership and documents over loopback."""
+"""Steps for membership and documents of hosts over loopback."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from trefoilpulley_standins.platform.settings import PlatformSettings
 from trefoilpulley_standins.platform.settings import ZoneView
 
-LIMIT_S = 20.0
-"""Bound on the wait for what must come, in seconds."""
+CONVERGENCE_TIMEOUT_S = 20.0
+"""Maximum time until a condition must hold, in seconds."""
 
 
 class SmallHostSteps:
-    """Steps that run small hosts in this process."""
+    """Steps that run hosts without callers in this process."""
 
     @staticmethod
     @given('small hosts in {zones:d} zones with {count:d} hosts each')
     def start(context: Any, zones: int, count: int) -> None:
-        """Start the service and the hosts."""
+        """Start the platform service and the hosts."""
         context.hosts = {}
         _start_service(context)
         for zone in range(zones):
@@ -51,17 +51,17 @@
     @staticmethod
     @step('all small hosts see each other live')
     def check_live(context: Any) -> None:
-        """Wait until all views are the same and right."""
+        """Wait until each host sees exactly the running hosts as live."""
         expected = frozenset(context.hosts)
         assert wait_for(
             lambda: all(h.live == expected for h in context.hosts.values()),
-            LIMIT_S,
+            CONVERGENCE_TIMEOUT_S,
         ), {name: h.live for name, h in context.hosts.items()}
 
     @staticmethod
-    @step('a small change is applied')
+    @step('a change of the declarations is applied')
     def apply(context: Any) -> None:
-        """Change the declarations."""
+        """Submit empty declarations."""
         applied = submit_change(context.adapter, Declarations(), 'small')
         assert isinstance(applied, Success), applied
 
@@ -74,44 +74,44 @@
                 h.documents.configuration.change_id == 'small'
                 for h in context.hosts.values()
             ),
-            LIMIT_S,
+            CONVERGENCE_TIMEOUT_S,
         )
 
     @staticmethod
     @when('the small host "{name}" is killed')
     def kill(context: Any, name: str) -> None:
-        """Stop a host without a word."""
+        """Stop a host without an announcement."""
         context.hosts.pop(name).stop()
 
     @staticmethod
     @when('the small host "{name}" leaves')
     def leave(context: Any, name: str) -> None:
-        """Let a host say that it leaves."""
+        """Let a host announce that it leaves."""
         context.hosts[name].membership.leave()
 
     @staticmethod
-    @then('the other small hosts see "{gone}" no more')
-    def check_gone(context: Any, gone: str) -> None:
-        """Wait until nobody sees the host live."""
+    @then('the other small hosts no longer see "{removed}" live')
+    def check_removed(context: Any, removed: str) -> None:
+        """Wait until no other host sees the host as live."""
         assert wait_for(
             lambda: all(
-                gone not in host.live
+                removed not in host.live
                 for name, host in context.hosts.items()
-                if name != gone
+                if name != removed
             ),
-            LIMIT_S,
+            CONVERGENCE_TIMEOUT_S,
         )
 
     @staticmethod
-    @when('the service of the small hosts goes out')
+    @when('the platform service of the small hosts goes down')
     def take_down(context: Any) -> None:
-        """Begin an outage."""
+        """Begin an outage of the platform service."""
         context.service.order({'is_down': True})
 
     @staticmethod
     @when('the small host "{name}" starts with the seed "{seed}"')
     def start_late(context: Any, name: str, seed: str) -> None:
-        """Start a host that knows one peer."""
+        """Start a host that is configured with one seed peer."""
         entry = context.hosts[seed].entry
         seeds = (SeedPeer(seed, entry.peer_endpoint),)
         _make_host(context, name, seeds).start()
