--- a/features/standins_demo.feature
+++ b/features/standins_demo.feature
@@ -1,15 +1,15 @@
 Feature: Checker of the demonstration
-  The checker must see each fault that the report counts.
+  The checker must detect each fault that the report counts.
 
   Background:
-    Given a standins journal without faults
+    Given a demonstration journal without faults
 
   Scenario: a run without faults has no violation
-    Then the standins checker counts nothing
+    Then the demonstration checker counts nothing
 
   Scenario Outline: a fault is counted
-    Given the standins fault "<fault>"
-    Then the standins checker counts only <key>
+    Given the journal fault "<fault>"
+    Then the demonstration checker counts only <key>
 
     Examples:
       | fault                                              | key                     |
@@ -29,35 +29,35 @@
       | a write to another tenant's database is unknown    | wrong_answer            |
 
   Scenario: a write that is refused and absent is no violation
-    Given the standins fault "a write is refused truly"
-    Then the standins checker counts nothing
+    Given the journal fault "a write is refused truly"
+    Then the demonstration checker counts nothing
 
   Scenario: a write to another tenant's database that is not authorized is no violation
-    Given the standins fault "a write to another tenant's database is not authorized"
-    Then the standins checker counts nothing
-    And the standins checker counts no refusal
+    Given the journal fault "a write to another tenant's database is not authorized"
+    Then the demonstration checker counts nothing
+    And the demonstration checker counts no refusal
 
-  Scenario: the gap is between the last write of one primary and the first of the next
-    Given standins writes at a until 10.0 s and at b from 10.8 s
-    Then the standins write gap after 9.0 s is 0.8 s
-    And the standins write gap after 11.0 s is not seen
+  Scenario: the write gap lasts from the last write of one primary to the first of the next
+    Given journal writes at a until 10.0 s and at b from 10.8 s
+    Then the write gap after 9.0 s is 0.8 s
+    And the write gap after 11.0 s is not found
 
-  Scenario: the recording is drawn from its seed
-    Then the standins recordings of one seed are equal and of another are not
+  Scenario: a workload is determined by its seed
+    Then the workloads of one seed are equal and that of another differs
 
-  Scenario Outline: the recording is the one of its seed and keeps to the rights
-    Then the standins recording of "<deployment>" is drawn from the seed 1
-    And every standins step of "<deployment>" is granted
-    And "<deployment>" has <tries> standins tries, none of them granted
+  Scenario Outline: the recorded workload is that of its seed and uses only granted rights
+    Then the recorded workload of "<deployment>" is generated from the seed 1
+    And every step of the recorded workload of "<deployment>" is granted
+    And "<deployment>" has <tries> attempts on databases of other tenants, none of them granted
 
     Examples:
       | deployment  | tries |
       | karamanlis  | 0     |
       | sleevecraft | 6     |
 
-  Scenario Outline: the command fails by what must not happen alone
-    Given a standins report with 1 in "<key>"
-    Then the standins command ends with <status>
+  Scenario Outline: the command fails only on violations
+    Given a demonstration report with 1 in "<key>"
+    Then the demonstration command exits with <status>
 
     Examples:
       | key                 | status |
@@ -72,9 +72,9 @@
       | refused             | 0      |
       | unknown             | 0      |
 
-  Scenario: the report has the keys of its page and no other
-    Given a standins report with 1 in "answered"
-    Then the standins report's keys are these
+  Scenario: the report has exactly the documented keys
+    Given a demonstration report with 1 in "answered"
+    Then the demonstration report's keys are these
       """
       answered refused unknown lost doubled mixed wrong_answer
       ryw_violations stale_beyond_target false_not_run cut_by_planned_stop
--- a/features/standins_figures.feature
+++ b/features/standins_figures.feature
@@ -2,8 +2,8 @@
 
   Rule: a gap is the time between two members' acknowledgements
 
-    Scenario: the gap at a failover and the gap at the return
-      Given a figures journal
+    Scenario: the gap at a failover and the gap at the failback
+      Given a journal of one run
         | database | member | began | ended | verdict  |
         | l/0      | l/0/a  | 1.0   | 1.1   | answered |
         | l/1      | l/1/a  | 1.2   | 1.3   | answered |
@@ -11,41 +11,41 @@
         | l/0      | l/0/b  | 1.2   | 2.5   | answered |
         | l/0      | l/0/b  | 3.0   | 3.1   | answered |
         | l/0      | l/0/a  | 3.1   | 3.3   | answered |
-      When the figures changes are sought
-      Then the figures failover of l/0 after 1.2 takes 1.4 s
-      And the figures return of l/0 to l/0/a after 1.2 takes 0.2 s
-      And no figures failover of l/1 after 1.2 is found
+      When the changes of primary are determined
+      Then the failover of l/0 after 1.2 takes 1.4 s
+      And the failback of l/0 to l/0/a after 1.2 takes 0.2 s
+      And no failover of l/1 after 1.2 is found
 
-    Scenario: a late answer of the old primary is no change back
-      Given a figures journal
+    Scenario: a late answer of the old primary is not a failback
+      Given a journal of one run
         | database | member | began | ended | verdict  |
         | l/0      | l/0/a  | 1.0   | 1.1   | answered |
         | l/0      | l/0/b  | 1.0   | 2.0   | answered |
         | l/0      | l/0/a  | 1.0   | 2.1   | answered |
         | l/0      | l/0/b  | 2.1   | 2.2   | answered |
-      When the figures changes are sought
-      Then 1 figures change is found
+      When the changes of primary are determined
+      Then 1 change of primary is found
 
-    Scenario: what a gap is made of
-      Given a figures journal
+    Scenario: a gap is split into its parts
+      Given a journal of one run
         | database | member | began | ended | verdict  |
         | l/0      | l/0/a  | 1.0   | 1.1   | answered |
         | l/0      | l/0/b  | 1.2   | 2.5   | answered |
-      And figures promotions
+      And promotions of one run
         | database | primary | began | promoted |
         | l/0      | l/0/b   | 0.2   | 0.3      |
         | l/1      | l/1/b   | 1.5   | 1.6      |
         | l/0      | l/0/b   | 1.7   | 2.1      |
-      When the figures changes are sought
-      Then the figures gap of l/0 after 1.2 has these parts
+      When the changes of primary are determined
+      Then the failover gap of l/0 after 1.2 has these parts
         | silence | detection | promotion | service |
         | 0.1     | 0.5       | 0.4       | 0.4     |
 
   Rule: a target holds for the median and the worst value
 
-    Scenario Outline: a median, a worst value and a run without the event
-      Given figures values <values> of "<figure>"
-      Then the figures target is <met>
+    Scenario Outline: the median, the worst value and a run without the event are tested
+      Given the values <values> of the figure "<figure>"
+      Then the target of the figure is <met>
 
       Examples:
         | figure                                    | values      | met    |
--- a/features/standins_member.feature
+++ b/features/standins_member.feature
@@ -1,20 +1,20 @@
-Feature: Stand-in for a database member
-  Hosts must meet members that refuse lower terms, keep outcomes and
-  rebuild a log that has left the primary's.
+Feature: Simulated database member
+  Tests of hosts need members that refuse lower terms, store outcomes and
+  rebuild a log that has diverged from the primary's.
 
   Background:
-    Given standins members a, b and c with a leading term 1
+    Given simulated members a, b and c with a as the primary of term 1
 
-  Scenario: a write is read at a replica once its record was applied
-    When "x" is written at standins member a under term 1
-    Then a standins read at b with the floor of the write is refused as "replica-behind"
-    When standins records flow from a to b
-    Then standins member b holds "x"
+  Scenario: a replica serves a write after it has applied the write's record
+    When "x" is written at simulated member a under term 1
+    Then a read at simulated member b with the floor of the write is refused as "replica-behind"
+    When records are replicated from simulated member a to b
+    Then simulated member b holds "x"
 
-  Scenario Outline: lower and foreign terms are refused
-    Given standins members b and c are fenced at term 3
-    When <call> at standins member b
-    Then the standins call fails as "<code>"
+  Scenario Outline: calls under a term that the member does not hold are refused
+    Given simulated members b and c are fenced at term 3
+    When <call> at simulated member b
+    Then the call to the simulated member fails as "<code>"
 
     Examples:
       | call                            | code        |
@@ -26,132 +26,132 @@
       | term 4 is promoted              | stale-term  |
       | a is followed under term 2      | stale-term  |
 
-  Scenario: a primary takes no statement of a term to come
-    When "x" is written at standins member a under term 2
-    Then the standins call fails as "not-primary"
-    And standins member a holds ""
-
-  Scenario: a confirmation under an older term counts no copy
-    When "x" is written at standins member a under term 1
-    And standins records flow from a to b
-    And standins records flow from a to c
-    And standins members b and c are fenced at term 2
-    And standins member b is promoted to term 2
-    And standins member c confirms to b under term 1
-    Then standins member b counts no copy at c
-
-  Scenario: a replica takes no records of a term below its fence
-    Given standins members b and c are fenced at term 2
-    When "x" is written at standins member a under term 1
-    Then standins member b refuses the records of a
-    And standins member a counts no copy of the write
-
-  Scenario: a promotion writes the first record of its term at once
-    Given standins members b and c are fenced at term 2
-    When standins member b is promoted to term 2
-    Then the standins log of b ends at term 2 index 2
+  Scenario: a primary refuses a statement of a later term
+    When "x" is written at simulated member a under term 2
+    Then the call to the simulated member fails as "not-primary"
+    And simulated member a holds ""
+
+  Scenario: a confirmation under an older term does not count as a copy
+    When "x" is written at simulated member a under term 1
+    And records are replicated from simulated member a to b
+    And records are replicated from simulated member a to c
+    And simulated members b and c are fenced at term 2
+    And simulated member b is promoted to term 2
+    And simulated member c confirms its position to b under term 1
+    Then simulated member b counts no copy at c
+
+  Scenario: a replica refuses records of a term below its fence
+    Given simulated members b and c are fenced at term 2
+    When "x" is written at simulated member a under term 1
+    Then simulated member b refuses the records of a
+    And simulated member a counts no copy of the write
+
+  Scenario: a promotion immediately writes the first record of its term
+    Given simulated members b and c are fenced at term 2
+    When simulated member b is promoted to term 2
+    Then the log of simulated member b ends at term 2 index 2
 
   Scenario: a fence ends the primary's open transaction
-    Given an open standins transaction at a that wrote "x"
-    When standins member a is fenced at term 2
-    Then the standins transaction fails as "transaction-lost"
-    And standins member a holds ""
+    Given an open transaction at simulated member a that has written "x"
+    When simulated member a is fenced at term 2
+    Then the open transaction fails as "transaction-lost"
+    And simulated member a holds ""
 
   Scenario: reads do not see an open transaction
-    Given an open standins transaction at a that wrote "x"
-    Then standins member a holds ""
-    When the standins transaction is committed as "r-1"
-    Then standins member a holds "x"
-
-  Scenario: a failed statement leaves the transaction to its caller
-    Given an open standins transaction at a that wrote "x"
-    When the standins transaction runs a statement with a fault
-    Then the standins call fails as "statement-failed"
-    When the standins transaction is committed as "r-1"
-    Then standins member a holds "x"
-
-  Scenario: a conflict clause that ends the transaction loses it whole
-    Given an open standins transaction at a that wrote "x"
-    When the standins transaction runs a statement that rolls back
-    Then the standins transaction fails as "transaction-lost"
-    And standins member a holds ""
-    When "y" is written at standins member a under term 1
-    Then standins member a holds "y"
-
-  Scenario: a second use of a request id returns the kept outcome
-    When request "r-1" writes "x" at standins member a
-    And request "r-1" writes "x" at standins member a
-    Then the standins answer is recalled
-    And standins member a holds "x"
+    Given an open transaction at simulated member a that has written "x"
+    Then simulated member a holds ""
+    When the open transaction is committed with the request id "r-1"
+    Then simulated member a holds "x"
+
+  Scenario: a failed statement leaves its transaction open
+    Given an open transaction at simulated member a that has written "x"
+    When the open transaction runs an invalid statement
+    Then the call to the simulated member fails as "statement-failed"
+    When the open transaction is committed with the request id "r-1"
+    Then simulated member a holds "x"
+
+  Scenario: a conflict clause that rolls back loses the whole transaction
+    Given an open transaction at simulated member a that has written "x"
+    When the open transaction runs a statement that rolls back
+    Then the open transaction fails as "transaction-lost"
+    And simulated member a holds ""
+    When "y" is written at simulated member a under term 1
+    Then simulated member a holds "y"
+
+  Scenario: a second use of a request id returns the stored outcome
+    When request "r-1" writes "x" at simulated member a
+    And request "r-1" writes "x" at simulated member a
+    Then the simulated member returns the stored outcome
+    And simulated member a holds "x"
 
   Scenario: a request id with other content is refused
-    When request "r-1" writes "x" at standins member a
-    And request "r-1" writes "y" at standins member a
-    Then the standins call fails as "request-id-reused"
-    And standins member a holds "x"
+    When request "r-1" writes "x" at simulated member a
+    And request "r-1" writes "y" at simulated member a
+    Then the call to the simulated member fails as "request-id-reused"
+    And simulated member a holds "x"
 
   Scenario: a commit under a used request id rolls its statements back
-    When request "r-1" writes "x" at standins member a
-    Given an open standins transaction at a that wrote "x"
-    When the standins transaction is committed as "r-1"
-    Then the standins answer is recalled
-    And standins member a holds "x"
-
-  Scenario: an abandoned request never runs, at the next primary either
-    When standins request "r-1" is resolved at a
-    Then the standins call fails as "not-run"
-    When standins records flow from a to b
-    And standins members b and c are fenced at term 2
-    And standins member b is promoted to term 2
-    And request "r-1" writes "x" at standins member b
-    Then the standins call fails as "not-run"
-    And standins member b holds ""
-
-  Scenario: an outcome is kept at the next primary
-    When request "r-1" writes "x" at standins member a
-    And standins records flow from a to b
-    And standins members b and c are fenced at term 2
-    And standins member b is promoted to term 2
-    And request "r-1" writes "x" at standins member b
-    Then the standins answer is recalled
-    And standins member b holds "x"
-
-  Scenario: a log that left the primary's is rebuilt before it serves
-    When "lost" is written at standins member a under term 1
-    And standins members b and c are fenced at term 2
-    And standins member b is promoted to term 2
-    And "x" is written at standins member b under term 2
-    And standins member a follows b under term 2
-    Then a standins read at a is refused as "replica-behind"
-    And standins member b counts no copy at a
-    When standins records flow from b to a
-    Then standins member a holds "x"
-    And standins member a was rebuilt
-
-  Scenario: a log that is a beginning of the primary's goes on without a copy
-    When "x" is written at standins member a under term 1
-    And standins records flow from a to b
-    And standins records flow from a to c
-    And standins members b and c are fenced at term 2
-    And standins member b is promoted to term 2
-    And standins member c follows b under term 2
-    And standins records flow from b to c
-    Then standins member c holds "x"
-    And standins member c was not rebuilt
-
-  Scenario: a member that lost its log gives no vote
-    Given standins member c has restarted without its log
-    When standins member c is fenced at term 2
-    Then the standins call fails as "stale-term"
-    And a standins read at c is refused as "replica-behind"
-    When standins member c follows a under term 1
-    And standins records flow from a to c
-    And standins member c is fenced at term 2
-    Then the standins call succeeds
-
-  Scenario Outline: a caller's statement can't leave its transaction
-    When "<sql>" runs as a standins statement at a
-    Then the standins call fails as "statement-failed"
+    When request "r-1" writes "x" at simulated member a
+    Given an open transaction at simulated member a that has written "x"
+    When the open transaction is committed with the request id "r-1"
+    Then the simulated member returns the stored outcome
+    And simulated member a holds "x"
+
+  Scenario: an abandoned request never runs, not even at the next primary
+    When the outcome of request "r-1" is resolved at simulated member a
+    Then the call to the simulated member fails as "not-run"
+    When records are replicated from simulated member a to b
+    And simulated members b and c are fenced at term 2
+    And simulated member b is promoted to term 2
+    And request "r-1" writes "x" at simulated member b
+    Then the call to the simulated member fails as "not-run"
+    And simulated member b holds ""
+
+  Scenario: the next primary has the stored outcomes
+    When request "r-1" writes "x" at simulated member a
+    And records are replicated from simulated member a to b
+    And simulated members b and c are fenced at term 2
+    And simulated member b is promoted to term 2
+    And request "r-1" writes "x" at simulated member b
+    Then the simulated member returns the stored outcome
+    And simulated member b holds "x"
+
+  Scenario: a member whose log has diverged is rebuilt before it serves reads
+    When "lost" is written at simulated member a under term 1
+    And simulated members b and c are fenced at term 2
+    And simulated member b is promoted to term 2
+    And "x" is written at simulated member b under term 2
+    And simulated member a follows b under term 2
+    Then a read at simulated member a is refused as "replica-behind"
+    And simulated member b counts no copy at a
+    When records are replicated from simulated member b to a
+    Then simulated member a holds "x"
+    And simulated member a was rebuilt
+
+  Scenario: a member whose log is a prefix of the primary's is not rebuilt
+    When "x" is written at simulated member a under term 1
+    And records are replicated from simulated member a to b
+    And records are replicated from simulated member a to c
+    And simulated members b and c are fenced at term 2
+    And simulated member b is promoted to term 2
+    And simulated member c follows b under term 2
+    And records are replicated from simulated member b to c
+    Then simulated member c holds "x"
+    And simulated member c was not rebuilt
+
+  Scenario: a member that lost its log refuses a fence until it is rebuilt
+    Given simulated member c has restarted without its log
+    When simulated member c is fenced at term 2
+    Then the call to the simulated member fails as "stale-term"
+    And a read at simulated member c is refused as "replica-behind"
+    When simulated member c follows a under term 1
+    And records are replicated from simulated member a to c
+    And simulated member c is fenced at term 2
+    Then the call to the simulated member succeeds
+
+  Scenario Outline: a caller's statement can't control transactions or use internal tables
+    When "<sql>" runs as a statement at simulated member a
+    Then the call to the simulated member fails as "statement-failed"
 
     Examples:
       | sql                                   |
--- a/features/steps/standins_demo_steps.py
+++ b/features/steps/standins_demo_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the checker of the demonstration."""
+"""Steps for the checker of the demonstration."""
 
 from __future__ import annotations
 
@@ -53,21 +53,25 @@
 
 
 class StandinsDemoSteps:
-    """Steps on journals with one fault each."""
+    """Steps for journals with one fault each."""
 
     @staticmethod
-    @given('a standins journal without faults')
+    @given('a demonstration journal without faults')
     def make_journal(context: Any) -> None:
-        """Make two writes, a transaction and two reads."""
+        """Build a journal of a write, a transaction and two reads."""
         context.entries = {
-            'w1': _write('w1', 's1', 1.0, 1),
+            'w1': _make_write('w1', 's1', 1.0, 1),
             't1': replace(
-                _write('t1', 's2', 2.0, 3),
+                _make_write('t1', 's2', 2.0, 3),
                 kind=StepKind.TRANSACTION,
                 parts=2,
             ),
-            'r1': _read('r1', 's1', 2.5, own_floor=1, own_rows=1, last_id=3),
-            'r2': _read('r2', 's2', 9.0, own_floor=2, own_rows=2, last_id=3),
+            'r1': _make_read(
+                'r1', 's1', 2.5, own_floor=1, own_rows=1, last_id=3
+            ),
+            'r2': _make_read(
+                'r2', 's2', 9.0, own_floor=2, own_rows=2, last_id=3
+            ),
         }
         rows = (
             StoredRow(1, 'w1', 's1', 1),
@@ -77,13 +81,13 @@
         context.rows = {'a': list(rows), 'b': list(rows)}
 
     @staticmethod
-    @given('the standins fault "{fault}"')
+    @given('the journal fault "{fault}"')
     def add_fault(context: Any, fault: str) -> None:
-        """Change the journal or the rows."""
+        """Add the fault to the journal or to the stored rows."""
         _FAULTS[fault](context)
 
     @staticmethod
-    @given('standins writes at a until {last:g} s and at b from {first:g} s')
+    @given('journal writes at a until {last:g} s and at b from {first:g} s')
     def add_writes(context: Any, last: float, first: float) -> None:
         """Add writes before and after a change of primary."""
         for name, member, at_s in (
@@ -92,40 +96,38 @@
             ('w9', 'b', first),
             ('w10', 'b', first + 1),
         ):
-            entry = _write(name, 's1', at_s - 0.01, 0)
+            entry = _make_write(name, 's1', at_s - 0.01, 0)
             context.entries[name] = replace(entry, member=member, ended_s=at_s)
 
     @staticmethod
-    @then('the standins write gap after {since:g} s is {gap:g} s')
+    @then('the write gap after {since:g} s is {gap:g} s')
     def check_gap(context: Any, since: float, gap: float) -> None:
-        """Compare the gap."""
-        assert _check(context).write_gap_s(_DATABASE, since) == gap
+        """Compare the gap in seconds."""
+        assert _make_checker(context).write_gap_s(_DATABASE, since) == gap
 
     @staticmethod
-    @then('the standins write gap after {since:g} s is not seen')
+    @then('the write gap after {since:g} s is not found')
     def check_no_gap(context: Any, since: float) -> None:
-        """Expect no change of primary."""
-        assert _check(context).write_gap_s(_DATABASE, since) is None
+        """Check that no change of primary is found."""
+        assert _make_checker(context).write_gap_s(_DATABASE, since) is None
 
     @staticmethod
-    @then('the standins checker counts nothing')
+    @then('the demonstration checker counts nothing')
     def check_nothing(context: Any) -> None:
-        """Expect that every count is 0."""
-        assert not any(_count(context).values()), _count(context)
+        """Check that every count is 0."""
+        assert not any(_count_faults(context).values()), _count_faults(context)
 
     @staticmethod
-    @then('the standins checker counts only {keys}')
+    @then('the demonstration checker counts only {keys}')
     def check_counts(context: Any, keys: str) -> None:
-        """Expect one of each named key and nothing else."""
-        counted = {k for k, v in _count(context).items() if v}
+        """Check that exactly the named keys have a count."""
+        counted = {k for k, v in _count_faults(context).items() if v}
         assert counted == set(keys.split(' and ')), counted
 
     @staticmethod
-    @then(
-        'the standins recordings of one seed are equal and of another are not'
-    )
-    def check_recordings(context: Any) -> None:
-        """Draw three recordings."""
+    @then('the workloads of one seed are equal and that of another differs')
+    def check_workloads(context: Any) -> None:
+        """Generate and compare three workloads."""
         work = (TenantWork('weavers', ('filing',), ('lookup',), (0, 1, 2)),)
         first, again, other = (
             generate_workload(work, seed) for seed in (1, 1, 2)
@@ -134,23 +136,25 @@
         assert first != other
 
     @staticmethod
-    @then('the standins checker counts no refusal')
+    @then('the demonstration checker counts no refusal')
     def check_no_refusal(context: Any) -> None:
-        """Expect that a try does not count among the refused."""
-        assert _check(context).count(Verdict.REFUSED) == 0
+        """Check that an attempt on another tenant is not counted."""
+        assert _make_checker(context).count(Verdict.REFUSED) == 0
 
     @staticmethod
-    @then('the standins recording of "{name}" is drawn from the seed {seed:d}')
-    def check_recording(context: Any, name: str, seed: int) -> None:
-        """Draw the recording anew."""
+    @then(
+        'the recorded workload of "{name}" is generated from the seed {seed:d}'
+    )
+    def check_recorded_workload(context: Any, name: str, seed: int) -> None:
+        """Compare the recorded workload with a generated one."""
         works = list_tenant_work(find_deployment(name))
         recorded = load_workload(recording_path(name))
         assert recorded == generate_workload(works, seed)
 
     @staticmethod
-    @then('every standins step of "{name}" is granted')
+    @then('every step of the recorded workload of "{name}" is granted')
     def check_granted(context: Any, name: str) -> None:
-        """Expect a right for each step and for steady writers."""
+        """Check the grants of each step and of the steady writers."""
         deployment = find_deployment(name)
         steps = load_workload(recording_path(name))
         refused = [s for s in steps if not _is_granted(deployment, s)]
@@ -162,33 +166,36 @@
             assert _is_granted(deployment, step), step
 
     @staticmethod
-    @then('"{name}" has {tries:d} standins tries, none of them granted')
-    def check_tries(context: Any, name: str, tries: int) -> None:
-        """Count the tries; each tenant reads and writes once."""
+    @then(
+        '"{name}" has {count:d} attempts on databases of other tenants, '
+        'none of them granted'
+    )
+    def check_attempts(context: Any, name: str, count: int) -> None:
+        """Check the number of attempts: a read and a write of each tenant."""
         deployment = find_deployment(name)
         steps = tuple(make_foreign_steps(deployment, 0))
-        assert len({(s.tenant, s.kind) for s in steps}) == tries, steps
-        assert len(steps) == tries, steps
+        assert len({(s.tenant, s.kind) for s in steps}) == count, steps
+        assert len(steps) == count, steps
         assert not any(_is_granted(deployment, s) for s in steps)
         assert all(s.is_foreign for s in steps)
 
     @staticmethod
-    @given('a standins report with 1 in "{key}"')
+    @given('a demonstration report with 1 in "{key}"')
     def make_report(context: Any, key: str) -> None:
-        """Make a report whose other counts are 0."""
+        """Build a report whose other counts are 0."""
         report = Report(*[0] * 11, 0.0, None, None, None, {})
         context.report = replace(report, **{key: 1})
 
     @staticmethod
-    @then('the standins command ends with {status:d}')
+    @then('the demonstration command exits with {status:d}')
     def check_status(context: Any, status: int) -> None:
         """Compare the exit status."""
         assert context.report.exit_status == status
 
     @staticmethod
-    @then("the standins report's keys are these")
+    @then("the demonstration report's keys are these")
     def check_keys(context: Any) -> None:
-        """Compare the keys of the JSON text."""
+        """Compare the keys of the JSON document."""
         document = json.loads(dump_report(context.report))
         assert list(document) == context.text.split()
 
@@ -203,7 +210,9 @@
     )
 
 
-def _write(request: str, session: str, began_s: float, last_id: int) -> Entry:
+def _make_write(
+    request: str, session: str, began_s: float, last_id: int
+) -> Entry:
     return Entry(
         request,
         session,
@@ -219,7 +228,9 @@
     )
 
 
-def _read(request: str, session: str, began_s: float, **seen: int) -> Entry:
+def _make_read(
+    request: str, session: str, began_s: float, **seen: int
+) -> Entry:
     return Entry(
         request,
         session,
@@ -234,88 +245,88 @@
     )
 
 
-def _change(context: Any, request: str, **fields: Any) -> None:
+def _change_entry(context: Any, request: str, **fields: Any) -> None:
     context.entries[request] = replace(context.entries[request], **fields)
 
 
-def _refuse(context: Any, request: str, **fields: Any) -> None:
+def _add_refusal(context: Any, request: str, **fields: Any) -> None:
     entry = replace(
-        _write(request, 's1', 3.0, 0), verdict=Verdict.REFUSED, parts=0
+        _make_write(request, 's1', 3.0, 0), verdict=Verdict.REFUSED, parts=0
     )
     context.entries[request] = replace(entry, **fields)
 
 
-def _store(context: Any, *rows: StoredRow) -> None:
-    for held in context.rows.values():
-        held.extend(rows)
+def _store_rows(context: Any, *rows: StoredRow) -> None:
+    for member_rows in context.rows.values():
+        member_rows.extend(rows)
 
 
-def _drop(context: Any, members: str, row_id: int) -> None:
+def _remove_row(context: Any, members: str, row_id: int) -> None:
     for member in members:
-        held = context.rows[member]
-        context.rows[member] = [r for r in held if r.row_id != row_id]
+        member_rows = context.rows[member]
+        context.rows[member] = [r for r in member_rows if r.row_id != row_id]
 
 
-def _drop_at_replica(context: Any) -> None:
-    _drop(context, 'b', 1)
+def _remove_at_replica(context: Any) -> None:
+    _remove_row(context, 'b', 1)
 
 
-def _drop_part(context: Any) -> None:
-    _drop(context, 'ab', 3)
+def _remove_part(context: Any) -> None:
+    _remove_row(context, 'ab', 3)
 
 
-def _double(context: Any) -> None:
-    _store(context, StoredRow(4, 'w1', 's1', 1))
+def _duplicate_row(context: Any) -> None:
+    _store_rows(context, StoredRow(4, 'w1', 's1', 1))
 
 
-def _mix(context: Any) -> None:
-    _drop(context, 'ab', 1)
-    _store(context, StoredRow(4, 'w1', 's9', 1))
+def _move_row_to_other_session(context: Any) -> None:
+    _remove_row(context, 'ab', 1)
+    _store_rows(context, StoredRow(4, 'w1', 's9', 1))
 
 
-def _refuse_in_part(context: Any) -> None:
-    _refuse(context, 't9', kind=StepKind.TRANSACTION)
-    _store(context, StoredRow(4, 't9', 's1', 1))
+def _refuse_partly_stored(context: Any) -> None:
+    _add_refusal(context, 't9', kind=StepKind.TRANSACTION)
+    _store_rows(context, StoredRow(4, 't9', 's1', 1))
 
 
-def _cross(context: Any) -> None:
-    _change(context, 'r1', is_own_answer=False)
+def _answer_other_request(context: Any) -> None:
+    _change_entry(context, 'r1', is_own_answer=False)
 
 
-def _miss_own(context: Any) -> None:
-    _change(context, 'r1', own_rows=0)
+def _miss_own_write(context: Any) -> None:
+    _change_entry(context, 'r1', own_rows=0)
 
 
-def _age(context: Any) -> None:
-    _change(context, 'r2', last_id=1)
+def _read_stale(context: Any) -> None:
+    _change_entry(context, 'r2', last_id=1)
 
 
-def _refuse_falsely(context: Any) -> None:
-    _refuse(context, 'w9')
-    _store(context, StoredRow(4, 'w9', 's1', 1))
+def _refuse_stored_write(context: Any) -> None:
+    _add_refusal(context, 'w9')
+    _store_rows(context, StoredRow(4, 'w9', 's1', 1))
 
 
-def _refuse_truly(context: Any) -> None:
-    _refuse(context, 'w9')
+def _refuse_write(context: Any) -> None:
+    _add_refusal(context, 'w9')
 
 
-def _try_read(context: Any) -> None:
-    entry = _read('f1', 's3', 2.0, last_id=3)
+def _answer_foreign_read(context: Any) -> None:
+    entry = _make_read('f1', 's3', 2.0, last_id=3)
     context.entries['f1'] = replace(entry, is_foreign=True)
 
 
-def _try_write(context: Any) -> None:
-    entry = _write('f1', 's3', 9.5, 4)
+def _answer_foreign_write(context: Any) -> None:
+    entry = _make_write('f1', 's3', 9.5, 4)
     context.entries['f1'] = replace(entry, is_foreign=True)
-    _store(context, StoredRow(4, 'f1', 's3', 1))
+    _store_rows(context, StoredRow(4, 'f1', 's3', 1))
 
 
-def _try_overloaded(context: Any) -> None:
-    _refuse(context, 'f1', is_foreign=True, code='overloaded')
+def _overload_foreign(context: Any) -> None:
+    _add_refusal(context, 'f1', is_foreign=True, code='overloaded')
 
 
-def _try_unknown(context: Any) -> None:
-    _refuse(
+def _lose_foreign_outcome(context: Any) -> None:
+    _add_refusal(
         context,
         'f1',
         is_foreign=True,
@@ -324,35 +335,35 @@
     )
 
 
-def _try_refused(context: Any) -> None:
-    _refuse(context, 'f1', is_foreign=True, code=NotAuthorized.code)
+def _refuse_foreign(context: Any) -> None:
+    _add_refusal(context, 'f1', is_foreign=True, code=NotAuthorized.code)
 
 
-def _cut(context: Any) -> None:
-    _refuse(context, 'w9', began_s=21.0, ended_s=22.0)
+def _refuse_in_planned_stop(context: Any) -> None:
+    _add_refusal(context, 'w9', began_s=21.0, ended_s=22.0)
 
 
 _FAULTS = {
-    'an acknowledged row is missing at one replica': _drop_at_replica,
-    'one row of a transaction is missing everywhere': _drop_part,
-    'a row stands twice': _double,
-    'a row stands under another session': _mix,
-    'a refused transaction is there in part': _refuse_in_part,
-    "an answer has another request's parameter": _cross,
-    "a read misses the session's own write": _miss_own,
-    'a read is older than its class allows': _age,
-    'a refused write is in the rows': _refuse_falsely,
-    'a write is refused truly': _refuse_truly,
-    'a request is refused in a planned stop': _cut,
-    "a read of another tenant's database is answered": _try_read,
-    "a write to another tenant's database is answered": _try_write,
-    "a write to another tenant's database is overloaded": _try_overloaded,
-    "a write to another tenant's database is unknown": _try_unknown,
-    "a write to another tenant's database is not authorized": _try_refused,
+    'an acknowledged row is missing at one replica': _remove_at_replica,
+    'one row of a transaction is missing everywhere': _remove_part,
+    'a row stands twice': _duplicate_row,
+    'a row stands under another session': _move_row_to_other_session,
+    'a refused transaction is there in part': _refuse_partly_stored,
+    "an answer has another request's parameter": _answer_other_request,
+    "a read misses the session's own write": _miss_own_write,
+    'a read is older than its class allows': _read_stale,
+    'a refused write is in the rows': _refuse_stored_write,
+    'a write is refused truly': _refuse_write,
+    'a request is refused in a planned stop': _refuse_in_planned_stop,
+    "a read of another tenant's database is answered": _answer_foreign_read,
+    "a write to another tenant's database is answered": _answer_foreign_write,
+    "a write to another tenant's database is overloaded": _overload_foreign,
+    "a write to another tenant's database is unknown": _lose_foreign_outcome,
+    "a write to another tenant's database is not authorized": _refuse_foreign,
 }
 
 
-def _check(context: Any) -> Checker:
+def _make_checker(context: Any) -> Checker:
     prompt = Promptness(1000, 0.99)
     present = Freshness(FreshnessKind.PRESENT)
     aged = Freshness(FreshnessKind.AGE, 2000)
@@ -369,8 +380,8 @@
     return Checker(context.entries.values(), members, declarations)
 
 
-def _count(context: Any) -> dict[str, int]:
-    checker = _check(context)
+def _count_faults(context: Any) -> dict[str, int]:
+    checker = _make_checker(context)
     counts = (
         checker.count_lost(),
         checker.count_doubled(),
--- a/features/steps/standins_figures_steps.py
+++ b/features/steps/standins_figures_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the figures of whole runs."""
+"""Steps for the figures of whole runs."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class StandinsFiguresSteps:
-    """Steps on gaps and targets."""
+    """Steps for gaps and targets."""
 
     @staticmethod
-    @given('a figures journal')
+    @given('a journal of one run')
     def make_journal(context: Any) -> None:
-        """Make writes of one session."""
+        """Build the journal from the writes of the table."""
         context.entries = [
             Entry(
                 f'w{number}',
@@ -42,9 +42,9 @@
         ]
 
     @staticmethod
-    @given('figures promotions')
+    @given('promotions of one run')
     def make_promotions(context: Any) -> None:
-        """Make promotions."""
+        """Build the promotions of the table."""
         context.promotions = [
             Promotion(
                 row['database'],
@@ -57,45 +57,43 @@
         ]
 
     @staticmethod
-    @when('the figures changes are sought')
-    def seek(context: Any) -> None:
-        """Find the changes of primary."""
+    @when('the changes of primary are determined')
+    def find_changes(context: Any) -> None:
+        """Find the changes of primary in the journal."""
         context.changes = find_primary_changes(context.entries)
 
     @staticmethod
-    @then('the figures failover of {name} after {at:g} takes {gap:g} s')
+    @then('the failover of {name} after {at:g} takes {gap:g} s')
     def check_failover(context: Any, name: str, at: float, gap: float) -> None:
-        """Check the first gap after a fault."""
+        """Compare the first gap after a fault, in seconds."""
         found = find_failover(context.changes, name, at)
         assert round(found.gap_s, 3) == gap, found
 
     @staticmethod
-    @then('no figures failover of {name} after {at:g} is found')
-    def check_none(context: Any, name: str, at: float) -> None:
+    @then('no failover of {name} after {at:g} is found')
+    def check_no_failover(context: Any, name: str, at: float) -> None:
         """Check that no change is found."""
         assert find_failover(context.changes, name, at) is None
 
     @staticmethod
-    @then(
-        'the figures return of {name} to {home} after {at:g} takes {gap:g} s'
-    )
-    def check_return(
+    @then('the failback of {name} to {home} after {at:g} takes {gap:g} s')
+    def check_failback(
         context: Any, name: str, home: str, at: float, gap: float
     ) -> None:
-        """Check the gap at a return."""
+        """Compare the gap at a failback, in seconds."""
         found = find_failback(context.changes, name, home, at)
         assert round(found.gap_s, 3) == gap, found
 
     @staticmethod
-    @then('{count:d} figures change is found')
+    @then('{count:d} change of primary is found')
     def check_count(context: Any, count: int) -> None:
-        """Check the number of changes."""
+        """Compare the number of changes."""
         assert len(context.changes) == count, context.changes
 
     @staticmethod
-    @then('the figures gap of {name} after {at:g} has these parts')
+    @then('the failover gap of {name} after {at:g} has these parts')
     def check_parts(context: Any, name: str, at: float) -> None:
-        """Check what a gap is made of."""
+        """Compare the parts of a gap, in seconds."""
         change = find_failover(context.changes, name, at)
         parts = split_gap(change, at, context.promotions)
         for field, value in context.table[0].items():
@@ -103,16 +101,16 @@
             assert round(found, 3) == float(value), parts
 
     @staticmethod
-    @given('figures values {values} of "{figure}"')
-    def take_values(context: Any, values: str, figure: str) -> None:
-        """Take the values of some runs."""
+    @given('the values {values} of the figure "{figure}"')
+    def set_values(context: Any, values: str, figure: str) -> None:
+        """Set the values of several runs."""
         context.target = find_target('karamanlis', figure)
         context.values = [
             None if v == 'none' else float(v) for v in values.split()
         ]
 
     @staticmethod
-    @then('the figures target is {verdict}')
+    @then('the target of the figure is {verdict}')
     def check_target(context: Any, verdict: str) -> None:
         """Check whether the values meet the target."""
         is_met = context.target.is_met(context.values)
--- a/features/steps/standins_links_steps.py
+++ b/features/steps/standins_links_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the stand-in links."""
+"""Steps for the simulated links."""
 
 from __future__ import annotations
 
@@ -22,41 +22,43 @@
 
 
 class StandinsLinksSteps:
-    """Steps on delays and cuts."""
+    """Steps for delays and cuts."""
 
     @staticmethod
     @given(
-        'a standins link of {delay:g} ms with jitter {jitter:g} ms and '
+        'a simulated link of {delay:g} ms with jitter {jitter:g} ms and '
         'loss {loss:g}'
     )
     def make_link(
         context: Any, delay: float, jitter: float, loss: float
     ) -> None:
-        """Describe a direction."""
+        """Set the quality of one direction."""
         pair = ZonePair('north', 'south')
         context.quality = Quality(pair, delay, jitter, loss)
 
     @staticmethod
-    @when('{count:d} standins packets leave {gap:g} ms apart')
+    @when(
+        '{count:d} packets are sent over the simulated link {gap:g} ms apart'
+    )
     def send(context: Any, count: int, gap: float) -> None:
-        """Ask for the arrivals."""
+        """Calculate the arrival times of the packets."""
         context.sent = [n * gap / 1000 for n in range(count)]
-        context.arrivals = _arrive(context)
+        context.arrivals = _arrival_times(context)
 
     @staticmethod
-    @then('they arrive in order, none sooner than {delay:g} ms')
+    @then('the packets arrive in order, none sooner than {delay:g} ms')
     def check_order(context: Any, delay: float) -> None:
-        """Compare arrivals with each other and with the delay."""
+        """Check the order of the arrivals and the minimum delay."""
         assert context.arrivals == sorted(context.arrivals)
-        taken = [
+        delays_s = [
             a - s for a, s in zip(context.arrivals, context.sent, strict=True)
         ]
-        assert min(taken) >= delay / 1000 - _ROUNDING_S
+        assert min(delays_s) >= delay / 1000 - _ROUNDING_S
 
     @staticmethod
-    @then('some standins packet takes at least {delay:g} ms')
+    @then('some packet takes at least {delay:g} ms')
     def check_loss(context: Any, delay: float) -> None:
-        """Expect a retransmission."""
+        """Check that a packet was retransmitted."""
         assert delay == RETRANSMISSION_MS
         assert any(
             a - s >= delay / 1000
@@ -64,33 +66,33 @@
         )
 
     @staticmethod
-    @then('another standins link with the same seed gives the same arrivals')
+    @then('another simulated link with the same seed gives the same arrivals')
     def check_seed(context: Any) -> None:
-        """Ask once more."""
-        assert _arrive(context) == context.arrivals
+        """Compare the arrival times of a second link."""
+        assert _arrival_times(context) == context.arrivals
 
     @staticmethod
-    @given('standins zones north and south')
+    @given('simulated zones north and south')
     def make_network(context: Any) -> None:
-        """Make a network without delays."""
+        """Build a network without delays."""
         context.network = Network(())
 
     @staticmethod
-    @when('the standins direction {source} to {target} is cut')
+    @when('the simulated link from {source} to {target} is cut')
     def cut(context: Any, source: str, target: str) -> None:
         """Cut one direction."""
         context.network.obey(LinkOrder(cuts=(ZonePair(source, target),)))
 
     @staticmethod
-    @when('the standins cut is healed')
+    @when('the simulated cut is healed')
     def heal(context: Any) -> None:
-        """End every cut."""
+        """End all cuts."""
         context.network.obey(LinkOrder(cuts=()))
 
     @staticmethod
-    @then('standins data from {source} to {target} waits')
+    @then('simulated data from {source} to {target} waits')
     def check_waits(context: Any, source: str, target: str) -> None:
-        """Expect that a sender is still held."""
+        """Check that a sender is blocked."""
         pair = ZonePair(source, target)
         sender = gevent.spawn(context.network.wait_healed, pair)
         context.cleanups.append(sender.kill)
@@ -98,15 +100,15 @@
         assert not sender.ready()
 
     @staticmethod
-    @then('standins data from {source} to {target} passes')
+    @then('simulated data from {source} to {target} passes')
     def check_passes(context: Any, source: str, target: str) -> None:
-        """Expect that a sender goes on at once."""
+        """Check that a sender is not blocked."""
         pair = ZonePair(source, target)
         sender = gevent.spawn(context.network.wait_healed, pair)
         gevent.idle()
         assert sender.ready()
 
 
-def _arrive(context: Any) -> list[float]:
+def _arrival_times(context: Any) -> list[float]:
     line = DelayLine(random.Random(_SEED))
     return [line.due(context.quality, at) for at in context.sent]
