--- a/features/fakes/small_host.py
+++ b/features/fakes/small_host.py
@@ -98,7 +98,7 @@
         self.documents.subscribe(self._on_document)
 
     @property
-    def live(self) -> frozenset[str]:
+    def live_names(self) -> frozenset[str]:
         """Names of the hosts that this host considers live."""
         zones = self.membership.live_hosts.zones
         return frozenset(h for zone in zones for h in zone.hosts)
--- a/features/fakes/tenants_host.py
+++ b/features/fakes/tenants_host.py
@@ -167,7 +167,7 @@
         """Return the reply to a message of a connection."""
         return self._server.on_request(channel, message)
 
-    def take_reached(self) -> set[str]:
+    def pop_reached(self) -> set[str]:
         """Return and reset the databases reached since the last call."""
         hosts = {sent.host for sent in self._peers.sent}
         self._peers.sent.clear()
--- a/features/steps/client_generated_steps.py
+++ b/features/steps/client_generated_steps.py
@@ -65,7 +65,7 @@
     return host.serve(message)
 
 
-class Outcomes:
+class ReportedOutcomes:
     """Number of runs of each write, by the outcome that was reported."""
 
     def __init__(self) -> None:
@@ -92,22 +92,22 @@
     def set_sequence_count(context: Any, sequence_count: int) -> None:
         """Set the number of sequences."""
         context.sequence_count = sequence_count
-        context.outcomes = Outcomes()
+        context.outcomes = ReportedOutcomes()
 
     @staticmethod
     @when('a client writes through the hosts with single statements')
     def run_single(context: Any) -> None:
         """Write in autocommit mode."""
-        GeneratedFaultSteps.run_all(context, is_autocommit=True)
+        GeneratedFaultSteps.run_sequences(context, is_autocommit=True)
 
     @staticmethod
     @when('a client writes through the hosts in transactions')
     def run_transactions(context: Any) -> None:
         """Write and commit in transactions."""
-        GeneratedFaultSteps.run_all(context, is_autocommit=False)
+        GeneratedFaultSteps.run_sequences(context, is_autocommit=False)
 
     @staticmethod
-    def run_all(context: Any, is_autocommit: bool) -> None:
+    def run_sequences(context: Any, is_autocommit: bool) -> None:
         """Run the client under each generated sequence."""
         faults = strategies.lists(strategies.sampled_from(FAULTS), max_size=12)
 
@@ -118,15 +118,17 @@
         )
         @generate(faults, faults)
         def run(first: list[Any], second: list[Any]) -> None:
-            GeneratedFaultSteps.run_one(
+            GeneratedFaultSteps.run_sequence(
                 context.outcomes, (first, second), is_autocommit
             )
 
         run()
 
     @staticmethod
-    def run_one(
-        outcomes: Outcomes, faults: tuple[Any, ...], is_autocommit: bool
+    def run_sequence(
+        outcomes: ReportedOutcomes,
+        faults: tuple[Any, ...],
+        is_autocommit: bool,
     ) -> None:
         """Write under one sequence of faults, then record the outcomes."""
         client = ClientRig(2)
--- a/features/steps/client_steps.py
+++ b/features/steps/client_steps.py
@@ -70,7 +70,7 @@
     @staticmethod
     @given('every host of the client is down')
     def take_down(context: Any) -> None:
-        """Stop each host."""
+        """Make every host unreachable."""
         for host in context.client.hosts.values():
             host.is_up = False
 
@@ -154,7 +154,7 @@
 
     @staticmethod
     @when('the client connects')
-    def connect_anew(context: Any) -> None:
+    def connect_again(context: Any) -> None:
         """Open another connection."""
         context.client.attempt(context.client.connect)
 
@@ -173,7 +173,7 @@
 
     @staticmethod
     @when('the client passes a parameter of an unknown type')
-    def pass_object(context: Any) -> None:
+    def pass_unknown_type(context: Any) -> None:
         """Pass an object that has no type on the wire."""
         context.client.attempt(
             context.client.cursor.execute, 'select ?', [object()]
@@ -181,13 +181,13 @@
 
     @staticmethod
     @when('the client passes parameters as a text')
-    def pass_text(context: Any) -> None:
+    def pass_string(context: Any) -> None:
         """Pass a string instead of a sequence of parameters."""
         context.client.attempt(context.client.cursor.execute, 'select ?', 'a')
 
     @staticmethod
     @when('the client fetches before a statement')
-    def fetch_early(context: Any) -> None:
+    def fetch_before_statement(context: Any) -> None:
         """Fetch before a statement has run."""
         context.client.attempt(context.client.cursor.fetchone)
 
@@ -327,7 +327,7 @@
 
     @staticmethod
     @then('no transaction is open at any host of the client')
-    def expect_none_open(context: Any) -> None:
+    def expect_no_transaction(context: Any) -> None:
         """Check that no host has an open transaction."""
         hosts = context.client.hosts.values()
         assert not any(h.transactions for h in hosts)
--- a/features/steps/entry_transactions_steps.py
+++ b/features/steps/entry_transactions_steps.py
@@ -107,7 +107,7 @@
 
     @staticmethod
     @when('the caller begins a transaction at the late pooler')
-    def begin_late(context: Any) -> None:
+    def begin_at_late_pooler(context: Any) -> None:
         """Begin, then release the answer of the pooler after the refusal."""
         req = _make_request('ledger/0', context.clock.now() + 0.001)
         context.result = context.transactions.begin(req, CONNECTION)
--- a/features/steps/pipeline_steps.py
+++ b/features/steps/pipeline_steps.py
@@ -100,7 +100,7 @@
 
     @staticmethod
     @given('the host is draining')
-    def drain(context: Any) -> None:
+    def start_draining(context: Any) -> None:
         """Mark the host as draining."""
         context.admit.is_draining = True
 
@@ -109,7 +109,7 @@
         '"{tenant}" sends a request of class "{work_class}" to "{database}"'
         ' with {token}'
     )
-    def send(
+    def send_request(
         context: Any, tenant: str, work_class: str, database: str, token: str
     ) -> None:
         """Run one request through the filters."""
@@ -193,7 +193,7 @@
 
     @staticmethod
     @when('the pipeline delivers the {kind:w}')
-    def deliver(context: Any, kind: str) -> None:
+    def deliver_request(context: Any, kind: str) -> None:
         """Run one request through the delivery filter."""
         clock = context.clock
         views = FakeViews(clock)
--- a/features/steps/small_host_steps.py
+++ b/features/steps/small_host_steps.py
@@ -54,13 +54,15 @@
         """Wait until each host sees exactly the running hosts as live."""
         expected = frozenset(context.hosts)
         assert wait_for(
-            lambda: all(h.live == expected for h in context.hosts.values()),
+            lambda: all(
+                h.live_names == expected for h in context.hosts.values()
+            ),
             CONVERGENCE_TIMEOUT_S,
-        ), {name: h.live for name, h in context.hosts.items()}
+        ), {name: h.live_names for name, h in context.hosts.items()}
 
     @staticmethod
     @step('a change of the declarations is applied')
-    def apply(context: Any) -> None:
+    def submit(context: Any) -> None:
         """Submit empty declarations."""
         applied = submit_change(context.adapter, Declarations(), 'small')
         assert isinstance(applied, Success), applied
@@ -95,7 +97,7 @@
         """Wait until no other host sees the host as live."""
         assert wait_for(
             lambda: all(
-                removed not in host.live
+                removed not in host.live_names
                 for name, host in context.hosts.items()
                 if name != removed
             ),
@@ -110,7 +112,7 @@
 
     @staticmethod
     @when('the small host "{name}" starts with the seed "{seed}"')
-    def start_late(context: Any, name: str, seed: str) -> None:
+    def start_with_seed(context: Any, name: str, seed: str) -> None:
         """Start a host that is configured with one seed peer."""
         entry = context.hosts[seed].entry
         seeds = (SeedPeer(seed, entry.peer_endpoint),)
--- a/features/steps/standins_links_steps.py
+++ b/features/steps/standins_links_steps.py
@@ -40,7 +40,7 @@
     @when(
         '{count:d} packets are sent over the simulated link {gap:g} ms apart'
     )
-    def send(context: Any, count: int, gap: float) -> None:
+    def send_packets(context: Any, count: int, gap: float) -> None:
         """Calculate the arrival times of the packets."""
         context.sent = [n * gap / 1000 for n in range(count)]
         context.arrivals = _arrival_times(context)
@@ -79,13 +79,13 @@
 
     @staticmethod
     @when('the simulated link from {source} to {target} is cut')
-    def cut(context: Any, source: str, target: str) -> None:
+    def cut_link(context: Any, source: str, target: str) -> None:
         """Cut one direction."""
         context.network.obey(LinkOrder(cuts=(ZonePair(source, target),)))
 
     @staticmethod
     @when('the simulated cut is healed')
-    def heal(context: Any) -> None:
+    def heal_cuts(context: Any) -> None:
         """End all cuts."""
         context.network.obey(LinkOrder(cuts=()))
 
--- a/features/steps/standins_platform_steps.py
+++ b/features/steps/standins_platform_steps.py
@@ -93,20 +93,20 @@
 
     @staticmethod
     @given('a service lease of {ttl:d} s')
-    def grant(context: Any, ttl: int) -> None:
+    def grant_lease(context: Any, ttl: int) -> None:
         """Grant a lease at time 0 s."""
         context.lease = context.store.grant(ttl, 0.0).lease_id
 
     @staticmethod
     @given('the stored key "{key}" is bound to the lease')
-    def bind(context: Any, key: str) -> None:
+    def bind_key(context: Any, key: str) -> None:
         """Write a key that is bound to the lease."""
         put = Put(key.encode(), b'held', context.lease)
         assert is_successful(context.store.execute((), (put,)))
 
     @staticmethod
     @when('the service lease is renewed at {now:g} s')
-    def renew(context: Any, now: float) -> None:
+    def renew_lease(context: Any, now: float) -> None:
         """Renew the lease."""
         assert context.store.renew(context.lease, now)
 
@@ -165,7 +165,7 @@
 
     @staticmethod
     @given('a watch at the simulated service')
-    def watch(context: Any) -> None:
+    def add_watch(context: Any) -> None:
         """Watch all keys."""
         context.changes = []
         context.store.watch(context.changes.extend)
@@ -214,7 +214,7 @@
 
     @staticmethod
     @given('the stored key "{key}" lists port {port:d}')
-    def list_port(context: Any, key: str, port: int) -> None:
+    def store_catalogue(context: Any, key: str, port: int) -> None:
         """Write a catalogue with one endpoint."""
         value = json.dumps([{'endpoint': {'address': 'x', 'port': port}}])
         put = Put(key.encode(), value.encode())
--- a/features/steps/tenants_steps.py
+++ b/features/steps/tenants_steps.py
@@ -67,7 +67,7 @@
             caller = context.host.connect(tenant)
             for name in grant.classes:
                 _check_access(caller, name, grant.ledger)
-                assert context.host.take_reached() == {grant.ledger}
+                assert context.host.pop_reached() == {grant.ledger}
 
     @staticmethod
     @when('each tenant tries to reach the databases of the other tenants')
@@ -77,9 +77,9 @@
         for tenant, other in permutations(context.host.grants, 2):
             for attempt in _make_attempts(context.host, tenant, other):
                 caller = context.host.connect(tenant)
-                context.host.take_reached()
+                context.host.pop_reached()
                 reply = caller.send(attempt.message)
-                reached = context.host.take_reached()
+                reached = context.host.pop_reached()
                 if reached or not _is_refused(reply, attempt.code):
                     context.got_through.add(attempt.kind)
 
--- a/features/steps/tls_steps.py
+++ b/features/steps/tls_steps.py
@@ -27,7 +27,9 @@
 ADDRESS = '127.0.0.1'
 
 
-def _issue(authority: trustme.CA, folder: Path, name: str) -> TlsSettings:
+def _issue_certificate(
+    authority: trustme.CA, folder: Path, name: str
+) -> TlsSettings:
     issued = authority.issue_cert(ADDRESS)
     issued.private_key_and_cert_chain_pem.write_to_path(folder / name)
     authority.cert_pem.write_to_path(folder / f'{name}.ca')
@@ -108,9 +110,11 @@
         context.cleanups.append(folder.cleanup)
         common, other = trustme.CA(), trustme.CA()
         path = Path(folder.name)
-        context.host_cfg = _issue(common, path, 'host')
-        context.peer_cfg = _issue(common, path, 'peer')
-        context.other_authority_cfg = _issue(other, path, 'foreign')
+        context.host_cfg = _issue_certificate(common, path, 'host')
+        context.peer_cfg = _issue_certificate(common, path, 'peer')
+        context.other_authority_cfg = _issue_certificate(
+            other, path, 'foreign'
+        )
 
     @staticmethod
     def _listen(context: Any, cfg: TlsSettings) -> None:
