--- a/features/client_look_up.feature
+++ b/features/client_look_up.feature
@@ -5,7 +5,7 @@
   Background:
     Given a primary member
 
-  Scenario: the outcome of a write is found by its request id alone
+  Scenario: the outcome of a write is found by its request id
     Given the member has run the write "order-7" with the content "a"
     When the request id "order-7" is looked up at the member
     Then the look-up returns the stored outcome
--- a/features/client_retry.feature
+++ b/features/client_retry.feature
@@ -120,10 +120,10 @@
   Scenario Outline: other refusals raise the exception of their run state
     Given every host always refuses "Execute" with "<code>"
     When the client runs "insert" as a single statement
-    Then the client gets the error "<error>" with "<told>" and "<run state>"
+    Then the client gets the error "<error>" with "<reported>" and "<run state>"
 
     Examples:
-      | code             | error                | told             | run state |
+      | code             | error                | reported         | run state |
       | replica-behind   | NotRunError          | replica-behind   | not-run   |
       | not-primary      | NotRunError          | not-primary      | not-run   |
       | writes-paused    | NotRunError          | writes-paused    | not-run   |
--- a/features/fakes/fake_entry_parts.py
+++ b/features/fakes/fake_entry_parts.py
@@ -76,8 +76,8 @@
             result = StatementResult(row_count=1, position=Position(1, 7))
             return Success(PooledResult(result))
         if answer == 'kept':
-            kept = StatementResult(row_count=1, is_recalled=True)
-            return Success(PooledResult(kept))
+            recalled = StatementResult(row_count=1, is_recalled=True)
+            return Success(PooledResult(recalled))
         return Success(PooledFailure(answer))
 
     def call_host(
--- a/features/steps/client_look_up_steps.py
+++ b/features/steps/client_look_up_steps.py
@@ -45,7 +45,7 @@
     @staticmethod
     @step('the request id "{request_id}" is looked up at the member')
     def look_up(context: Any, request_id: str) -> None:
-        """Look up by the request id alone."""
+        """Look up by the request id without the content."""
         key = OutcomeKey('tenant', request_id, ANY_CONTENT)
         context.reply = context.member.resolve(key, FIRST_TERM)
 
--- a/features/steps/client_steps.py
+++ b/features/steps/client_steps.py
@@ -274,8 +274,8 @@
     @then('no write has run under the abandoned request id')
     def expect_abandoned(context: Any) -> None:
         """Check for one abandoned request id and one that ran."""
-        kept = list(context.client.database.outcomes.values())
-        assert [k is None for k in kept] == [True, False], kept
+        stored = list(context.client.database.outcomes.values())
+        assert [k is None for k in stored] == [True, False], stored
 
     @staticmethod
     @then('the error has the request id under which "{sql}" ran')
--- a/features/steps/tenants_steps.py
+++ b/features/steps/tenants_steps.py
@@ -73,7 +73,7 @@
     @when('each tenant tries to reach the databases of the other tenants')
     def attempt_all(context: Any) -> None:
         """Collect the attempts that were not refused as expected."""
-        context.got_through = set()
+        context.unrefused_kinds = set()
         for tenant, other in permutations(context.host.grants, 2):
             for attempt in _make_attempts(context.host, tenant, other):
                 caller = context.host.connect(tenant)
@@ -81,14 +81,14 @@
                 reply = caller.send(attempt.message)
                 reached = context.host.pop_reached()
                 if reached or not _is_refused(reply, attempt.code):
-                    context.got_through.add(attempt.kind)
+                    context.unrefused_kinds.add(attempt.kind)
 
     @staticmethod
-    @then('the attempts that got through are {kinds}')
+    @then('the attempts without the expected refusal are {kinds}')
     def check_kinds(context: Any, kinds: str) -> None:
-        """Compare the kinds of the attempts that got through."""
+        """Compare the kinds of the attempts without the expected refusal."""
         expected = set() if kinds == 'nothing' else set(kinds.split(', '))
-        assert context.got_through == expected, context.got_through
+        assert context.unrefused_kinds == expected, context.unrefused_kinds
 
 
 def _check_access(caller: TenantCaller, name: str, database: str) -> None:
--- a/features/tenants_apart.feature
+++ b/features/tenants_apart.feature
@@ -17,7 +17,7 @@
   Scenario Outline: attempts on other tenants' databases succeed only with a fault
     Given an entry host for tenants with the fault "<fault>"
     When each tenant tries to reach the databases of the other tenants
-    Then the attempts that got through are <kinds>
+    Then the attempts without the expected refusal are <kinds>
 
     Examples:
       | fault                                | kinds                           |
