--- a/features/proxy_relay_path.feature
+++ b/features/proxy_relay_path.feature
@@ -4,39 +4,39 @@
     Given an emulated deployment of 4 hosts with 3 connections a member
 
   Scenario: a caller reads its own write through any host
-    When a caller of "orders" writes "a" as "one" through host 0
-    Then the same caller reads "a" as "one"
-    And a caller of "filings" reads "a" as "one" through host 1
-    And a caller of "filings" reads "a" as "one" through host 2
-    And a caller of "filings" reads "a" as "one" through host 3
+    When a caller of "orders" writes "one" to "a" through host 0
+    Then the same caller reads "one" from "a"
+    And a caller of "filings" reads "one" from "a" through host 1
+    And a caller of "filings" reads "one" from "a" through host 2
+    And a caller of "filings" reads "one" from "a" through host 3
     And only one host has connected to each member
 
   Scenario: a relayed transaction is atomic and isolated
-    Given a caller of "orders" at host 1
-    When it says "BEGIN" and "WRITE x 1" and "WRITE y 2"
-    Then a caller of "filings" reads "x" as "-" through host 2
-    When it says "COMMIT"
-    Then a caller of "filings" reads "x" as "1" through host 2
+    Given a caller of "orders" connected to host 1
+    When the caller executes "BEGIN" and "WRITE x 1" and "WRITE y 2"
+    Then a caller of "filings" reads "-" from "x" through host 2
+    When the caller executes "COMMIT"
+    Then a caller of "filings" reads "1" from "x" through host 2
 
   Scenario: the open transaction of a caller that disconnects is rolled back
-    Given a caller of "orders" at host 1
-    When it says "BEGIN" and "WRITE x 1"
-    And it closes its connection
-    Then a caller of "filings" reads "x" as "-" through host 2
+    Given a caller of "orders" connected to host 1
+    When the caller executes "BEGIN" and "WRITE x 1"
+    And the caller closes its connection
+    Then a caller of "filings" reads "-" from "x" through host 2
     And no lease stays active
 
   Scenario: session variables and prepared statements apply on any connection
-    Given a caller of "orders" at host 1
-    When it says "SET tz utc" and "PREPARE s1 WRITE shape" and "EXEC s1 k v"
-    And other callers of "orders" use 8 connections of host 0
-    Then its "READ k" answers "v" with the values "tz=utc"
+    Given a caller of "orders" connected to host 1
+    When the caller executes "SET tz utc" and "PREPARE s1 WRITE shape" and "EXEC s1 k v"
+    And other callers of "orders" use 8 connections of host 0 at once
+    Then the caller's "READ k" returns "v" with the session values "tz=utc"
 
   Scenario: the primary crashes and a replica is promoted
-    When a caller of "orders" writes "a" as "one" through host 1
+    When a caller of "orders" writes "one" to "a" through host 1
     And the primary crashes
-    Then a caller of "orders" can write "b" before long through host 1
-    And a caller of "filings" reads "b" before long through host 2
-    And one promotion was carried out
+    Then a caller of "orders" can eventually write "b" through host 1
+    And a caller of "filings" eventually reads "b" through host 2
+    And exactly one promotion was accepted
 
   Scenario: a draining holder interrupts no statement of another host
     Given a caller of "orders" at a host that relays its requests to the primary
