--- a/features/steps/platform_adapter_codec_steps.py
+++ b/features/steps/platform_adapter_codec_steps.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies
 from returns.result import Success
 
+from trefoilpulley_core.direct.commands import InvalidCommand
+from trefoilpulley_core.direct.upstream_session import AskStatus
+from trefoilpulley_core.direct.upstream_session import CommitTransaction
 from trefoilpulley_core.failure import failures_by_code
 from trefoilpulley_core.failure import RunState
-from trefoilpulley_core.proxy.commands import InvalidCommand
-from trefoilpulley_core.proxy.upstream_session import AskStatus
-from trefoilpulley_core.proxy.upstream_session import CommitTransaction
 from trefoilpulley_platform.documents import KvDocuments
 from trefoilpulley_platform.line_codec import ENCODING
 from trefoilpulley_platform.line_codec import format_failure
--- a/features/steps/proxy_reads_steps.py
+++ b/features/steps/proxy_reads_steps.py
@@ -10,19 +10,19 @@
 from behave import when
 
 from trefoilpulley_core.catalog import Endpoint
+from trefoilpulley_core.direct.connection_share import ConnectionShare
+from trefoilpulley_core.direct.evidence import Evidence
+from trefoilpulley_core.direct.evidence import EvidenceLog
+from trefoilpulley_core.direct.evidence import SessionFloor
+from trefoilpulley_core.direct.group_state import GroupState
+from trefoilpulley_core.direct.group_state import MemberRecord
+from trefoilpulley_core.direct.isolation import IsolationDetector
+from trefoilpulley_core.direct.isolation import Reachability
+from trefoilpulley_core.direct.placement import place_read
+from trefoilpulley_core.direct.routes import ReadFreshness
+from trefoilpulley_core.direct.routes import Route
+from trefoilpulley_core.direct.waiting_line import ConnectionQueue
 from trefoilpulley_core.position import Position
-from trefoilpulley_core.proxy.connection_share import ConnectionShare
-from trefoilpulley_core.proxy.evidence import Evidence
-from trefoilpulley_core.proxy.evidence import EvidenceLog
-from trefoilpulley_core.proxy.evidence import SessionFloor
-from trefoilpulley_core.proxy.group_state import GroupState
-from trefoilpulley_core.proxy.group_state import MemberRecord
-from trefoilpulley_core.proxy.isolation import IsolationDetector
-from trefoilpulley_core.proxy.isolation import Reachability
-from trefoilpulley_core.proxy.placement import place_read
-from trefoilpulley_core.proxy.routes import ReadFreshness
-from trefoilpulley_core.proxy.routes import Route
-from trefoilpulley_core.proxy.waiting_line import ConnectionQueue
 
 NOW = 100.0
 """Virtual time at which most scenarios take place, in seconds."""
--- a/features/steps/proxy_sessions_steps.py
+++ b/features/steps/proxy_sessions_steps.py
@@ -8,13 +8,13 @@
 from behave import then
 from behave import when
 
-from trefoilpulley_core.proxy.commands import Prepare
-from trefoilpulley_core.proxy.session_state import ConnectionState
-from trefoilpulley_core.proxy.session_state import plan_setup
-from trefoilpulley_core.proxy.session_state import SessionState
-from trefoilpulley_core.proxy.upstream_session import AssignValue
-from trefoilpulley_core.proxy.upstream_session import PrepareShape
-from trefoilpulley_core.proxy.upstream_session import ResetSession
+from trefoilpulley_core.direct.commands import Prepare
+from trefoilpulley_core.direct.session_state import ConnectionState
+from trefoilpulley_core.direct.session_state import plan_setup
+from trefoilpulley_core.direct.session_state import SessionState
+from trefoilpulley_core.direct.upstream_session import AssignValue
+from trefoilpulley_core.direct.upstream_session import PrepareShape
+from trefoilpulley_core.direct.upstream_session import ResetSession
 
 
 def _session(variables: str) -> SessionState:
--- a/packages/core/src/trefoilpulley_core/proxy/evidence.py
+++ b/packages/core/src/trefoilpulley_core/direct/evidence.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from trefoilpulley_core.direct.routes import ReadFreshness
 from trefoilpulley_core.position import BEGINNING
-from trefoilpulley_core.proxy.routes import ReadFreshness
 
 if TYPE_CHECKING:
+    from trefoilpulley_core.direct.routes import Route
     from trefoilpulley_core.position import Position
-    from trefoilpulley_core.proxy.routes import Route
 
 AGE_MARGIN_S = 0.15
 """Part of a route's maximum age reserved for reaching the member, in seconds.
--- a/packages/core/src/trefoilpulley_core/proxy/evidence_messages.py
+++ b/packages/core/src/trefoilpulley_core/direct/evidence_messages.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
+from trefoilpulley_core.direct.evidence import Evidence
 from trefoilpulley_core.position import Position
-from trefoilpulley_core.proxy.evidence import Evidence
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/core/src/trefoilpulley_core/proxy/group_state.py
+++ b/packages/core/src/trefoilpulley_core/direct/group_state.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from trefoilpulley_core.direct.evidence import EvidenceLog
 from trefoilpulley_core.position import BEGINNING
-from trefoilpulley_core.proxy.evidence import EvidenceLog
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/packages/core/src/trefoilpulley_core/proxy/placement.py
+++ b/packages/core/src/trefoilpulley_core/direct/placement.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from trefoilpulley_core.proxy.group_state import LAG_AVOIDANCE_S
+from trefoilpulley_core.direct.group_state import LAG_AVOIDANCE_S
 
 if TYPE_CHECKING:
-    from trefoilpulley_core.proxy.evidence import Evidence
-    from trefoilpulley_core.proxy.group_state import GroupState
-    from trefoilpulley_core.proxy.group_state import MemberHealth
+    from trefoilpulley_core.direct.evidence import Evidence
+    from trefoilpulley_core.direct.group_state import GroupState
+    from trefoilpulley_core.direct.group_state import MemberHealth
 
 PRIMARY_COST_FACTOR = 4.0
 """Cost of a primary relative to a replica.
--- a/packages/core/src/trefoilpulley_core/proxy/platform_documents.py
+++ b/packages/core/src/trefoilpulley_core/direct/platform_documents.py
@@ -8,9 +8,9 @@
 if TYPE_CHECKING:
     from returns.result import Result
 
+    from trefoilpulley_core.direct.group_state import MemberRecord
+    from trefoilpulley_core.direct.routes import RouteTable
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.group_state import MemberRecord
-    from trefoilpulley_core.proxy.routes import RouteTable
 
 
 class PlatformDocuments(abc.ABC):
--- a/packages/core/src/trefoilpulley_core/proxy/relay_messages.py
+++ b/packages/core/src/trefoilpulley_core/direct/relay_messages.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass
 
+from trefoilpulley_core.direct.commands import Prepare
+from trefoilpulley_core.direct.evidence_messages import EvidenceReport
+from trefoilpulley_core.direct.upstream_session import Call
+from trefoilpulley_core.direct.upstream_session import LogStatus
+from trefoilpulley_core.direct.upstream_session import Reply
+from trefoilpulley_core.direct.upstream_session import TransactionState
 from trefoilpulley_core.peer import PooledFailure
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.position import Position
-from trefoilpulley_core.proxy.commands import Prepare
-from trefoilpulley_core.proxy.evidence_messages import EvidenceReport
-from trefoilpulley_core.proxy.upstream_session import Call
-from trefoilpulley_core.proxy.upstream_session import LogStatus
-from trefoilpulley_core.proxy.upstream_session import Reply
-from trefoilpulley_core.proxy.upstream_session import TransactionState
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/core/src/trefoilpulley_core/proxy/session_state.py
+++ b/packages/core/src/trefoilpulley_core/direct/session_state.py
@@ -10,13 +10,13 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from trefoilpulley_core.proxy.upstream_session import AssignValue
-from trefoilpulley_core.proxy.upstream_session import PrepareShape
-from trefoilpulley_core.proxy.upstream_session import ResetSession
+from trefoilpulley_core.direct.upstream_session import AssignValue
+from trefoilpulley_core.direct.upstream_session import PrepareShape
+from trefoilpulley_core.direct.upstream_session import ResetSession
 
 if TYPE_CHECKING:
-    from trefoilpulley_core.proxy.commands import Prepare
-    from trefoilpulley_core.proxy.upstream_session import Call
+    from trefoilpulley_core.direct.commands import Prepare
+    from trefoilpulley_core.direct.upstream_session import Call
 
 MAX_ALIASES = 256
 """Maximum number of prepared statements before a connection is reset."""
--- a/packages/core/src/trefoilpulley_core/proxy/succession.py
+++ b/packages/core/src/trefoilpulley_core/direct/succession.py
@@ -11,8 +11,8 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from trefoilpulley_core.proxy.group_state import GroupState
-    from trefoilpulley_core.proxy.upstream_session import LogStatus
+    from trefoilpulley_core.direct.group_state import GroupState
+    from trefoilpulley_core.direct.upstream_session import LogStatus
 
 RANK_DELAY_S = 0.04
 """Delay of each host relative to the host before it in rank, in seconds.
--- a/packages/core/src/trefoilpulley_core/proxy/upstream_session.py
+++ b/packages/core/src/trefoilpulley_core/direct/upstream_session.py
@@ -18,7 +18,7 @@
 
     from returns.result import Result
 
-    from trefoilpulley_core.proxy.group_state import MemberRecord
+    from trefoilpulley_core.direct.group_state import MemberRecord
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_session.py
@@ -6,24 +6,24 @@
 
 from returns.result import Success
 
+from trefoilpulley_core.direct.commands import Begin
+from trefoilpulley_core.direct.commands import Commit
+from trefoilpulley_core.direct.commands import Deallocate
+from trefoilpulley_core.direct.commands import InvalidCommand
+from trefoilpulley_core.direct.commands import Prepare
+from trefoilpulley_core.direct.commands import Rollback
+from trefoilpulley_core.direct.commands import Run
+from trefoilpulley_core.direct.commands import SetValue
+from trefoilpulley_core.direct.evidence import SessionFloor
+from trefoilpulley_core.direct.session_state import SessionState
+from trefoilpulley_core.direct.upstream_session import CommandRefused
+from trefoilpulley_core.direct.upstream_session import Reply
+from trefoilpulley_core.direct.upstream_session import TransactionState
+from trefoilpulley_core.direct.upstream_session import UnknownStatement
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import OutcomeUnknown
 from trefoilpulley_core.failure import RunState
 from trefoilpulley_core.failure import UnknownDatabase
-from trefoilpulley_core.proxy.commands import Begin
-from trefoilpulley_core.proxy.commands import Commit
-from trefoilpulley_core.proxy.commands import Deallocate
-from trefoilpulley_core.proxy.commands import InvalidCommand
-from trefoilpulley_core.proxy.commands import Prepare
-from trefoilpulley_core.proxy.commands import Rollback
-from trefoilpulley_core.proxy.commands import Run
-from trefoilpulley_core.proxy.commands import SetValue
-from trefoilpulley_core.proxy.evidence import SessionFloor
-from trefoilpulley_core.proxy.session_state import SessionState
-from trefoilpulley_core.proxy.upstream_session import CommandRefused
-from trefoilpulley_core.proxy.upstream_session import Reply
-from trefoilpulley_core.proxy.upstream_session import TransactionState
-from trefoilpulley_core.proxy.upstream_session import UnknownStatement
 from trefoilpulley_node import events
 from trefoilpulley_node.proxy.caller_transaction import CallerTransaction
 from trefoilpulley_node.proxy.work import StatementRequest
@@ -32,9 +32,9 @@
     from returns.result import Result
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.commands import Command
+    from trefoilpulley_core.direct.routes import Route
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.commands import Command
-    from trefoilpulley_core.proxy.routes import Route
     from trefoilpulley_node.proxy.directory import ProxyDirectory
     from trefoilpulley_node.proxy.exchange import Exchanger
     from trefoilpulley_node.proxy.primary_wait import PrimaryWait
--- a/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
@@ -8,6 +8,11 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
+from trefoilpulley_core.direct.placement import place_read
+from trefoilpulley_core.direct.upstream_session import CommitTransaction
+from trefoilpulley_core.direct.upstream_session import OpenTransaction
+from trefoilpulley_core.direct.upstream_session import RollBack
+from trefoilpulley_core.direct.upstream_session import TransactionState
 from trefoilpulley_core.failure import NotPrimary
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import OutcomeUnknown
@@ -15,11 +20,6 @@
 from trefoilpulley_core.failure import ReplicaBehind
 from trefoilpulley_core.failure import RunState
 from trefoilpulley_core.failure import TransactionLost
-from trefoilpulley_core.proxy.placement import place_read
-from trefoilpulley_core.proxy.upstream_session import CommitTransaction
-from trefoilpulley_core.proxy.upstream_session import OpenTransaction
-from trefoilpulley_core.proxy.upstream_session import RollBack
-from trefoilpulley_core.proxy.upstream_session import TransactionState
 from trefoilpulley_node import events
 from trefoilpulley_node.proxy.exchange import record_proof
 from trefoilpulley_node.proxy.statement_runner import BUSY_BACKOFF_S
@@ -28,10 +28,10 @@
     from returns.result import Result
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.evidence import Evidence
+    from trefoilpulley_core.direct.placement import Placement
+    from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.evidence import Evidence
-    from trefoilpulley_core.proxy.placement import Placement
-    from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.proxy.exchange import Exchanger
     from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.member_access import MemberAccess
--- a/packages/node/src/trefoilpulley_node/proxy/claims.py
+++ b/packages/node/src/trefoilpulley_node/proxy/claims.py
@@ -11,11 +11,11 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
+from trefoilpulley_core.direct.succession import Claim
 from trefoilpulley_core.failure import MalformedMessage
 from trefoilpulley_core.keys import CLAIM_PREFIX
 from trefoilpulley_core.platform import PlatformAnswerLost
 from trefoilpulley_core.platform import RevisionConflict
-from trefoilpulley_core.proxy.succession import Claim
 
 if TYPE_CHECKING:
     from returns.result import Result
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
@@ -7,16 +7,16 @@
 
 from returns.result import Success
 
+from trefoilpulley_core.direct.evidence_messages import make_report
+from trefoilpulley_core.direct.relay_messages import pack_reply
+from trefoilpulley_core.direct.relay_messages import RelayedReplies
+from trefoilpulley_core.direct.relay_messages import RelayRefused
+from trefoilpulley_core.direct.session_state import SessionState
+from trefoilpulley_core.direct.upstream_session import OpenTransaction
+from trefoilpulley_core.direct.upstream_session import TransactionState
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import TransactionLost
 from trefoilpulley_core.peer import PooledDone
-from trefoilpulley_core.proxy.evidence_messages import make_report
-from trefoilpulley_core.proxy.relay_messages import pack_reply
-from trefoilpulley_core.proxy.relay_messages import RelayedReplies
-from trefoilpulley_core.proxy.relay_messages import RelayRefused
-from trefoilpulley_core.proxy.session_state import SessionState
-from trefoilpulley_core.proxy.upstream_session import OpenTransaction
-from trefoilpulley_core.proxy.upstream_session import TransactionState
 from trefoilpulley_node.peer_server import make_failure_reply
 from trefoilpulley_node.proxy.exchange import record_proof
 from trefoilpulley_node.proxy.lent_session import SessionSetting
@@ -26,11 +26,11 @@
     from collections.abc import Sequence
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.relay_messages import EndLease
+    from trefoilpulley_core.direct.relay_messages import RelayedCalls
+    from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.peer import PooledFailure
-    from trefoilpulley_core.proxy.relay_messages import EndLease
-    from trefoilpulley_core.proxy.relay_messages import RelayedCalls
-    from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.peer_server import PeerIdentity
     from trefoilpulley_node.proxy.directory import Group
     from trefoilpulley_node.proxy.exchange import Exchanger
--- a/packages/node/src/trefoilpulley_node/proxy/directory.py
+++ b/packages/node/src/trefoilpulley_node/proxy/directory.py
@@ -6,9 +6,9 @@
 
 from gevent.event import Event
 
-from trefoilpulley_core.proxy.connection_holders import choose_holders
-from trefoilpulley_core.proxy.group_state import GroupState
-from trefoilpulley_core.proxy.routes import RouteTable
+from trefoilpulley_core.direct.connection_holders import choose_holders
+from trefoilpulley_core.direct.group_state import GroupState
+from trefoilpulley_core.direct.routes import RouteTable
 from trefoilpulley_node import events
 from trefoilpulley_node.proxy.member_access import MemberAccess
 from trefoilpulley_node.proxy.member_pool import MemberPool
@@ -18,10 +18,10 @@
     from collections.abc import Callable
 
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_core.proxy.group_state import MemberRecord
-    from trefoilpulley_core.proxy.routes import GroupLimits
-    from trefoilpulley_core.proxy.routes import Route
-    from trefoilpulley_core.proxy.upstream_session import UpstreamDialer
+    from trefoilpulley_core.direct.group_state import MemberRecord
+    from trefoilpulley_core.direct.routes import GroupLimits
+    from trefoilpulley_core.direct.routes import Route
+    from trefoilpulley_core.direct.upstream_session import UpstreamDialer
     from trefoilpulley_node.peers import Peers
 
 
--- a/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
@@ -12,10 +12,10 @@
 
 import gevent
 
-from trefoilpulley_core.proxy.evidence_messages import EvidenceQuestion
-from trefoilpulley_core.proxy.evidence_messages import EvidenceReport
-from trefoilpulley_core.proxy.evidence_messages import make_report
-from trefoilpulley_core.proxy.evidence_messages import read_report
+from trefoilpulley_core.direct.evidence_messages import EvidenceQuestion
+from trefoilpulley_core.direct.evidence_messages import EvidenceReport
+from trefoilpulley_core.direct.evidence_messages import make_report
+from trefoilpulley_core.direct.evidence_messages import read_report
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/node/src/trefoilpulley_node/proxy/exchange.py
+++ b/packages/node/src/trefoilpulley_node/proxy/exchange.py
@@ -7,11 +7,11 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
+from trefoilpulley_core.direct.session_state import alias_of
+from trefoilpulley_core.direct.upstream_session import OpenTransaction
+from trefoilpulley_core.direct.upstream_session import RollBack
+from trefoilpulley_core.direct.upstream_session import RunStatement
 from trefoilpulley_core.failure import NotPrimary
-from trefoilpulley_core.proxy.session_state import alias_of
-from trefoilpulley_core.proxy.upstream_session import OpenTransaction
-from trefoilpulley_core.proxy.upstream_session import RollBack
-from trefoilpulley_core.proxy.upstream_session import RunStatement
 from trefoilpulley_node.proxy.lent_session import SessionSetting
 
 if TYPE_CHECKING:
@@ -20,10 +20,10 @@
     from returns.result import Result
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.upstream_session import Call
+    from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.position import Position
-    from trefoilpulley_core.proxy.upstream_session import Call
-    from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.proxy.directory import Group
     from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.member_access import MemberAccess
--- a/packages/node/src/trefoilpulley_node/proxy/lent_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/lent_session.py
@@ -13,11 +13,11 @@
 
     from returns.result import Result
 
+    from trefoilpulley_core.direct.commands import Prepare
+    from trefoilpulley_core.direct.session_state import SessionState
+    from trefoilpulley_core.direct.upstream_session import Call
+    from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.commands import Prepare
-    from trefoilpulley_core.proxy.session_state import SessionState
-    from trefoilpulley_core.proxy.upstream_session import Call
-    from trefoilpulley_core.proxy.upstream_session import Reply
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/node/src/trefoilpulley_node/proxy/member_access.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_access.py
@@ -13,11 +13,11 @@
 
     from returns.result import Result
 
+    from trefoilpulley_core.direct.connection_holders import ConnectionHolders
+    from trefoilpulley_core.direct.group_state import MemberHealth
+    from trefoilpulley_core.direct.session_state import SessionState
+    from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.connection_holders import ConnectionHolders
-    from trefoilpulley_core.proxy.group_state import MemberHealth
-    from trefoilpulley_core.proxy.session_state import SessionState
-    from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.member_pool import MemberPool
     from trefoilpulley_node.proxy.relayed_session import RelayClient
--- a/packages/node/src/trefoilpulley_node/proxy/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_pool.py
@@ -12,16 +12,16 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
+from trefoilpulley_core.direct.connection_share import ConnectionShare
+from trefoilpulley_core.direct.connection_share import EXCESS_IDLE_TIMEOUT_S
+from trefoilpulley_core.direct.flight_limit import ConcurrencyLimit
+from trefoilpulley_core.direct.session_state import ConnectionState
+from trefoilpulley_core.direct.session_state import plan_setup
+from trefoilpulley_core.direct.upstream_session import ConnectionLimitReached
+from trefoilpulley_core.direct.upstream_session import UnknownStatement
+from trefoilpulley_core.direct.waiting_line import ConnectionQueue
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import Overloaded
-from trefoilpulley_core.proxy.connection_share import ConnectionShare
-from trefoilpulley_core.proxy.connection_share import EXCESS_IDLE_TIMEOUT_S
-from trefoilpulley_core.proxy.flight_limit import ConcurrencyLimit
-from trefoilpulley_core.proxy.session_state import ConnectionState
-from trefoilpulley_core.proxy.session_state import plan_setup
-from trefoilpulley_core.proxy.upstream_session import ConnectionLimitReached
-from trefoilpulley_core.proxy.upstream_session import UnknownStatement
-from trefoilpulley_core.proxy.waiting_line import ConnectionQueue
 from trefoilpulley_node.proxy.lent_session import MemberSession
 from trefoilpulley_node.proxy.lent_session import SetupFailed
 
@@ -31,14 +31,14 @@
     from returns.result import Result
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.group_state import MemberHealth
+    from trefoilpulley_core.direct.session_state import SessionState
+    from trefoilpulley_core.direct.upstream_session import Call
+    from trefoilpulley_core.direct.upstream_session import Reply
+    from trefoilpulley_core.direct.upstream_session import UpstreamDialer
+    from trefoilpulley_core.direct.upstream_session import UpstreamSession
+    from trefoilpulley_core.direct.waiting_line import QueuedWork
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.group_state import MemberHealth
-    from trefoilpulley_core.proxy.session_state import SessionState
-    from trefoilpulley_core.proxy.upstream_session import Call
-    from trefoilpulley_core.proxy.upstream_session import Reply
-    from trefoilpulley_core.proxy.upstream_session import UpstreamDialer
-    from trefoilpulley_core.proxy.upstream_session import UpstreamSession
-    from trefoilpulley_core.proxy.waiting_line import QueuedWork
     from trefoilpulley_node.proxy.lent_session import SessionSetting
 
 DIAL_TIMEOUT_S = 0.4
--- a/packages/node/src/trefoilpulley_node/proxy/member_prober.py
+++ b/packages/node/src/trefoilpulley_node/proxy/member_prober.py
@@ -7,15 +7,15 @@
 import gevent
 from returns.result import Success
 
+from trefoilpulley_core.direct.session_state import SessionState
+from trefoilpulley_core.direct.upstream_session import AskStatus
+from trefoilpulley_core.direct.upstream_session import ConnectionLimitReached
+from trefoilpulley_core.direct.upstream_session import Demote
+from trefoilpulley_core.direct.upstream_session import HoldReplication
+from trefoilpulley_core.direct.upstream_session import OpenTransaction
+from trefoilpulley_core.direct.upstream_session import ResumeReplication
+from trefoilpulley_core.direct.upstream_session import RollBack
 from trefoilpulley_core.failure import Overloaded
-from trefoilpulley_core.proxy.session_state import SessionState
-from trefoilpulley_core.proxy.upstream_session import AskStatus
-from trefoilpulley_core.proxy.upstream_session import ConnectionLimitReached
-from trefoilpulley_core.proxy.upstream_session import Demote
-from trefoilpulley_core.proxy.upstream_session import HoldReplication
-from trefoilpulley_core.proxy.upstream_session import OpenTransaction
-from trefoilpulley_core.proxy.upstream_session import ResumeReplication
-from trefoilpulley_core.proxy.upstream_session import RollBack
 from trefoilpulley_node.proxy.exchange import record_proof
 
 if TYPE_CHECKING:
@@ -23,10 +23,10 @@
     from collections.abc import Mapping
 
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_core.proxy.upstream_session import Call
-    from trefoilpulley_core.proxy.upstream_session import LogStatus
-    from trefoilpulley_core.proxy.upstream_session import Reply
-    from trefoilpulley_core.proxy.upstream_session import UpstreamDialer
+    from trefoilpulley_core.direct.upstream_session import Call
+    from trefoilpulley_core.direct.upstream_session import LogStatus
+    from trefoilpulley_core.direct.upstream_session import Reply
+    from trefoilpulley_core.direct.upstream_session import UpstreamDialer
     from trefoilpulley_node.proxy.directory import Group
     from trefoilpulley_node.proxy.exchange import Exchanger
 
--- a/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
@@ -23,11 +23,11 @@
 
     from trefoilpulley_core.catalog import HostEntry
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.platform_documents import PlatformDocuments
+    from trefoilpulley_core.direct.succession import Claim
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.platform import Platform
     from trefoilpulley_core.platform import Watch
-    from trefoilpulley_core.proxy.platform_documents import PlatformDocuments
-    from trefoilpulley_core.proxy.succession import Claim
     from trefoilpulley_node.proxy.directory import ProxyDirectory
 
 REMOVAL_GRACE_S = 3.0
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
@@ -7,15 +7,15 @@
 import gevent
 from returns.result import Success
 
+from trefoilpulley_core.direct.promotion_service import PromotionRefused
+from trefoilpulley_core.direct.succession import can_choose_target
+from trefoilpulley_core.direct.succession import choose_target
+from trefoilpulley_core.direct.succession import failover_delay_s
+from trefoilpulley_core.direct.succession import fencing_token
+from trefoilpulley_core.direct.succession import has_every_commit
+from trefoilpulley_core.direct.succession import LeaderNotice
 from trefoilpulley_core.platform import PlatformAnswerLost
 from trefoilpulley_core.platform import RevisionConflict
-from trefoilpulley_core.proxy.promotion_service import PromotionRefused
-from trefoilpulley_core.proxy.succession import can_choose_target
-from trefoilpulley_core.proxy.succession import choose_target
-from trefoilpulley_core.proxy.succession import failover_delay_s
-from trefoilpulley_core.proxy.succession import fencing_token
-from trefoilpulley_core.proxy.succession import has_every_commit
-from trefoilpulley_core.proxy.succession import LeaderNotice
 from trefoilpulley_node import events
 
 if TYPE_CHECKING:
@@ -24,9 +24,9 @@
     from collections.abc import Sequence
 
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_core.proxy.promotion_service import PromotionService
-    from trefoilpulley_core.proxy.succession import ReachReport
-    from trefoilpulley_core.proxy.upstream_session import LogStatus
+    from trefoilpulley_core.direct.promotion_service import PromotionService
+    from trefoilpulley_core.direct.succession import ReachReport
+    from trefoilpulley_core.direct.upstream_session import LogStatus
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_node.proxy.claims import ClaimStore
     from trefoilpulley_node.proxy.directory import Group
--- a/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
+++ b/packages/node/src/trefoilpulley_node/proxy/primary_watch.py
@@ -14,7 +14,7 @@
     from collections.abc import Callable
 
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_core.proxy.group_state import MemberHealth
+    from trefoilpulley_core.direct.group_state import MemberHealth
     from trefoilpulley_node.proxy.directory import Group
     from trefoilpulley_node.proxy.evidence_exchange import EvidenceExchange
     from trefoilpulley_node.proxy.host_vote import HostVote
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
@@ -10,15 +10,15 @@
 import gevent
 
 from trefoilpulley_core.catalog import HostEntry
+from trefoilpulley_core.direct.evidence_messages import EvidenceQuestion
+from trefoilpulley_core.direct.isolation import IsolationDetector
+from trefoilpulley_core.direct.isolation import Reachability
+from trefoilpulley_core.direct.relay_messages import EndLease
+from trefoilpulley_core.direct.relay_messages import RelayedCalls
+from trefoilpulley_core.direct.succession import LeaderNotice
+from trefoilpulley_core.direct.succession import ReachQuestion
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
-from trefoilpulley_core.proxy.evidence_messages import EvidenceQuestion
-from trefoilpulley_core.proxy.isolation import IsolationDetector
-from trefoilpulley_core.proxy.isolation import Reachability
-from trefoilpulley_core.proxy.relay_messages import EndLease
-from trefoilpulley_core.proxy.relay_messages import RelayedCalls
-from trefoilpulley_core.proxy.succession import LeaderNotice
-from trefoilpulley_core.proxy.succession import ReachQuestion
 from trefoilpulley_node import events
 from trefoilpulley_node.membership_runner import MembershipRunner
 from trefoilpulley_node.peer_server import PeerServer
@@ -47,12 +47,12 @@
 
 if TYPE_CHECKING:
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.platform_documents import PlatformDocuments
+    from trefoilpulley_core.direct.promotion_service import PromotionService
+    from trefoilpulley_core.direct.succession import Claim
+    from trefoilpulley_core.direct.upstream_session import UpstreamDialer
     from trefoilpulley_core.membership.live_hosts import LiveHosts
     from trefoilpulley_core.platform import Platform
-    from trefoilpulley_core.proxy.platform_documents import PlatformDocuments
-    from trefoilpulley_core.proxy.promotion_service import PromotionService
-    from trefoilpulley_core.proxy.succession import Claim
-    from trefoilpulley_core.proxy.upstream_session import UpstreamDialer
     from trefoilpulley_node.proxy.directory import Group
     from trefoilpulley_node.proxy.member_access import MemberAccess
     from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
--- a/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
@@ -11,17 +11,17 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
+from trefoilpulley_core.direct.connection_holders import rank_holders
+from trefoilpulley_core.direct.evidence_messages import read_report
+from trefoilpulley_core.direct.relay_messages import EndLease
+from trefoilpulley_core.direct.relay_messages import RelayedCalls
+from trefoilpulley_core.direct.relay_messages import RelayedReplies
+from trefoilpulley_core.direct.relay_messages import RelayRefused
+from trefoilpulley_core.direct.upstream_session import Reply
+from trefoilpulley_core.direct.upstream_session import TransactionState
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_core.peer import PooledFailure
-from trefoilpulley_core.proxy.connection_holders import rank_holders
-from trefoilpulley_core.proxy.evidence_messages import read_report
-from trefoilpulley_core.proxy.relay_messages import EndLease
-from trefoilpulley_core.proxy.relay_messages import RelayedCalls
-from trefoilpulley_core.proxy.relay_messages import RelayedReplies
-from trefoilpulley_core.proxy.relay_messages import RelayRefused
-from trefoilpulley_core.proxy.upstream_session import Reply
-from trefoilpulley_core.proxy.upstream_session import TransactionState
 from trefoilpulley_node import events
 from trefoilpulley_node.peers import read_failure
 from trefoilpulley_node.proxy.lent_session import MemberSession
@@ -32,13 +32,13 @@
     from returns.result import Result
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.connection_holders import ConnectionHolders
+    from trefoilpulley_core.direct.group_state import GroupState
+    from trefoilpulley_core.direct.group_state import MemberHealth
+    from trefoilpulley_core.direct.group_state import MemberRecord
+    from trefoilpulley_core.direct.relay_messages import RelayedReply
+    from trefoilpulley_core.direct.upstream_session import Call
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.connection_holders import ConnectionHolders
-    from trefoilpulley_core.proxy.group_state import GroupState
-    from trefoilpulley_core.proxy.group_state import MemberHealth
-    from trefoilpulley_core.proxy.group_state import MemberRecord
-    from trefoilpulley_core.proxy.relay_messages import RelayedReply
-    from trefoilpulley_core.proxy.upstream_session import Call
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_node.proxy.lent_session import SessionSetting
     from trefoilpulley_wire.channel import Channel
--- a/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
@@ -14,16 +14,16 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
+from trefoilpulley_core.direct.placement import place_read
+from trefoilpulley_core.direct.upstream_session import UnknownStatement
+from trefoilpulley_core.direct.upstream_session import UpstreamFailed
+from trefoilpulley_core.direct.upstream_session import UpstreamTimedOut
 from trefoilpulley_core.failure import NotPrimary
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import OutcomeUnknown
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_core.failure import ReplicaBehind
 from trefoilpulley_core.failure import RunState
-from trefoilpulley_core.proxy.placement import place_read
-from trefoilpulley_core.proxy.upstream_session import UnknownStatement
-from trefoilpulley_core.proxy.upstream_session import UpstreamFailed
-from trefoilpulley_core.proxy.upstream_session import UpstreamTimedOut
 from trefoilpulley_node import events
 from trefoilpulley_node.proxy.exchange import record_proof
 
@@ -31,9 +31,9 @@
     from returns.result import Result
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.placement import Placement
+    from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_core.proxy.placement import Placement
-    from trefoilpulley_core.proxy.upstream_session import Reply
     from trefoilpulley_node.proxy.exchange import Exchanger
     from trefoilpulley_node.proxy.lent_session import MemberSession
     from trefoilpulley_node.proxy.primary_wait import PrimaryWait
--- a/packages/node/src/trefoilpulley_node/proxy/work.py
+++ b/packages/node/src/trefoilpulley_node/proxy/work.py
@@ -6,11 +6,11 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from trefoilpulley_core.proxy.commands import Prepare
-    from trefoilpulley_core.proxy.commands import Run
-    from trefoilpulley_core.proxy.evidence import SessionFloor
-    from trefoilpulley_core.proxy.routes import Route
-    from trefoilpulley_core.proxy.session_state import SessionState
+    from trefoilpulley_core.direct.commands import Prepare
+    from trefoilpulley_core.direct.commands import Run
+    from trefoilpulley_core.direct.evidence import SessionFloor
+    from trefoilpulley_core.direct.routes import Route
+    from trefoilpulley_core.direct.session_state import SessionState
     from trefoilpulley_node.proxy.directory import Group
 
 QUEUE_TIME_FACTOR = 0.5
--- a/packages/wire/src/trefoilpulley_wire/peer_codec.py
+++ b/packages/wire/src/trefoilpulley_wire/peer_codec.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from trefoilpulley_core.configuration import messages as documents
+from trefoilpulley_core.direct import evidence_messages
+from trefoilpulley_core.direct import relay_messages
+from trefoilpulley_core.direct import succession
+from trefoilpulley_core.direct.upstream_session import Call
 from trefoilpulley_core.membership import messages
 from trefoilpulley_core import peer
-from trefoilpulley_core.proxy import evidence_messages
-from trefoilpulley_core.proxy import relay_messages
-from trefoilpulley_core.proxy import succession
-from trefoilpulley_core.proxy.upstream_session import Call
 from trefoilpulley_wire.codec import Codec
 
 PEER_CODEC = Codec(
