--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -16,13 +16,13 @@
 
 from trefoilpulley_cli.main import main
 from trefoilpulley_core.clock import Clock
+from trefoilpulley_node.direct.proxy_metrics import COUNTERS
+from trefoilpulley_node.direct.proxy_metrics import GAUGES
+from trefoilpulley_node.direct.proxy_metrics import HISTOGRAMS
+from trefoilpulley_node.direct.proxy_metrics import PREFIX
+from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
 from trefoilpulley_node.log_sink import LogSink
 from trefoilpulley_node.log_sink import MAX_QUEUED_BYTES
-from trefoilpulley_node.proxy.proxy_metrics import COUNTERS
-from trefoilpulley_node.proxy.proxy_metrics import GAUGES
-from trefoilpulley_node.proxy.proxy_metrics import HISTOGRAMS
-from trefoilpulley_node.proxy.proxy_metrics import PREFIX
-from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
 
 METRICS_PAGE = Path('docs/METRICS.md')
 
--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -38,15 +38,15 @@
 from trefoilpulley_core.peer import PooledFailure
 from trefoilpulley_emulator.deployment import EmulatedDeployment
 from trefoilpulley_node.clock import BoottimeClock
+from trefoilpulley_node.direct.connection_lender import RelayServer
+from trefoilpulley_node.direct.directory import Group
+from trefoilpulley_node.direct.exchange import Exchanger
+from trefoilpulley_node.direct.member_access import MemberAccess
+from trefoilpulley_node.direct.member_pool import MemberPool
+from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
+from trefoilpulley_node.direct.session_registry import SessionRegistry
 from trefoilpulley_node.peer_server import PeerIdentity
 from trefoilpulley_node.peers import Peers
-from trefoilpulley_node.proxy.connection_lender import RelayServer
-from trefoilpulley_node.proxy.directory import Group
-from trefoilpulley_node.proxy.exchange import Exchanger
-from trefoilpulley_node.proxy.member_access import MemberAccess
-from trefoilpulley_node.proxy.member_pool import MemberPool
-from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
-from trefoilpulley_node.proxy.session_registry import SessionRegistry
 
 ZONES = ('a', 'b', 'c')
 
--- a/packages/node/src/trefoilpulley_node/proxy/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/direct/caller_session.py
@@ -24,9 +24,9 @@
 from trefoilpulley_core.failure import OutcomeUnknown
 from trefoilpulley_core.failure import RunState
 from trefoilpulley_core.failure import UnknownDatabase
+from trefoilpulley_node.direct.caller_transaction import CallerTransaction
+from trefoilpulley_node.direct.work import StatementRequest
 from trefoilpulley_node import events
-from trefoilpulley_node.proxy.caller_transaction import CallerTransaction
-from trefoilpulley_node.proxy.work import StatementRequest
 
 if TYPE_CHECKING:
     from returns.result import Result
@@ -35,11 +35,11 @@
     from trefoilpulley_core.direct.commands import Command
     from trefoilpulley_core.direct.routes import Route
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_node.proxy.directory import ProxyDirectory
-    from trefoilpulley_node.proxy.exchange import Exchanger
-    from trefoilpulley_node.proxy.primary_wait import PrimaryWait
-    from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
-    from trefoilpulley_node.proxy.statement_runner import StatementRunner
+    from trefoilpulley_node.direct.directory import ProxyDirectory
+    from trefoilpulley_node.direct.exchange import Exchanger
+    from trefoilpulley_node.direct.primary_wait import PrimaryWait
+    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
+    from trefoilpulley_node.direct.statement_runner import StatementRunner
 
 CONFIGURATION_TIMEOUT_S = 1.5
 """Timeout of a new session for the first configuration, in seconds.
--- a/packages/node/src/trefoilpulley_node/proxy/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/direct/caller_transaction.py
@@ -20,9 +20,9 @@
 from trefoilpulley_core.failure import ReplicaBehind
 from trefoilpulley_core.failure import RunState
 from trefoilpulley_core.failure import TransactionLost
+from trefoilpulley_node.direct.exchange import record_proof
+from trefoilpulley_node.direct.statement_runner import BUSY_BACKOFF_S
 from trefoilpulley_node import events
-from trefoilpulley_node.proxy.exchange import record_proof
-from trefoilpulley_node.proxy.statement_runner import BUSY_BACKOFF_S
 
 if TYPE_CHECKING:
     from returns.result import Result
@@ -32,11 +32,11 @@
     from trefoilpulley_core.direct.placement import Placement
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_node.proxy.exchange import Exchanger
-    from trefoilpulley_node.proxy.lent_session import MemberSession
-    from trefoilpulley_node.proxy.member_access import MemberAccess
-    from trefoilpulley_node.proxy.primary_wait import PrimaryWait
-    from trefoilpulley_node.proxy.work import StatementRequest
+    from trefoilpulley_node.direct.exchange import Exchanger
+    from trefoilpulley_node.direct.lent_session import MemberSession
+    from trefoilpulley_node.direct.member_access import MemberAccess
+    from trefoilpulley_node.direct.primary_wait import PrimaryWait
+    from trefoilpulley_node.direct.work import StatementRequest
 
 MAX_OPEN_ATTEMPTS = 6
 """Attempts to open a transaction, repetitions at the same member included."""
--- a/packages/node/src/trefoilpulley_node/proxy/connection_lender.py
+++ b/packages/node/src/trefoilpulley_node/direct/connection_lender.py
@@ -17,9 +17,9 @@
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import TransactionLost
 from trefoilpulley_core.peer import PooledDone
+from trefoilpulley_node.direct.exchange import record_proof
+from trefoilpulley_node.direct.lent_session import SessionSetting
 from trefoilpulley_node.peer_server import make_failure_reply
-from trefoilpulley_node.proxy.exchange import record_proof
-from trefoilpulley_node.proxy.lent_session import SessionSetting
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -31,11 +31,11 @@
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.peer import PooledFailure
+    from trefoilpulley_node.direct.directory import Group
+    from trefoilpulley_node.direct.exchange import Exchanger
+    from trefoilpulley_node.direct.member_access import MemberAccess
+    from trefoilpulley_node.direct.member_pool import PooledSession
     from trefoilpulley_node.peer_server import PeerIdentity
-    from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.exchange import Exchanger
-    from trefoilpulley_node.proxy.member_access import MemberAccess
-    from trefoilpulley_node.proxy.member_pool import PooledSession
 
 LEASE_MARGIN_S = 1.0
 """Time from a transaction's idle timeout to its lease's end, in seconds.
--- a/packages/node/src/trefoilpulley_node/proxy/directory.py
+++ b/packages/node/src/trefoilpulley_node/direct/directory.py
@@ -9,10 +9,10 @@
 from trefoilpulley_core.direct.connection_holders import choose_holders
 from trefoilpulley_core.direct.group_state import GroupState
 from trefoilpulley_core.direct.routes import RouteTable
+from trefoilpulley_node.direct.member_access import MemberAccess
+from trefoilpulley_node.direct.member_pool import MemberPool
+from trefoilpulley_node.direct.relayed_session import RelayClient
 from trefoilpulley_node import events
-from trefoilpulley_node.proxy.member_access import MemberAccess
-from trefoilpulley_node.proxy.member_pool import MemberPool
-from trefoilpulley_node.proxy.relayed_session import RelayClient
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/node/src/trefoilpulley_node/proxy/evidence_exchange.py
+++ b/packages/node/src/trefoilpulley_node/direct/evidence_exchange.py
@@ -23,8 +23,8 @@
     import random
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.peers import Peers
-    from trefoilpulley_node.proxy.directory import Group
 
 MAX_HOSTS_ASKED = 2
 """Maximum number of hosts asked at once.
--- a/packages/node/src/trefoilpulley_node/proxy/host_vote.py
+++ b/packages/node/src/trefoilpulley_node/direct/host_vote.py
@@ -18,9 +18,9 @@
     from collections.abc import Sequence
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_node.direct.directory import Group
+    from trefoilpulley_node.direct.member_prober import MemberProber
     from trefoilpulley_node.peers import Peers
-    from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.member_prober import MemberProber
 
 VOTE_TIMEOUT_S = 0.35
 """Timeout for the reports of other hosts on a member, in seconds."""
--- a/packages/node/src/trefoilpulley_node/proxy/member_access.py
+++ b/packages/node/src/trefoilpulley_node/direct/member_access.py
@@ -6,7 +6,7 @@
 
 from returns.result import Success
 
-from trefoilpulley_node.proxy.member_pool import PooledSession
+from trefoilpulley_node.direct.member_pool import PooledSession
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -18,9 +18,9 @@
     from trefoilpulley_core.direct.session_state import SessionState
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_node.proxy.lent_session import MemberSession
-    from trefoilpulley_node.proxy.member_pool import MemberPool
-    from trefoilpulley_node.proxy.relayed_session import RelayClient
+    from trefoilpulley_node.direct.lent_session import MemberSession
+    from trefoilpulley_node.direct.member_pool import MemberPool
+    from trefoilpulley_node.direct.relayed_session import RelayClient
 
 
 class MemberAccess:
--- a/packages/node/src/trefoilpulley_node/proxy/member_prober.py
+++ b/packages/node/src/trefoilpulley_node/direct/member_prober.py
@@ -16,7 +16,7 @@
 from trefoilpulley_core.direct.upstream_session import ResumeReplication
 from trefoilpulley_core.direct.upstream_session import RollBack
 from trefoilpulley_core.failure import Overloaded
-from trefoilpulley_node.proxy.exchange import record_proof
+from trefoilpulley_node.direct.exchange import record_proof
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -27,8 +27,8 @@
     from trefoilpulley_core.direct.upstream_session import LogStatus
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.direct.upstream_session import UpstreamDialer
-    from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.exchange import Exchanger
+    from trefoilpulley_node.direct.directory import Group
+    from trefoilpulley_node.direct.exchange import Exchanger
 
 PROBE_PRIORITY = -1
 """Priority of this host's own requests, above that of every route."""
--- a/packages/node/src/trefoilpulley_node/proxy/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/direct/platform_follower.py
@@ -13,9 +13,9 @@
 from trefoilpulley_core.keys import PROXY_PREFIX
 from trefoilpulley_core.platform import KeyValue
 from trefoilpulley_core.platform import WatchExpired
+from trefoilpulley_node.direct.claims import read_claim
+from trefoilpulley_node.direct.host_registration import read_host
 from trefoilpulley_node import events
-from trefoilpulley_node.proxy.claims import read_claim
-from trefoilpulley_node.proxy.host_registration import read_host
 from trefoilpulley_node.service import Service
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.platform import Platform
     from trefoilpulley_core.platform import Watch
-    from trefoilpulley_node.proxy.directory import ProxyDirectory
+    from trefoilpulley_node.direct.directory import ProxyDirectory
 
 REMOVAL_GRACE_S = 3.0
 """Time for which a member without an entry is kept, in seconds.
--- a/packages/node/src/trefoilpulley_node/proxy/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/direct/primary_changer.py
@@ -27,12 +27,12 @@
     from trefoilpulley_core.direct.promotion_service import PromotionService
     from trefoilpulley_core.direct.succession import ReachReport
     from trefoilpulley_core.direct.upstream_session import LogStatus
+    from trefoilpulley_node.direct.claims import ClaimStore
+    from trefoilpulley_node.direct.directory import Group
+    from trefoilpulley_node.direct.host_vote import HostVote
+    from trefoilpulley_node.direct.member_prober import MemberProber
+    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
     from trefoilpulley_node.peers import Peers
-    from trefoilpulley_node.proxy.claims import ClaimStore
-    from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.host_vote import HostVote
-    from trefoilpulley_node.proxy.member_prober import MemberProber
-    from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
 
 NOTICE_TIMEOUT_S = 0.35
 """Timeout of a leader notice to another host, in seconds."""
--- a/packages/node/src/trefoilpulley_node/proxy/primary_wait.py
+++ b/packages/node/src/trefoilpulley_node/direct/primary_wait.py
@@ -12,8 +12,8 @@
 
 if TYPE_CHECKING:
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.work import StatementRequest
+    from trefoilpulley_node.direct.directory import Group
+    from trefoilpulley_node.direct.work import StatementRequest
 
 EXPECTED_FAILOVER_S = 1.3
 """Expected time until a new primary leads after a loss, in seconds.
--- a/packages/node/src/trefoilpulley_node/proxy/proxy_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/proxy_composition.py
@@ -19,29 +19,29 @@
 from trefoilpulley_core.direct.succession import ReachQuestion
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
+from trefoilpulley_node.direct.caller_session import SessionFactory
+from trefoilpulley_node.direct.claims import ClaimStore
+from trefoilpulley_node.direct.connection_lender import RelayServer
+from trefoilpulley_node.direct.directory import ProxyDirectory
+from trefoilpulley_node.direct.evidence_exchange import EvidenceExchange
+from trefoilpulley_node.direct.exchange import Exchanger
+from trefoilpulley_node.direct.host_registration import HostRegistration
+from trefoilpulley_node.direct.host_vote import HostVote
+from trefoilpulley_node.direct.member_prober import MemberProber
+from trefoilpulley_node.direct.platform_follower import PlatformFollower
+from trefoilpulley_node.direct.primary_changer import CLAIM_HOLDER_TIMEOUT_S
+from trefoilpulley_node.direct.primary_changer import PrimaryChanger
+from trefoilpulley_node.direct.primary_wait import PrimaryWait
+from trefoilpulley_node.direct.primary_watch import PrimaryWatch
+from trefoilpulley_node.direct.proxy_state import make_state
+from trefoilpulley_node.direct.proxy_state import ProxyState
+from trefoilpulley_node.direct.session_registry import BALANCER_DETECTION_S
+from trefoilpulley_node.direct.session_registry import SessionRegistry
+from trefoilpulley_node.direct.statement_runner import StatementRunner
 from trefoilpulley_node import events
 from trefoilpulley_node.membership_runner import MembershipRunner
 from trefoilpulley_node.peer_server import PeerServer
 from trefoilpulley_node.peers import Peers
-from trefoilpulley_node.proxy.caller_session import SessionFactory
-from trefoilpulley_node.proxy.claims import ClaimStore
-from trefoilpulley_node.proxy.connection_lender import RelayServer
-from trefoilpulley_node.proxy.directory import ProxyDirectory
-from trefoilpulley_node.proxy.evidence_exchange import EvidenceExchange
-from trefoilpulley_node.proxy.exchange import Exchanger
-from trefoilpulley_node.proxy.host_registration import HostRegistration
-from trefoilpulley_node.proxy.host_vote import HostVote
-from trefoilpulley_node.proxy.member_prober import MemberProber
-from trefoilpulley_node.proxy.platform_follower import PlatformFollower
-from trefoilpulley_node.proxy.primary_changer import CLAIM_HOLDER_TIMEOUT_S
-from trefoilpulley_node.proxy.primary_changer import PrimaryChanger
-from trefoilpulley_node.proxy.primary_wait import PrimaryWait
-from trefoilpulley_node.proxy.primary_watch import PrimaryWatch
-from trefoilpulley_node.proxy.proxy_state import make_state
-from trefoilpulley_node.proxy.proxy_state import ProxyState
-from trefoilpulley_node.proxy.session_registry import BALANCER_DETECTION_S
-from trefoilpulley_node.proxy.session_registry import SessionRegistry
-from trefoilpulley_node.proxy.statement_runner import StatementRunner
 from trefoilpulley_wire.listener import Listener
 from trefoilpulley_wire.peer_codec import PEER_CODEC
 
@@ -53,10 +53,10 @@
     from trefoilpulley_core.direct.upstream_session import UpstreamDialer
     from trefoilpulley_core.membership.live_hosts import LiveHosts
     from trefoilpulley_core.platform import Platform
-    from trefoilpulley_node.proxy.directory import Group
-    from trefoilpulley_node.proxy.member_access import MemberAccess
-    from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
-    from trefoilpulley_node.proxy.proxy_settings import ProxySettings
+    from trefoilpulley_node.direct.directory import Group
+    from trefoilpulley_node.direct.member_access import MemberAccess
+    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
+    from trefoilpulley_node.direct.proxy_settings import ProxySettings
 
 MAINTENANCE_INTERVAL_S = 0.25
 """Time between two maintenance runs, in seconds."""
--- a/packages/node/src/trefoilpulley_node/proxy/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/direct/relayed_session.py
@@ -22,9 +22,9 @@
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_core.peer import PooledFailure
+from trefoilpulley_node.direct.lent_session import MemberSession
 from trefoilpulley_node import events
 from trefoilpulley_node.peers import read_failure
-from trefoilpulley_node.proxy.lent_session import MemberSession
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -39,8 +39,8 @@
     from trefoilpulley_core.direct.relay_messages import RelayedReply
     from trefoilpulley_core.direct.upstream_session import Call
     from trefoilpulley_core.failure import Failure
+    from trefoilpulley_node.direct.lent_session import SessionSetting
     from trefoilpulley_node.peers import Peers
-    from trefoilpulley_node.proxy.lent_session import SessionSetting
     from trefoilpulley_wire.channel import Channel
 
 MAX_HOLDER_ATTEMPTS = 3
--- a/packages/node/src/trefoilpulley_node/proxy/session_registry.py
+++ b/packages/node/src/trefoilpulley_node/direct/session_registry.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_node.proxy.caller_session import CallerSession
+    from trefoilpulley_node.direct.caller_session import CallerSession
 
 BALANCER_DETECTION_S = 2.2
 """Time until the balancer detects that this host is not ready, in seconds.
--- a/packages/node/src/trefoilpulley_node/proxy/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/direct/statement_runner.py
@@ -24,8 +24,8 @@
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_core.failure import ReplicaBehind
 from trefoilpulley_core.failure import RunState
+from trefoilpulley_node.direct.exchange import record_proof
 from trefoilpulley_node import events
-from trefoilpulley_node.proxy.exchange import record_proof
 
 if TYPE_CHECKING:
     from returns.result import Result
@@ -34,11 +34,11 @@
     from trefoilpulley_core.direct.placement import Placement
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_node.proxy.exchange import Exchanger
-    from trefoilpulley_node.proxy.lent_session import MemberSession
-    from trefoilpulley_node.proxy.primary_wait import PrimaryWait
-    from trefoilpulley_node.proxy.proxy_metrics import ProxyMetrics
-    from trefoilpulley_node.proxy.work import StatementRequest
+    from trefoilpulley_node.direct.exchange import Exchanger
+    from trefoilpulley_node.direct.lent_session import MemberSession
+    from trefoilpulley_node.direct.primary_wait import PrimaryWait
+    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
+    from trefoilpulley_node.direct.work import StatementRequest
 
 MAX_READ_ATTEMPTS = 5
 """Attempts to send a read, repetitions at the same member included."""
--- a/packages/node/src/trefoilpulley_node/proxy/work.py
+++ b/packages/node/src/trefoilpulley_node/direct/work.py
@@ -11,7 +11,7 @@
     from trefoilpulley_core.direct.evidence import SessionFloor
     from trefoilpulley_core.direct.routes import Route
     from trefoilpulley_core.direct.session_state import SessionState
-    from trefoilpulley_node.proxy.directory import Group
+    from trefoilpulley_node.direct.directory import Group
 
 QUEUE_TIME_FACTOR = 0.5
 """Part of a route's latency goal that a statement may spend in a queue.
