--- a/packages/node/src/trefoilpulley_node/direct/proxy_state.py
+++ b/packages/node/src/trefoilpulley_node/direct/proxy_state.py
@@ -9,10 +9,10 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
+    from trefoilpulley_node.direct.direct_settings import ProxySettings
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.directory import ProxyDirectory
     from trefoilpulley_node.direct.member_access import MemberAccess
-    from trefoilpulley_node.direct.proxy_settings import ProxySettings
 
 
 @dataclass(frozen=True, slots=True)
