--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -16,11 +16,11 @@
 
 from trefoilpulley_cli.main import main
 from trefoilpulley_core.clock import Clock
-from trefoilpulley_node.direct.proxy_metrics import COUNTERS
-from trefoilpulley_node.direct.proxy_metrics import GAUGES
-from trefoilpulley_node.direct.proxy_metrics import HISTOGRAMS
-from trefoilpulley_node.direct.proxy_metrics import PREFIX
-from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
+from trefoilpulley_node.direct.direct_metrics import COUNTERS
+from trefoilpulley_node.direct.direct_metrics import GAUGES
+from trefoilpulley_node.direct.direct_metrics import HISTOGRAMS
+from trefoilpulley_node.direct.direct_metrics import PREFIX
+from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
 from trefoilpulley_node.log_sink import LogSink
 from trefoilpulley_node.log_sink import MAX_QUEUED_BYTES
 
--- a/features/steps/proxy_overload_steps.py
+++ b/features/steps/proxy_overload_steps.py
@@ -34,12 +34,12 @@
 from trefoilpulley_core.position import Position
 from trefoilpulley_node.clock import BoottimeClock
 from trefoilpulley_node.direct.caller_transaction import CallerTransaction
+from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
 from trefoilpulley_node.direct.directory import Group
 from trefoilpulley_node.direct.exchange import Exchanger
 from trefoilpulley_node.direct.member_access import MemberAccess
 from trefoilpulley_node.direct.member_pool import MemberPool
 from trefoilpulley_node.direct.primary_wait import PrimaryWait
-from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
 from trefoilpulley_node.direct.statement_runner import StatementRunner
 from trefoilpulley_node.direct.work import StatementRequest
 
--- a/packages/node/src/trefoilpulley_node/direct/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/direct/caller_session.py
@@ -35,10 +35,10 @@
     from trefoilpulley_core.direct.commands import Command
     from trefoilpulley_core.direct.routes import Route
     from trefoilpulley_core.failure import Failure
+    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
     from trefoilpulley_node.direct.directory import ProxyDirectory
     from trefoilpulley_node.direct.exchange import Exchanger
     from trefoilpulley_node.direct.primary_wait import PrimaryWait
-    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
     from trefoilpulley_node.direct.statement_runner import StatementRunner
 
 CONFIGURATION_TIMEOUT_S = 1.5
--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -53,10 +53,10 @@
     from trefoilpulley_core.direct.upstream_session import UpstreamDialer
     from trefoilpulley_core.membership.live_hosts import LiveHosts
     from trefoilpulley_core.platform import Platform
+    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
     from trefoilpulley_node.direct.direct_settings import ProxySettings
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.member_access import MemberAccess
-    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
 
 MAINTENANCE_INTERVAL_S = 0.25
 """Time between two maintenance runs, in seconds."""
--- a/packages/node/src/trefoilpulley_node/direct/exchange.py
+++ b/packages/node/src/trefoilpulley_node/direct/exchange.py
@@ -24,10 +24,10 @@
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.position import Position
+    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.lent_session import MemberSession
     from trefoilpulley_node.direct.member_access import MemberAccess
-    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
     from trefoilpulley_node.direct.work import StatementRequest
 
 
--- a/packages/node/src/trefoilpulley_node/direct/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/direct/primary_changer.py
@@ -28,10 +28,10 @@
     from trefoilpulley_core.direct.succession import ReachReport
     from trefoilpulley_core.direct.upstream_session import LogStatus
     from trefoilpulley_node.direct.claims import ClaimStore
+    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.host_vote import HostVote
     from trefoilpulley_node.direct.member_prober import MemberProber
-    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
     from trefoilpulley_node.peers import Peers
 
 NOTICE_TIMEOUT_S = 0.35
--- a/packages/node/src/trefoilpulley_node/direct/primary_watch.py
+++ b/packages/node/src/trefoilpulley_node/direct/primary_watch.py
@@ -15,12 +15,12 @@
 
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.direct.group_state import MemberHealth
+    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.evidence_exchange import EvidenceExchange
     from trefoilpulley_node.direct.host_vote import HostVote
     from trefoilpulley_node.direct.member_prober import MemberProber
     from trefoilpulley_node.direct.primary_changer import PrimaryChanger
-    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
 
 CHECK_INTERVAL_S = 0.1
 """Time between two health checks of the primary, in seconds."""
--- a/packages/node/src/trefoilpulley_node/direct/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/direct/statement_runner.py
@@ -34,10 +34,10 @@
     from trefoilpulley_core.direct.placement import Placement
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
+    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
     from trefoilpulley_node.direct.exchange import Exchanger
     from trefoilpulley_node.direct.lent_session import MemberSession
     from trefoilpulley_node.direct.primary_wait import PrimaryWait
-    from trefoilpulley_node.direct.proxy_metrics import ProxyMetrics
     from trefoilpulley_node.direct.work import StatementRequest
 
 MAX_READ_ATTEMPTS = 5
