--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -22,6 +22,8 @@
 from trefoilpulley_node.direct.caller_session import SessionFactory
 from trefoilpulley_node.direct.claims import ClaimStore
 from trefoilpulley_node.direct.connection_lender import RelayServer
+from trefoilpulley_node.direct.direct_state import make_state
+from trefoilpulley_node.direct.direct_state import ProxyState
 from trefoilpulley_node.direct.directory import ProxyDirectory
 from trefoilpulley_node.direct.evidence_exchange import EvidenceExchange
 from trefoilpulley_node.direct.exchange import Exchanger
@@ -33,8 +35,6 @@
 from trefoilpulley_node.direct.primary_changer import PrimaryChanger
 from trefoilpulley_node.direct.primary_wait import PrimaryWait
 from trefoilpulley_node.direct.primary_watch import PrimaryWatch
-from trefoilpulley_node.direct.proxy_state import make_state
-from trefoilpulley_node.direct.proxy_state import ProxyState
 from trefoilpulley_node.direct.session_registry import BALANCER_DETECTION_S
 from trefoilpulley_node.direct.session_registry import SessionRegistry
 from trefoilpulley_node.direct.statement_runner import StatementRunner
