--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -38,12 +38,12 @@
 from trefoilpulley_core.peer import PooledFailure
 from trefoilpulley_emulator.deployment import EmulatedDeployment
 from trefoilpulley_node.clock import BoottimeClock
-from trefoilpulley_node.direct.connection_lender import RelayServer
 from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
 from trefoilpulley_node.direct.directory import Group
 from trefoilpulley_node.direct.exchange import Exchanger
 from trefoilpulley_node.direct.member_access import MemberAccess
 from trefoilpulley_node.direct.member_pool import MemberPool
+from trefoilpulley_node.direct.relay_server import RelayServer
 from trefoilpulley_node.direct.session_registry import SessionRegistry
 from trefoilpulley_node.peer_server import PeerIdentity
 from trefoilpulley_node.peers import Peers
--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -21,7 +21,6 @@
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_node.direct.caller_session import SessionFactory
 from trefoilpulley_node.direct.claims import ClaimStore
-from trefoilpulley_node.direct.connection_lender import RelayServer
 from trefoilpulley_node.direct.direct_state import make_state
 from trefoilpulley_node.direct.direct_state import ProxyState
 from trefoilpulley_node.direct.directory import ProxyDirectory
@@ -35,6 +34,7 @@
 from trefoilpulley_node.direct.primary_changer import PrimaryChanger
 from trefoilpulley_node.direct.primary_wait import PrimaryWait
 from trefoilpulley_node.direct.primary_watch import PrimaryWatch
+from trefoilpulley_node.direct.relay_server import RelayServer
 from trefoilpulley_node.direct.session_registry import BALANCER_DETECTION_S
 from trefoilpulley_node.direct.session_registry import SessionRegistry
 from trefoilpulley_node.direct.statement_runner import StatementRunner
