--- a/packages/node/src/trefoilpulley_node/direct/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/direct/caller_transaction.py
@@ -33,8 +33,8 @@
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_node.direct.exchange import Exchanger
-    from trefoilpulley_node.direct.lent_session import MemberSession
     from trefoilpulley_node.direct.member_access import MemberAccess
+    from trefoilpulley_node.direct.member_session import MemberSession
     from trefoilpulley_node.direct.primary_wait import PrimaryWait
     from trefoilpulley_node.direct.work import StatementRequest
 
--- a/packages/node/src/trefoilpulley_node/direct/exchange.py
+++ b/packages/node/src/trefoilpulley_node/direct/exchange.py
@@ -12,7 +12,7 @@
 from trefoilpulley_core.direct.upstream_session import RollBack
 from trefoilpulley_core.direct.upstream_session import RunStatement
 from trefoilpulley_core.failure import NotPrimary
-from trefoilpulley_node.direct.lent_session import SessionSetting
+from trefoilpulley_node.direct.member_session import SessionSetting
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -26,8 +26,8 @@
     from trefoilpulley_core.position import Position
     from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
     from trefoilpulley_node.direct.directory import Group
-    from trefoilpulley_node.direct.lent_session import MemberSession
     from trefoilpulley_node.direct.member_access import MemberAccess
+    from trefoilpulley_node.direct.member_session import MemberSession
     from trefoilpulley_node.direct.work import StatementRequest
 
 
--- a/packages/node/src/trefoilpulley_node/direct/member_access.py
+++ b/packages/node/src/trefoilpulley_node/direct/member_access.py
@@ -18,8 +18,8 @@
     from trefoilpulley_core.direct.session_state import SessionState
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_node.direct.lent_session import MemberSession
     from trefoilpulley_node.direct.member_pool import MemberPool
+    from trefoilpulley_node.direct.member_session import MemberSession
     from trefoilpulley_node.direct.relayed_session import RelayClient
 
 
--- a/packages/node/src/trefoilpulley_node/direct/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/direct/member_pool.py
@@ -22,8 +22,8 @@
 from trefoilpulley_core.direct.waiting_line import ConnectionQueue
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import Overloaded
-from trefoilpulley_node.direct.lent_session import MemberSession
-from trefoilpulley_node.direct.lent_session import SetupFailed
+from trefoilpulley_node.direct.member_session import MemberSession
+from trefoilpulley_node.direct.member_session import SetupFailed
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -39,7 +39,7 @@
     from trefoilpulley_core.direct.upstream_session import UpstreamSession
     from trefoilpulley_core.direct.waiting_line import QueuedWork
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_node.direct.lent_session import SessionSetting
+    from trefoilpulley_node.direct.member_session import SessionSetting
 
 DIAL_TIMEOUT_S = 0.4
 """Timeout to open a connection, in seconds; a busy member takes tens of ms."""
--- a/packages/node/src/trefoilpulley_node/direct/relay_server.py
+++ b/packages/node/src/trefoilpulley_node/direct/relay_server.py
@@ -18,7 +18,7 @@
 from trefoilpulley_core.failure import TransactionLost
 from trefoilpulley_core.peer import PooledDone
 from trefoilpulley_node.direct.exchange import record_proof
-from trefoilpulley_node.direct.lent_session import SessionSetting
+from trefoilpulley_node.direct.member_session import SessionSetting
 from trefoilpulley_node.peer_server import make_failure_reply
 
 if TYPE_CHECKING:
--- a/packages/node/src/trefoilpulley_node/direct/relayed_session.py
+++ b/packages/node/src/trefoilpulley_node/direct/relayed_session.py
@@ -22,7 +22,7 @@
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_core.peer import PooledFailure
-from trefoilpulley_node.direct.lent_session import MemberSession
+from trefoilpulley_node.direct.member_session import MemberSession
 from trefoilpulley_node import events
 from trefoilpulley_node.peers import read_failure
 
@@ -39,7 +39,7 @@
     from trefoilpulley_core.direct.relay_messages import RelayedReply
     from trefoilpulley_core.direct.upstream_session import Call
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_node.direct.lent_session import SessionSetting
+    from trefoilpulley_node.direct.member_session import SessionSetting
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_wire.channel import Channel
 
--- a/packages/node/src/trefoilpulley_node/direct/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/direct/statement_runner.py
@@ -36,7 +36,7 @@
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
     from trefoilpulley_node.direct.exchange import Exchanger
-    from trefoilpulley_node.direct.lent_session import MemberSession
+    from trefoilpulley_node.direct.member_session import MemberSession
     from trefoilpulley_node.direct.primary_wait import PrimaryWait
     from trefoilpulley_node.direct.work import StatementRequest
 
