--- a/features/steps/proxy_hedge_steps.py
+++ b/features/steps/proxy_hedge_steps.py
@@ -37,8 +37,8 @@
 from trefoilpulley_node.direct.member_access import MemberAccess
 from trefoilpulley_node.direct.member_pool import MemberPool
 from trefoilpulley_node.direct.primary_wait import PrimaryWait
+from trefoilpulley_node.direct.statement_request import StatementRequest
 from trefoilpulley_node.direct.statement_runner import StatementRunner
-from trefoilpulley_node.direct.work import StatementRequest
 
 
 class _ImmediateUpstream(UpstreamSession):
--- a/features/steps/proxy_overload_steps.py
+++ b/features/steps/proxy_overload_steps.py
@@ -40,8 +40,8 @@
 from trefoilpulley_node.direct.member_access import MemberAccess
 from trefoilpulley_node.direct.member_pool import MemberPool
 from trefoilpulley_node.direct.primary_wait import PrimaryWait
+from trefoilpulley_node.direct.statement_request import StatementRequest
 from trefoilpulley_node.direct.statement_runner import StatementRunner
-from trefoilpulley_node.direct.work import StatementRequest
 
 LONG_TIMEOUT_S = 3600.0
 """Time limit that no scenario reaches, in seconds."""
--- a/packages/node/src/trefoilpulley_node/direct/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/direct/caller_session.py
@@ -25,7 +25,7 @@
 from trefoilpulley_core.failure import RunState
 from trefoilpulley_core.failure import UnknownDatabase
 from trefoilpulley_node.direct.caller_transaction import CallerTransaction
-from trefoilpulley_node.direct.work import StatementRequest
+from trefoilpulley_node.direct.statement_request import StatementRequest
 from trefoilpulley_node import events
 
 if TYPE_CHECKING:
--- a/packages/node/src/trefoilpulley_node/direct/caller_transaction.py
+++ b/packages/node/src/trefoilpulley_node/direct/caller_transaction.py
@@ -36,7 +36,7 @@
     from trefoilpulley_node.direct.member_access import MemberAccess
     from trefoilpulley_node.direct.member_session import MemberSession
     from trefoilpulley_node.direct.primary_wait import PrimaryWait
-    from trefoilpulley_node.direct.work import StatementRequest
+    from trefoilpulley_node.direct.statement_request import StatementRequest
 
 MAX_OPEN_ATTEMPTS = 6
 """Attempts to open a transaction, repetitions at the same member included."""
--- a/packages/node/src/trefoilpulley_node/direct/exchange.py
+++ b/packages/node/src/trefoilpulley_node/direct/exchange.py
@@ -28,7 +28,7 @@
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.member_access import MemberAccess
     from trefoilpulley_node.direct.member_session import MemberSession
-    from trefoilpulley_node.direct.work import StatementRequest
+    from trefoilpulley_node.direct.statement_request import StatementRequest
 
 
 class Exchanger:
--- a/packages/node/src/trefoilpulley_node/direct/primary_wait.py
+++ b/packages/node/src/trefoilpulley_node/direct/primary_wait.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_node.direct.directory import Group
-    from trefoilpulley_node.direct.work import StatementRequest
+    from trefoilpulley_node.direct.statement_request import StatementRequest
 
 EXPECTED_FAILOVER_S = 1.3
 """Expected time until a new primary leads after a loss, in seconds.
--- a/packages/node/src/trefoilpulley_node/direct/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/direct/statement_runner.py
@@ -38,7 +38,7 @@
     from trefoilpulley_node.direct.exchange import Exchanger
     from trefoilpulley_node.direct.member_session import MemberSession
     from trefoilpulley_node.direct.primary_wait import PrimaryWait
-    from trefoilpulley_node.direct.work import StatementRequest
+    from trefoilpulley_node.direct.statement_request import StatementRequest
 
 MAX_READ_ATTEMPTS = 5
 """Attempts to send a read, repetitions at the same member included."""
