--- a/features/steps/proxy_succession_steps.py
+++ b/features/steps/proxy_succession_steps.py
@@ -23,9 +23,9 @@
 from trefoilpulley_core.direct.upstream_session import LogStatus
 from trefoilpulley_core.platform import RevisionConflict
 from trefoilpulley_core.position import Position
-from trefoilpulley_node.direct.claims import claim_key
-from trefoilpulley_node.direct.claims import ClaimStore
-from trefoilpulley_node.direct.claims import read_claim
+from trefoilpulley_node.direct.claim_store import claim_key
+from trefoilpulley_node.direct.claim_store import ClaimStore
+from trefoilpulley_node.direct.claim_store import read_claim
 
 
 def _reports(losing: str, reaching: str = '') -> tuple[ReachReport, ...]:
--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -20,7 +20,7 @@
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_node.direct.caller_session import SessionFactory
-from trefoilpulley_node.direct.claims import ClaimStore
+from trefoilpulley_node.direct.claim_store import ClaimStore
 from trefoilpulley_node.direct.direct_state import make_state
 from trefoilpulley_node.direct.direct_state import ProxyState
 from trefoilpulley_node.direct.directory import ProxyDirectory
--- a/packages/node/src/trefoilpulley_node/direct/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/direct/platform_follower.py
@@ -13,7 +13,7 @@
 from trefoilpulley_core.keys import PROXY_PREFIX
 from trefoilpulley_core.platform import KeyValue
 from trefoilpulley_core.platform import WatchExpired
-from trefoilpulley_node.direct.claims import read_claim
+from trefoilpulley_node.direct.claim_store import read_claim
 from trefoilpulley_node.direct.host_registration import read_host
 from trefoilpulley_node import events
 from trefoilpulley_node.service import Service
--- a/packages/node/src/trefoilpulley_node/direct/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/direct/primary_changer.py
@@ -27,7 +27,7 @@
     from trefoilpulley_core.direct.promotion_service import PromotionService
     from trefoilpulley_core.direct.succession import ReachReport
     from trefoilpulley_core.direct.upstream_session import LogStatus
-    from trefoilpulley_node.direct.claims import ClaimStore
+    from trefoilpulley_node.direct.claim_store import ClaimStore
     from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.host_vote import HostVote
