--- a/features/steps/proxy_overload_steps.py
+++ b/features/steps/proxy_overload_steps.py
@@ -16,8 +16,8 @@
 from features.fakes.asking import wait_until
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.direct.commands import Run
+from trefoilpulley_core.direct.concurrency_limit import ConcurrencyLimit
 from trefoilpulley_core.direct.evidence import SessionFloor
-from trefoilpulley_core.direct.flight_limit import ConcurrencyLimit
 from trefoilpulley_core.direct.group_state import MemberHealth
 from trefoilpulley_core.direct.group_state import MemberRecord
 from trefoilpulley_core.direct.routes import ReadFreshness
--- a/packages/node/src/trefoilpulley_node/direct/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/direct/member_pool.py
@@ -12,9 +12,9 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
+from trefoilpulley_core.direct.concurrency_limit import ConcurrencyLimit
 from trefoilpulley_core.direct.connection_share import ConnectionShare
 from trefoilpulley_core.direct.connection_share import EXCESS_IDLE_TIMEOUT_S
-from trefoilpulley_core.direct.flight_limit import ConcurrencyLimit
 from trefoilpulley_core.direct.session_state import ConnectionState
 from trefoilpulley_core.direct.session_state import plan_setup
 from trefoilpulley_core.direct.upstream_session import ConnectionLimitReached
