--- a/features/steps/proxy_reads_steps.py
+++ b/features/steps/proxy_reads_steps.py
@@ -10,6 +10,7 @@
 from behave import when
 
 from trefoilpulley_core.catalog import Endpoint
+from trefoilpulley_core.direct.connection_queue import ConnectionQueue
 from trefoilpulley_core.direct.connection_share import ConnectionShare
 from trefoilpulley_core.direct.evidence import Evidence
 from trefoilpulley_core.direct.evidence import EvidenceLog
@@ -21,7 +22,6 @@
 from trefoilpulley_core.direct.placement import place_read
 from trefoilpulley_core.direct.routes import ReadFreshness
 from trefoilpulley_core.direct.routes import Route
-from trefoilpulley_core.direct.waiting_line import ConnectionQueue
 from trefoilpulley_core.position import Position
 
 NOW = 100.0
--- a/packages/node/src/trefoilpulley_node/direct/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/direct/member_pool.py
@@ -13,13 +13,13 @@
 from returns.result import Success
 
 from trefoilpulley_core.direct.concurrency_limit import ConcurrencyLimit
+from trefoilpulley_core.direct.connection_queue import ConnectionQueue
 from trefoilpulley_core.direct.connection_share import ConnectionShare
 from trefoilpulley_core.direct.connection_share import EXCESS_IDLE_TIMEOUT_S
 from trefoilpulley_core.direct.session_state import ConnectionState
 from trefoilpulley_core.direct.session_state import plan_setup
 from trefoilpulley_core.direct.upstream_session import ConnectionLimitReached
 from trefoilpulley_core.direct.upstream_session import UnknownStatement
-from trefoilpulley_core.direct.waiting_line import ConnectionQueue
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_node.direct.member_session import MemberSession
@@ -31,13 +31,13 @@
     from returns.result import Result
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.connection_queue import QueuedWork
     from trefoilpulley_core.direct.group_state import MemberHealth
     from trefoilpulley_core.direct.session_state import SessionState
     from trefoilpulley_core.direct.upstream_session import Call
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.direct.upstream_session import UpstreamDialer
     from trefoilpulley_core.direct.upstream_session import UpstreamSession
-    from trefoilpulley_core.direct.waiting_line import QueuedWork
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_node.direct.member_session import SessionSetting
 
