--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -18,13 +18,13 @@
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.direct.connection_holders import choose_holders
 from trefoilpulley_core.direct.connection_holders import rank_holders
+from trefoilpulley_core.direct.failover import choose_voters
+from trefoilpulley_core.direct.failover import failover_delay_s
 from trefoilpulley_core.direct.group_state import MemberRecord
 from trefoilpulley_core.direct.relay_messages import EndLease
 from trefoilpulley_core.direct.relay_messages import RelayedCalls
 from trefoilpulley_core.direct.relay_messages import RelayRefused
 from trefoilpulley_core.direct.session_state import SessionState
-from trefoilpulley_core.direct.succession import choose_voters
-from trefoilpulley_core.direct.succession import failover_delay_s
 from trefoilpulley_core.direct.upstream_session import Call
 from trefoilpulley_core.direct.upstream_session import OpenTransaction
 from trefoilpulley_core.direct.upstream_session import Reply
--- a/features/steps/proxy_succession_steps.py
+++ b/features/steps/proxy_succession_steps.py
@@ -11,15 +11,15 @@
 
 from fakes.fake_platform import FakePlatform
 from trefoilpulley_core.catalog import Endpoint
+from trefoilpulley_core.direct.failover import can_choose_target
+from trefoilpulley_core.direct.failover import choose_target
+from trefoilpulley_core.direct.failover import Claim
+from trefoilpulley_core.direct.failover import fencing_token
+from trefoilpulley_core.direct.failover import has_every_commit
+from trefoilpulley_core.direct.failover import has_loss_quorum
+from trefoilpulley_core.direct.failover import ReachReport
 from trefoilpulley_core.direct.group_state import GroupState
 from trefoilpulley_core.direct.group_state import MemberRecord
-from trefoilpulley_core.direct.succession import can_choose_target
-from trefoilpulley_core.direct.succession import choose_target
-from trefoilpulley_core.direct.succession import Claim
-from trefoilpulley_core.direct.succession import fencing_token
-from trefoilpulley_core.direct.succession import has_every_commit
-from trefoilpulley_core.direct.succession import has_loss_quorum
-from trefoilpulley_core.direct.succession import ReachReport
 from trefoilpulley_core.direct.upstream_session import LogStatus
 from trefoilpulley_core.platform import RevisionConflict
 from trefoilpulley_core.position import Position
--- a/packages/node/src/trefoilpulley_node/direct/claim_store.py
+++ b/packages/node/src/trefoilpulley_node/direct/claim_store.py
@@ -11,7 +11,7 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
-from trefoilpulley_core.direct.succession import Claim
+from trefoilpulley_core.direct.failover import Claim
 from trefoilpulley_core.failure import MalformedMessage
 from trefoilpulley_core.keys import CLAIM_PREFIX
 from trefoilpulley_core.platform import PlatformAnswerLost
--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -11,12 +11,12 @@
 
 from trefoilpulley_core.catalog import HostEntry
 from trefoilpulley_core.direct.evidence_messages import EvidenceQuestion
+from trefoilpulley_core.direct.failover import LeaderNotice
+from trefoilpulley_core.direct.failover import ReachQuestion
 from trefoilpulley_core.direct.isolation import IsolationDetector
 from trefoilpulley_core.direct.isolation import Reachability
 from trefoilpulley_core.direct.relay_messages import EndLease
 from trefoilpulley_core.direct.relay_messages import RelayedCalls
-from trefoilpulley_core.direct.succession import LeaderNotice
-from trefoilpulley_core.direct.succession import ReachQuestion
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_node.direct.caller_session import SessionFactory
@@ -47,9 +47,9 @@
 
 if TYPE_CHECKING:
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.failover import Claim
     from trefoilpulley_core.direct.platform_documents import PlatformDocuments
     from trefoilpulley_core.direct.promotion_service import PromotionService
-    from trefoilpulley_core.direct.succession import Claim
     from trefoilpulley_core.direct.upstream_session import UpstreamDialer
     from trefoilpulley_core.membership.live_hosts import LiveHosts
     from trefoilpulley_core.platform import Platform
--- a/packages/node/src/trefoilpulley_node/direct/host_vote.py
+++ b/packages/node/src/trefoilpulley_node/direct/host_vote.py
@@ -6,10 +6,10 @@
 
 import gevent
 
-from trefoilpulley_core.direct.succession import choose_voters
-from trefoilpulley_core.direct.succession import has_loss_quorum
-from trefoilpulley_core.direct.succession import ReachQuestion
-from trefoilpulley_core.direct.succession import ReachReport
+from trefoilpulley_core.direct.failover import choose_voters
+from trefoilpulley_core.direct.failover import has_loss_quorum
+from trefoilpulley_core.direct.failover import ReachQuestion
+from trefoilpulley_core.direct.failover import ReachReport
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/node/src/trefoilpulley_node/direct/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/direct/platform_follower.py
@@ -23,8 +23,8 @@
 
     from trefoilpulley_core.catalog import HostEntry
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.failover import Claim
     from trefoilpulley_core.direct.platform_documents import PlatformDocuments
-    from trefoilpulley_core.direct.succession import Claim
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.platform import Platform
     from trefoilpulley_core.platform import Watch
--- a/packages/node/src/trefoilpulley_node/direct/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/direct/primary_changer.py
@@ -7,13 +7,13 @@
 import gevent
 from returns.result import Success
 
+from trefoilpulley_core.direct.failover import can_choose_target
+from trefoilpulley_core.direct.failover import choose_target
+from trefoilpulley_core.direct.failover import failover_delay_s
+from trefoilpulley_core.direct.failover import fencing_token
+from trefoilpulley_core.direct.failover import has_every_commit
+from trefoilpulley_core.direct.failover import LeaderNotice
 from trefoilpulley_core.direct.promotion_service import PromotionRefused
-from trefoilpulley_core.direct.succession import can_choose_target
-from trefoilpulley_core.direct.succession import choose_target
-from trefoilpulley_core.direct.succession import failover_delay_s
-from trefoilpulley_core.direct.succession import fencing_token
-from trefoilpulley_core.direct.succession import has_every_commit
-from trefoilpulley_core.direct.succession import LeaderNotice
 from trefoilpulley_core.platform import PlatformAnswerLost
 from trefoilpulley_core.platform import RevisionConflict
 from trefoilpulley_node import events
@@ -24,8 +24,8 @@
     from collections.abc import Sequence
 
     from trefoilpulley_core.clock import Clock
+    from trefoilpulley_core.direct.failover import ReachReport
     from trefoilpulley_core.direct.promotion_service import PromotionService
-    from trefoilpulley_core.direct.succession import ReachReport
     from trefoilpulley_core.direct.upstream_session import LogStatus
     from trefoilpulley_node.direct.claim_store import ClaimStore
     from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
--- a/packages/wire/src/trefoilpulley_wire/peer_codec.py
+++ b/packages/wire/src/trefoilpulley_wire/peer_codec.py
@@ -4,8 +4,8 @@
 
 from trefoilpulley_core.configuration import messages as documents
 from trefoilpulley_core.direct import evidence_messages
+from trefoilpulley_core.direct import failover
 from trefoilpulley_core.direct import relay_messages
-from trefoilpulley_core.direct import succession
 from trefoilpulley_core.direct.upstream_session import Call
 from trefoilpulley_core.membership import messages
 from trefoilpulley_core import peer
@@ -51,9 +51,9 @@
         relay_messages.RelayedCalls,
         relay_messages.RelayedReplies,
         relay_messages.RelayRefused,
-        succession.LeaderNotice,
-        succession.ReachQuestion,
-        succession.ReachReport,
+        failover.LeaderNotice,
+        failover.ReachQuestion,
+        failover.ReachReport,
     ),
     unions={relay_messages.RelayedCalls: Call},
 )
