--- a/packages/core/src/trefoilpulley_core/membership/failure_detector.py
+++ b/packages/core/src/trefoilpulley_core/membership/failure_detector.py
@@ -7,8 +7,8 @@
 
 from xxhash import xxh3_64_intdigest
 
-from trefoilpulley_core.membership.inquiry import SuspicionCheck
 from trefoilpulley_core.membership.record import HostState
+from trefoilpulley_core.membership.suspicion_check import SuspicionCheck
 
 if TYPE_CHECKING:
     import random
--- a/packages/core/src/trefoilpulley_core/membership/zone_watch.py
+++ b/packages/core/src/trefoilpulley_core/membership/zone_watch.py
@@ -5,8 +5,8 @@
 from itertools import cycle
 from typing import TYPE_CHECKING
 
-from trefoilpulley_core.membership.inquiry import SuspicionCheck
 from trefoilpulley_core.membership.record import ZoneRecord
+from trefoilpulley_core.membership.suspicion_check import SuspicionCheck
 
 if TYPE_CHECKING:
     import random
