--- a/packages/core/src/trefoilpulley_core/membership/suspicion_check.py
+++ b/packages/core/src/trefoilpulley_core/membership/suspicion_check.py
@@ -7,8 +7,8 @@
 from trefoilpulley_core.membership.messages import ProbeForMe
 from trefoilpulley_core.membership.messages import ProbeReport
 from trefoilpulley_core.membership.outbox import PendingCall
-from trefoilpulley_core.membership.suspicion import SuspicionRounds
-from trefoilpulley_core.membership.suspicion import Verdict
+from trefoilpulley_core.membership.suspicion_rounds import SuspicionRounds
+from trefoilpulley_core.membership.suspicion_rounds import Verdict
 
 if TYPE_CHECKING:
     from collections.abc import Callable
