--- a/packages/core/src/trefoilpulley_core/membership/death_verifier.py
+++ b/packages/core/src/trefoilpulley_core/membership/death_verifier.py
@@ -8,7 +8,7 @@
 from trefoilpulley_core.membership.record import HostState
 
 if TYPE_CHECKING:
-    from trefoilpulley_core.membership.news import Dissemination
+    from trefoilpulley_core.membership.dissemination import Dissemination
     from trefoilpulley_core.membership.outbox import Outbox
     from trefoilpulley_core.membership.probes import Prober
     from trefoilpulley_core.membership.record import HostRecord
--- a/packages/core/src/trefoilpulley_core/membership/failure_detector.py
+++ b/packages/core/src/trefoilpulley_core/membership/failure_detector.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     import random
 
-    from trefoilpulley_core.membership.news import Dissemination
+    from trefoilpulley_core.membership.dissemination import Dissemination
     from trefoilpulley_core.membership.probes import Prober
 
 RING_PROBE_INTERVAL_S = 0.4
--- a/packages/core/src/trefoilpulley_core/membership/membership.py
+++ b/packages/core/src/trefoilpulley_core/membership/membership.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from trefoilpulley_core.membership.death_verifier import DeathVerifier
+from trefoilpulley_core.membership.dissemination import Dissemination
 from trefoilpulley_core.membership.failure_detector import FailureDetector
 from trefoilpulley_core.membership.messages import ProbeReport
 from trefoilpulley_core.membership.messages import Versions
-from trefoilpulley_core.membership.news import Dissemination
 from trefoilpulley_core.membership.outbox import Outbox
 from trefoilpulley_core.membership.probes import Prober
 from trefoilpulley_core.membership.reconciler import Reconciler
--- a/packages/core/src/trefoilpulley_core/membership/probes.py
+++ b/packages/core/src/trefoilpulley_core/membership/probes.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from trefoilpulley_core.membership.news import Dissemination
+    from trefoilpulley_core.membership.dissemination import Dissemination
     from trefoilpulley_core.membership.outbox import Outbox
     from trefoilpulley_core.membership.reconciler import Reconciler
 
--- a/packages/core/src/trefoilpulley_core/membership/reconciler.py
+++ b/packages/core/src/trefoilpulley_core/membership/reconciler.py
@@ -13,7 +13,7 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-    from trefoilpulley_core.membership.news import Dissemination
+    from trefoilpulley_core.membership.dissemination import Dissemination
     from trefoilpulley_core.membership.outbox import Outbox
     from trefoilpulley_core.membership.record import ZoneDigest
 
--- a/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
@@ -313,7 +313,7 @@
         'bytes of a host',
         'B/s',
         (*_MEMBERSHIP_BYTES, _REPLACEMENT_BYTES),
-        'trefoilpulley_core.membership.news',
+        'trefoilpulley_core.membership.dissemination',
         BYTES_PER_S_BUDGET,
     ),
     Row(
