--- a/packages/core/src/trefoilpulley_core/membership/death_verifier.py
+++ b/packages/core/src/trefoilpulley_core/membership/death_verifier.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.membership.dissemination import Dissemination
     from trefoilpulley_core.membership.outbox import Outbox
-    from trefoilpulley_core.membership.probes import Prober
+    from trefoilpulley_core.membership.prober import Prober
     from trefoilpulley_core.membership.record import HostRecord
     from trefoilpulley_core.membership.record import ZoneRecord
 
--- a/packages/core/src/trefoilpulley_core/membership/failure_detector.py
+++ b/packages/core/src/trefoilpulley_core/membership/failure_detector.py
@@ -14,7 +14,7 @@
     import random
 
     from trefoilpulley_core.membership.dissemination import Dissemination
-    from trefoilpulley_core.membership.probes import Prober
+    from trefoilpulley_core.membership.prober import Prober
 
 RING_PROBE_INTERVAL_S = 0.4
 """Time between two probes of a host's successor, in seconds."""
--- a/packages/core/src/trefoilpulley_core/membership/membership.py
+++ b/packages/core/src/trefoilpulley_core/membership/membership.py
@@ -11,7 +11,7 @@
 from trefoilpulley_core.membership.messages import ProbeReport
 from trefoilpulley_core.membership.messages import Versions
 from trefoilpulley_core.membership.outbox import Outbox
-from trefoilpulley_core.membership.probes import Prober
+from trefoilpulley_core.membership.prober import Prober
 from trefoilpulley_core.membership.reconciler import Reconciler
 from trefoilpulley_core.membership.record import HostRecord
 from trefoilpulley_core.membership.record import HostState
--- a/packages/core/src/trefoilpulley_core/membership/suspicion_check.py
+++ b/packages/core/src/trefoilpulley_core/membership/suspicion_check.py
@@ -15,7 +15,7 @@
     from collections.abc import Sequence
     from typing import Any
 
-    from trefoilpulley_core.membership.probes import Prober
+    from trefoilpulley_core.membership.prober import Prober
 
 INDIRECT_PROBE_TIMEOUT_S = 0.35
 """Timeout of the report of an indirect prober, in seconds."""
--- a/packages/core/src/trefoilpulley_core/membership/zone_watch.py
+++ b/packages/core/src/trefoilpulley_core/membership/zone_watch.py
@@ -12,7 +12,7 @@
     import random
 
     from trefoilpulley_core.membership.dissemination import Dissemination
-    from trefoilpulley_core.membership.probes import Prober
+    from trefoilpulley_core.membership.prober import Prober
 
 ZONE_PROBE_INTERVAL_S = 1.0
 """Time between a relay's probes of each zone of its region, in seconds."""
--- a/packages/node/src/trefoilpulley_node/membership_runner.py
+++ b/packages/node/src/trefoilpulley_node/membership_runner.py
@@ -20,7 +20,7 @@
 from trefoilpulley_core.membership.messages import Probe
 from trefoilpulley_core.membership.messages import ProbeForMe
 from trefoilpulley_core.membership.messages import ProbeReport
-from trefoilpulley_core.membership.probes import PROBE_TIMEOUT_S
+from trefoilpulley_core.membership.prober import PROBE_TIMEOUT_S
 from trefoilpulley_node import events
 from trefoilpulley_node.service import Service
 
