--- a/features/steps/limits_slots_steps.py
+++ b/features/steps/limits_slots_steps.py
@@ -14,9 +14,9 @@
 from features.fakes.generated import find_violation
 from features.fakes.routing_trace import CLASSES
 from features.fakes.routing_trace import make_targets
+from trefoilpulley_core.class_queue import ClassQueue
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_core.failure import RunState
-from trefoilpulley_core.slot_lane import ClassQueue
 from trefoilpulley_core.slots import Ticket
 from trefoilpulley_core.slots_deadline import DeadlineQueue
 
--- a/packages/core/src/trefoilpulley_core/slots_deadline.py
+++ b/packages/core/src/trefoilpulley_core/slots_deadline.py
@@ -9,8 +9,8 @@
 from returns.result import Failure as Failed
 from returns.result import Success
 
+from trefoilpulley_core.class_queue import ClassQueue
 from trefoilpulley_core.failure import Overloaded
-from trefoilpulley_core.slot_lane import ClassQueue
 from trefoilpulley_core.slots import SlotQueue
 from trefoilpulley_core.targets import ClassTargets
 
