--- a/features/steps/routing_share_steps.py
+++ b/features/steps/routing_share_steps.py
@@ -22,8 +22,8 @@
 from trefoilpulley_core.routing import MemberView
 from trefoilpulley_core.routing import Route
 from trefoilpulley_core.routing import RouteRequest
+from trefoilpulley_core.routing_nearest import NearestRouting
 from trefoilpulley_core.routing_targets import TargetRouting
-from trefoilpulley_core.routing_thin import NearestRouting
 from trefoilpulley_standins.policy_cases import make_overload
 from trefoilpulley_standins.policy_cases import MEMBER_COUNT
 from trefoilpulley_standins.policy_deployment import DEPLOYMENTS
--- a/packages/node/src/trefoilpulley_node/policies.py
+++ b/packages/node/src/trefoilpulley_node/policies.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
+from trefoilpulley_core.routing_nearest import NearestRouting
 from trefoilpulley_core.routing_round_robin import RoundRobinRouting
 from trefoilpulley_core.routing_targets import TargetRouting
-from trefoilpulley_core.routing_thin import NearestRouting
 from trefoilpulley_core.slots_deadline import DeadlineQueue
 from trefoilpulley_core.slots_fifo import FifoQueue
 
--- a/packages/standins/src/trefoilpulley_standins/policy_run.py
+++ b/packages/standins/src/trefoilpulley_standins/policy_run.py
@@ -12,9 +12,9 @@
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.position import Position
 from trefoilpulley_core.routing import RouteRequest
+from trefoilpulley_core.routing_nearest import NearestRouting
 from trefoilpulley_core.routing_round_robin import RoundRobinRouting
 from trefoilpulley_core.routing_targets import TargetRouting
-from trefoilpulley_core.routing_thin import NearestRouting
 from trefoilpulley_core.slots_deadline import DeadlineQueue
 from trefoilpulley_core.slots_fifo import FifoQueue
 from trefoilpulley_core.targets import ClassTargets
