--- a/features/steps/coordination_detection_steps.py
+++ b/features/steps/coordination_detection_steps.py
@@ -14,7 +14,7 @@
 from trefoilpulley_core.catalog import MemberEntry
 from trefoilpulley_core.coordination.commands import CallDone
 from trefoilpulley_core.coordination.detection import FailureDetector
-from trefoilpulley_core.coordination.polling import ProbeSchedule
+from trefoilpulley_core.coordination.probe_schedule import ProbeSchedule
 from trefoilpulley_core.position import LogHistory
 from trefoilpulley_core.upstream import MemberStatus
 
--- a/packages/core/src/trefoilpulley_core/coordination/database.py
+++ b/packages/core/src/trefoilpulley_core/coordination/database.py
@@ -20,7 +20,7 @@
 from trefoilpulley_core.coordination.handover import Handover
 from trefoilpulley_core.coordination.handover import HandoverStage
 from trefoilpulley_core.coordination.layout import ranked_members
-from trefoilpulley_core.coordination.polling import ProbeSchedule
+from trefoilpulley_core.coordination.probe_schedule import ProbeSchedule
 from trefoilpulley_core.coordination.promotion import Promotion
 from trefoilpulley_core.coordination.promotion import PromotionStage
 from trefoilpulley_core.coordination.return_policy import HandoverPolicy
--- a/packages/node/src/trefoilpulley_node/coordination/driver.py
+++ b/packages/node/src/trefoilpulley_node/coordination/driver.py
@@ -17,7 +17,7 @@
 from trefoilpulley_core.coordination.database import TickContext
 from trefoilpulley_core.coordination.duty import Duty
 from trefoilpulley_core.coordination.layout import stopped_zones
-from trefoilpulley_core.coordination.polling import probe_interval_s
+from trefoilpulley_core.coordination.probe_schedule import probe_interval_s
 from trefoilpulley_core.coordination.shard_coordinator import ShardCoordinator
 from trefoilpulley_core.coordination.shard_coordinator import STANDBY_TICK_S
 from trefoilpulley_core.coordination.terms import holder_name
--- a/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
@@ -181,7 +181,7 @@
         'probes of one shard',
         'B/s',
         (_PROBE_BYTES,),
-        'trefoilpulley_core.coordination.polling',
+        'trefoilpulley_core.coordination.probe_schedule',
         BYTES_PER_S_BUDGET,
     ),
     Row(
@@ -194,7 +194,7 @@
                 'question and answer each MEMBER_INTERVAL_S',
             ),
         ),
-        'trefoilpulley_core.coordination.polling',
+        'trefoilpulley_core.coordination.probe_schedule',
     ),
     Row(
         'coordinator',
