--- a/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
+++ b/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
@@ -30,8 +30,8 @@
 from trefoilpulley_core.position import BEGINNING
 from trefoilpulley_core.upstream import OutcomeKey
 from trefoilpulley_core.upstream import Statement
-from trefoilpulley_node.beginnings import PendingBegins
 from trefoilpulley_node.peers import read_failure
+from trefoilpulley_node.pending_begins import PendingBegins
 from trefoilpulley_node.pipeline.request import DeliveredResult
 
 if TYPE_CHECKING:
--- a/packages/node/src/trefoilpulley_node/pooler/transactions.py
+++ b/packages/node/src/trefoilpulley_node/pooler/transactions.py
@@ -18,7 +18,7 @@
 from trefoilpulley_core.failure import PeerUnreachable
 from trefoilpulley_core.failure import ReplicaBehind
 from trefoilpulley_core.failure import TransactionLost
-from trefoilpulley_node.beginnings import PendingBegins
+from trefoilpulley_node.pending_begins import PendingBegins
 
 if TYPE_CHECKING:
     from collections.abc import Callable
