--- a/features/steps/coordination_driver_steps.py
+++ b/features/steps/coordination_driver_steps.py
@@ -31,10 +31,10 @@
 from trefoilpulley_core.peer import PromoteMember
 from trefoilpulley_core.peer import StatusReport
 from trefoilpulley_node.clock import MonotonicClock
+from trefoilpulley_node.coordination.deployment_view import DeploymentView
+from trefoilpulley_node.coordination.deployment_view import NoticeListener
+from trefoilpulley_node.coordination.deployment_view import PoolerCaller
 from trefoilpulley_node.coordination.driver import CoordinationDriver
-from trefoilpulley_node.coordination.situation import DeploymentView
-from trefoilpulley_node.coordination.situation import NoticeListener
-from trefoilpulley_node.coordination.situation import PoolerCaller
 from trefoilpulley_standins.explore_member import ModelMember
 
 EVENT_TIMEOUT_S = 20.0
--- a/packages/node/src/trefoilpulley_node/coordination/driver.py
+++ b/packages/node/src/trefoilpulley_node/coordination/driver.py
@@ -36,9 +36,9 @@
     from trefoilpulley_core.coordination.commands import Command
     from trefoilpulley_core.coordination.commands import Commands
     from trefoilpulley_core.platform import Platform
-    from trefoilpulley_node.coordination.situation import DeploymentView
-    from trefoilpulley_node.coordination.situation import NoticeListener
-    from trefoilpulley_node.coordination.situation import PoolerCaller
+    from trefoilpulley_node.coordination.deployment_view import DeploymentView
+    from trefoilpulley_node.coordination.deployment_view import NoticeListener
+    from trefoilpulley_node.coordination.deployment_view import PoolerCaller
 
 
 class CoordinationDriver(Service):
--- a/packages/node/src/trefoilpulley_node/coordination/observer.py
+++ b/packages/node/src/trefoilpulley_node/coordination/observer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from trefoilpulley_node.coordination.situation import DeploymentView
+from trefoilpulley_node.coordination.deployment_view import DeploymentView
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/node/src/trefoilpulley_node/notice_log.py
+++ b/packages/node/src/trefoilpulley_node/notice_log.py
@@ -5,7 +5,7 @@
 from dataclasses import fields
 from typing import TYPE_CHECKING
 
-from trefoilpulley_node.coordination.situation import NoticeListener
+from trefoilpulley_node.coordination.deployment_view import NoticeListener
 from trefoilpulley_node import events
 
 if TYPE_CHECKING:
--- a/packages/node/src/trefoilpulley_node/peers.py
+++ b/packages/node/src/trefoilpulley_node/peers.py
@@ -18,7 +18,7 @@
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_core.peer import PeerWelcome
 from trefoilpulley_core.peer import PooledFailure
-from trefoilpulley_node.coordination.situation import PoolerCaller
+from trefoilpulley_node.coordination.deployment_view import PoolerCaller
 from trefoilpulley_node.peer_server import PeerIdentity
 from trefoilpulley_wire.dial import dial
 from trefoilpulley_wire.peer_codec import PEER_CODEC
