--- a/features/steps/entry_transactions_steps.py
+++ b/features/steps/entry_transactions_steps.py
@@ -31,8 +31,8 @@
 from trefoilpulley_core.token import TokenCodec
 from trefoilpulley_node.entry.entry_transactions import EntryTransactions
 from trefoilpulley_node.pipeline.answer import AnswerBuilder
-from trefoilpulley_node.pipeline.confirm import OutcomeResolver
 from trefoilpulley_node.pipeline.execute import Executor
+from trefoilpulley_node.pipeline.outcome_resolver import OutcomeResolver
 from trefoilpulley_node.pipeline.request import PipelineRequest
 from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
 
--- a/features/steps/pipeline_steps.py
+++ b/features/steps/pipeline_steps.py
@@ -38,9 +38,9 @@
 from trefoilpulley_node.pipeline.admit import make_key
 from trefoilpulley_node.pipeline.authenticate import AuthenticationFilter
 from trefoilpulley_node.pipeline.classify import ClassificationFilter
-from trefoilpulley_node.pipeline.confirm import OutcomeResolver
 from trefoilpulley_node.pipeline.deliver import DeliveryFilter
 from trefoilpulley_node.pipeline.execute import Executor
+from trefoilpulley_node.pipeline.outcome_resolver import OutcomeResolver
 from trefoilpulley_node.pipeline.pipeline import Pipeline
 from trefoilpulley_node.pipeline.request import PipelineRequest
 from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -39,9 +39,9 @@
 from trefoilpulley_node.pipeline.answer import AnswerBuilder
 from trefoilpulley_node.pipeline.authenticate import AuthenticationFilter
 from trefoilpulley_node.pipeline.classify import ClassificationFilter
-from trefoilpulley_node.pipeline.confirm import OutcomeResolver
 from trefoilpulley_node.pipeline.deliver import DeliveryFilter
 from trefoilpulley_node.pipeline.execute import Executor
+from trefoilpulley_node.pipeline.outcome_resolver import OutcomeResolver
 from trefoilpulley_node.pipeline.pipeline import Pipeline
 from trefoilpulley_node.pipeline.route import Router
 from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
--- a/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
+++ b/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
@@ -40,7 +40,7 @@
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_node.entry.views import DatabaseViews
     from trefoilpulley_node.peers import Peers
-    from trefoilpulley_node.pipeline.confirm import OutcomeResolver
+    from trefoilpulley_node.pipeline.outcome_resolver import OutcomeResolver
     from trefoilpulley_node.pipeline.request import PipelineRequest
     from trefoilpulley_node.pipeline.route import Router
     from trefoilpulley_node.pipeline.session_floor import SessionFloorFilter
