--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -23,10 +23,10 @@
 from trefoilpulley_node.directory import Directory
 from trefoilpulley_node.entry.caller_server import CallerServer
 from trefoilpulley_node.entry.caller_server import EntryComponents
+from trefoilpulley_node.entry.database_views import DatabaseViews
 from trefoilpulley_node.entry.entry_state import EntryState
 from trefoilpulley_node.entry.entry_transactions import EntryTransactions
 from trefoilpulley_node.entry.state import StateCollector
-from trefoilpulley_node.entry.views import DatabaseViews
 from trefoilpulley_node.etcd_gateway import EtcdGateway
 from trefoilpulley_node.etcd_platform import EtcdPlatform
 from trefoilpulley_node.membership_runner import MembershipRunner
--- a/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
+++ b/packages/node/src/trefoilpulley_node/entry/entry_transactions.py
@@ -38,7 +38,7 @@
     from trefoilpulley_core.caller import Commit
     from trefoilpulley_core.caller import Execute
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_node.entry.views import DatabaseViews
+    from trefoilpulley_node.entry.database_views import DatabaseViews
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_node.pipeline.outcome_resolver import OutcomeResolver
     from trefoilpulley_node.pipeline.request import PipelineRequest
--- a/packages/node/src/trefoilpulley_node/pipeline/execute.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/execute.py
@@ -30,7 +30,7 @@
 
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.routing import Route
-    from trefoilpulley_node.entry.views import DatabaseViews
+    from trefoilpulley_node.entry.database_views import DatabaseViews
     from trefoilpulley_node.peers import Peers
     from trefoilpulley_node.pipeline.request import PipelineRequest
 
--- a/packages/node/src/trefoilpulley_node/pipeline/outcome_resolver.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/outcome_resolver.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
 
     from trefoilpulley_core.clock import Clock
-    from trefoilpulley_node.entry.views import DatabaseViews
+    from trefoilpulley_node.entry.database_views import DatabaseViews
     from trefoilpulley_node.pipeline.execute import Executor
     from trefoilpulley_node.pipeline.request import DeliveredResult
     from trefoilpulley_node.pipeline.request import PipelineRequest
--- a/packages/node/src/trefoilpulley_node/pipeline/route.py
+++ b/packages/node/src/trefoilpulley_node/pipeline/route.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.routing import RoutingPolicy
-    from trefoilpulley_node.entry.views import DatabaseViews
+    from trefoilpulley_node.entry.database_views import DatabaseViews
     from trefoilpulley_node.pipeline.request import PipelineRequest
 
 
--- a/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
@@ -99,7 +99,7 @@
         'digests refreshed and served, at their bound',
         'B/s',
         (_DIGEST_BYTES,),
-        'trefoilpulley_node.entry.views',
+        'trefoilpulley_node.entry.database_views',
         BYTES_PER_S_BUDGET,
     ),
     Row(
@@ -113,7 +113,7 @@
                 'answer',
             ),
         ),
-        'trefoilpulley_node.entry.views',
+        'trefoilpulley_node.entry.database_views',
     ),
     Row(
         'entry, work',
--- a/packages/standins/src/trefoilpulley_standins/measure/sizing.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/sizing.py
@@ -4,7 +4,7 @@
 
 from trefoilpulley_core.coordination.probe_schedule import probe_interval_s
 from trefoilpulley_core.coordination.shard import SHARDS_PER_ZONE
-from trefoilpulley_node.entry.views import REFRESHES_PER_S
+from trefoilpulley_node.entry.database_views import REFRESHES_PER_S
 from trefoilpulley_node.pooler.age_prober import MAX_PROBE_INTERVAL_S
 from trefoilpulley_standins.member.server import MAX_REPORT_INTERVAL_S
 
