--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -22,7 +22,7 @@
 from features.fakes.fake_platform import FakePlatform
 from features.fakes.fake_platform import Fault
 from trefoilpulley_cli.main import main
-from trefoilpulley_cli.outside import ServiceFactory
+from trefoilpulley_cli.service_factory import ServiceFactory
 from trefoilpulley_cli.settings import make_tls_context
 from trefoilpulley_client.timer import Timer
 from trefoilpulley_client.transport import Dialer
--- a/packages/cli/src/trefoilpulley_cli/invocation.py
+++ b/packages/cli/src/trefoilpulley_cli/invocation.py
@@ -9,7 +9,7 @@
 import click
 from returns.result import Success
 
-from trefoilpulley_cli.outside import ServiceFactory
+from trefoilpulley_cli.service_factory import ServiceFactory
 from trefoilpulley_cli.settings import load_settings
 from trefoilpulley_cli.settings import OperatorSettings
 
--- a/packages/cli/src/trefoilpulley_cli/main.py
+++ b/packages/cli/src/trefoilpulley_cli/main.py
@@ -11,7 +11,7 @@
 from trefoilpulley_cli.execute import execute
 from trefoilpulley_cli.explain import explain
 from trefoilpulley_cli.invocation import Invocation
-from trefoilpulley_cli.outside import NetworkServiceFactory
+from trefoilpulley_cli.service_factory import NetworkServiceFactory
 from trefoilpulley_cli.show import show
 from trefoilpulley_cli.state import state
 from trefoilpulley_cli.stop import stop
