--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -13,12 +13,12 @@
 from trefoilpulley_emulator.member_log import GroupLog
 from trefoilpulley_emulator.member_log import Record
 from trefoilpulley_emulator.soak.faults import draw_faults
-from trefoilpulley_emulator.soak.promises import FaultInterval
-from trefoilpulley_emulator.soak.promises import History
-from trefoilpulley_emulator.soak.promises import InterruptedRequest
-from trefoilpulley_emulator.soak.promises import ObservedRead
-from trefoilpulley_emulator.soak.promises import ObservedWrite
-from trefoilpulley_emulator.soak.promises import Outcome
+from trefoilpulley_emulator.soak.guarantees import FaultInterval
+from trefoilpulley_emulator.soak.guarantees import History
+from trefoilpulley_emulator.soak.guarantees import InterruptedRequest
+from trefoilpulley_emulator.soak.guarantees import ObservedRead
+from trefoilpulley_emulator.soak.guarantees import ObservedWrite
+from trefoilpulley_emulator.soak.guarantees import Outcome
 from trefoilpulley_emulator.soak.soak import Soak
 
 FIRST_COMMIT = Record(1, (('a', 'a.1'),), 0.0)
