--- a/packages/standins/src/trefoilpulley_standins/demo/run.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/run.py
@@ -11,10 +11,10 @@
 from trefoilpulley_standins.demo.caller import Journal
 from trefoilpulley_standins.demo.checker import Checker
 from trefoilpulley_standins.demo.checker import MemberRows
+from trefoilpulley_standins.demo.control_client import ControlClient
 from trefoilpulley_standins.demo.journal import dump_journal
 from trefoilpulley_standins.demo.journal import Verdict
 from trefoilpulley_standins.demo.observer import Observer
-from trefoilpulley_standins.demo.orders import ControlClient
 from trefoilpulley_standins.demo.record import recording_path
 from trefoilpulley_standins.demo.report import Report
 from trefoilpulley_standins.demo.script import FaultScript
--- a/packages/standins/src/trefoilpulley_standins/demo/script.py
+++ b/packages/standins/src/trefoilpulley_standins/demo/script.py
@@ -19,8 +19,8 @@
 
     from trefoilpulley_core.catalog import DatabaseEntry
     from trefoilpulley_standins.demo.caller import Journal
+    from trefoilpulley_standins.demo.control_client import ControlClient
     from trefoilpulley_standins.demo.observer import Observer
-    from trefoilpulley_standins.demo.orders import ControlClient
     from trefoilpulley_standins.layout import Layout
     from trefoilpulley_standins.processes import Processes
 
--- a/packages/standins/src/trefoilpulley_standins/experiment/causes.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/causes.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from trefoilpulley_standins.demo.orders import ControlClient
+from trefoilpulley_standins.demo.control_client import ControlClient
 from trefoilpulley_standins.experiment.spec import Fault
 from trefoilpulley_standins.experiment.spec import FaultKind
 
--- a/packages/standins/src/trefoilpulley_standins/experiment/probe.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/probe.py
@@ -13,7 +13,7 @@
 from returns.result import Success
 
 from trefoilpulley_core.caller import GetState
-from trefoilpulley_standins.demo.orders import ControlClient
+from trefoilpulley_standins.demo.control_client import ControlClient
 from trefoilpulley_wire.caller_codec import CALLER_CODEC
 from trefoilpulley_wire.dial import dial
 
--- a/packages/standins/src/trefoilpulley_standins/figures/scene.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/scene.py
@@ -15,10 +15,10 @@
 from trefoilpulley_standins.demo.caller import Journal
 from trefoilpulley_standins.demo.checker import Checker
 from trefoilpulley_standins.demo.checker import MemberRows
+from trefoilpulley_standins.demo.control_client import ControlClient
 from trefoilpulley_standins.demo.journal import dump_journal
 from trefoilpulley_standins.demo.journal import Verdict
 from trefoilpulley_standins.demo.observer import Observer
-from trefoilpulley_standins.demo.orders import ControlClient
 from trefoilpulley_standins.demo.workload import Step
 from trefoilpulley_standins.demo.workload import StepKind
 from trefoilpulley_standins.figures.marks import HostLogs
