--- a/packages/standins/src/trefoilpulley_standins/experiment/run.py
+++ b/packages/standins/src/trefoilpulley_standins/experiment/run.py
@@ -10,7 +10,7 @@
 import psutil
 
 from trefoilpulley_standins.experiment.callers import Callers
-from trefoilpulley_standins.experiment.causes import FaultInjector
+from trefoilpulley_standins.experiment.fault_injector import FaultInjector
 from trefoilpulley_standins.experiment.figures import make_figures
 from trefoilpulley_standins.experiment.figures import Window
 from trefoilpulley_standins.experiment.groups import GroupedProcesses
