--- a/packages/standins/src/trefoilpulley_standins/figures/classes.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/classes.py
@@ -8,7 +8,7 @@
 from trefoilpulley_standins.figures.part import Measurement
 
 if TYPE_CHECKING:
-    from trefoilpulley_standins.figures.scene import Testbed
+    from trefoilpulley_standins.figures.testbed import Testbed
 
 
 def measure_classes(
--- a/packages/standins/src/trefoilpulley_standins/figures/failover.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/failover.py
@@ -25,7 +25,7 @@
     from trefoilpulley_standins.demo.workload import Step
     from trefoilpulley_standins.deployment import Deployment
     from trefoilpulley_standins.figures.gaps import PrimaryChange
-    from trefoilpulley_standins.figures.scene import Testbed
+    from trefoilpulley_standins.figures.testbed import Testbed
 
 OUTAGE_AT_S = 2.0
 """Time at which the part with an outage takes the service down."""
--- a/packages/standins/src/trefoilpulley_standins/figures/part.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/part.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from trefoilpulley_standins.demo.workload import Step
     from trefoilpulley_standins.deployment import Deployment
-    from trefoilpulley_standins.figures.scene import Testbed
+    from trefoilpulley_standins.figures.testbed import Testbed
     from trefoilpulley_standins.layout import Layout
 
 
--- a/packages/standins/src/trefoilpulley_standins/figures/planned.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/planned.py
@@ -24,7 +24,7 @@
     from trefoilpulley_standins.demo.workload import Step
     from trefoilpulley_standins.deployment import Deployment
     from trefoilpulley_standins.figures.gaps import PrimaryChange
-    from trefoilpulley_standins.figures.scene import Testbed
+    from trefoilpulley_standins.figures.testbed import Testbed
 
 FIRST_CHANGE_AT_S = 2.0
 """Time of the first configuration change, in seconds."""
--- a/packages/standins/src/trefoilpulley_standins/figures/reads.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/reads.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from trefoilpulley_standins.demo.workload import Step
     from trefoilpulley_standins.deployment import Deployment
-    from trefoilpulley_standins.figures.scene import Testbed
+    from trefoilpulley_standins.figures.testbed import Testbed
     from trefoilpulley_standins.layout import Layout
 
 LAGS_MS = (5.0, 50.0, 500.0)
--- a/packages/standins/src/trefoilpulley_standins/figures/run.py
+++ b/packages/standins/src/trefoilpulley_standins/figures/run.py
@@ -14,8 +14,8 @@
 from trefoilpulley_standins.figures.planned import PlannedChanges
 from trefoilpulley_standins.figures.reads import Reads
 from trefoilpulley_standins.figures.sample import Sample
-from trefoilpulley_standins.figures.scene import open_testbed
 from trefoilpulley_standins.figures.stalls import StallMonitor
+from trefoilpulley_standins.figures.testbed import open_testbed
 from trefoilpulley_standins.starting import make_layout
 
 if TYPE_CHECKING:
