--- a/packages/standins/src/trefoilpulley_standins/explore_host.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_host.py
@@ -33,7 +33,7 @@
 
     from trefoilpulley_core.coordination.commands import Command
     from trefoilpulley_core.coordination.duty import DutyCommand
-    from trefoilpulley_standins.explore_world import ModelCluster
+    from trefoilpulley_standins.explore_cluster import ModelCluster
 
 SERVICE_TIMEOUT_S = 0.5
 """Time after which a call to the platform service fails, in seconds."""
--- a/packages/standins/src/trefoilpulley_standins/explore_script.py
+++ b/packages/standins/src/trefoilpulley_standins/explore_script.py
@@ -11,8 +11,8 @@
 from trefoilpulley_core.catalog import HostEntry
 from trefoilpulley_core.catalog import Presence
 from trefoilpulley_core.declarations import PlannedStop
+from trefoilpulley_standins.explore_cluster import ModelCluster
 from trefoilpulley_standins.explore_host import ModelHost
-from trefoilpulley_standins.explore_world import ModelCluster
 
 if TYPE_CHECKING:
     from collections.abc import Callable
