--- a/packages/node/src/trefoilpulley_node/entry/database_views.py
+++ b/packages/node/src/trefoilpulley_node/entry/database_views.py
@@ -11,7 +11,7 @@
 from gevent.event import Event
 
 from trefoilpulley_core.routing import DatabaseView
-from trefoilpulley_node.entry.digest_asker import DigestFetcher
+from trefoilpulley_node.entry.digest_fetcher import DigestFetcher
 from trefoilpulley_node.entry.digest_store import DigestStore
 from trefoilpulley_node.service import Service
 
