--- a/packages/node/src/trefoilpulley_node/pooler/member_pool.py
+++ b/packages/node/src/trefoilpulley_node/pooler/member_pool.py
@@ -16,7 +16,7 @@
 from trefoilpulley_core.failure import NoUpstream
 from trefoilpulley_core.failure import Overloaded
 from trefoilpulley_core.slots import Ticket
-from trefoilpulley_node.pooler.write_hold import WritePause
+from trefoilpulley_node.pooler.write_pause import WritePause
 
 if TYPE_CHECKING:
     from trefoilpulley_core.catalog import MemberEntry
