--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -62,7 +62,7 @@
 """Time between two maintenance runs, in seconds."""
 
 
-class ProxyComposition:
+class DirectComposition:
     """Creates each component of a host once, at its first use.
 
     Parameters
