--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -54,7 +54,7 @@
     from trefoilpulley_core.membership.live_hosts import LiveHosts
     from trefoilpulley_core.platform import Platform
     from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
-    from trefoilpulley_node.direct.direct_settings import ProxySettings
+    from trefoilpulley_node.direct.direct_settings import DirectSettings
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.member_access import MemberAccess
 
@@ -67,7 +67,7 @@
 
     Parameters
     ----------
-    cfg : ProxySettings
+    cfg : DirectSettings
         Settings of the host.
     platform : Platform
         The platform's service.
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        cfg: ProxySettings,
+        cfg: DirectSettings,
         platform: Platform,
         documents: PlatformDocuments,
         dialer: UpstreamDialer,
--- a/packages/node/src/trefoilpulley_node/direct/direct_settings.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_settings.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProxySettings:
+class DirectSettings:
     """Settings of one host."""
 
     host: str
--- a/packages/node/src/trefoilpulley_node/direct/direct_state.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_state.py
@@ -9,7 +9,7 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-    from trefoilpulley_node.direct.direct_settings import ProxySettings
+    from trefoilpulley_node.direct.direct_settings import DirectSettings
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.directory import ProxyDirectory
     from trefoilpulley_node.direct.member_access import MemberAccess
@@ -109,7 +109,7 @@
 
 
 def make_state(
-    cfg: ProxySettings,
+    cfg: DirectSettings,
     directory: ProxyDirectory,
     sessions: int,
     live: Iterable[str],
