--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -17,10 +17,10 @@
 from trefoilpulley_cli.main import main
 from trefoilpulley_core.clock import Clock
 from trefoilpulley_node.direct.direct_metrics import COUNTERS
+from trefoilpulley_node.direct.direct_metrics import DirectMetrics
 from trefoilpulley_node.direct.direct_metrics import GAUGES
 from trefoilpulley_node.direct.direct_metrics import HISTOGRAMS
 from trefoilpulley_node.direct.direct_metrics import PREFIX
-from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
 from trefoilpulley_node.log_sink import LogSink
 from trefoilpulley_node.log_sink import MAX_QUEUED_BYTES
 
@@ -169,7 +169,7 @@
     )
     def make_metrics(context: Any, duration_ms: int, count: int) -> None:
         """Create metrics with one request and some dropped lines."""
-        context.metrics = ProxyMetrics()
+        context.metrics = DirectMetrics()
         context.metrics.count('requests', 'session', 'done')
         context.metrics.observe(
             'request_seconds', duration_ms / 1000, 'session'
--- a/features/steps/proxy_hedge_steps.py
+++ b/features/steps/proxy_hedge_steps.py
@@ -31,7 +31,7 @@
 from trefoilpulley_core.failure import RunState
 from trefoilpulley_core.position import Position
 from trefoilpulley_node.clock import BoottimeClock
-from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
+from trefoilpulley_node.direct.direct_metrics import DirectMetrics
 from trefoilpulley_node.direct.directory import Group
 from trefoilpulley_node.direct.exchange import Exchanger
 from trefoilpulley_node.direct.member_access import MemberAccess
@@ -113,7 +113,7 @@
             now,
             now + route.timeout_s,
         )
-        metrics = ProxyMetrics()
+        metrics = DirectMetrics()
         runner = StatementRunner(
             'a',
             Exchanger(clock, metrics),
@@ -200,7 +200,7 @@
     @then('a write is refused as not run')
     def check_not_run(context: Any) -> None:
         """Check that the failure states that the write was not run."""
-        metrics = ProxyMetrics()
+        metrics = DirectMetrics()
         runner = StatementRunner(
             'a',
             Exchanger(context.clock, metrics),
--- a/features/steps/proxy_overload_steps.py
+++ b/features/steps/proxy_overload_steps.py
@@ -34,7 +34,7 @@
 from trefoilpulley_core.position import Position
 from trefoilpulley_node.clock import BoottimeClock
 from trefoilpulley_node.direct.caller_transaction import CallerTransaction
-from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
+from trefoilpulley_node.direct.direct_metrics import DirectMetrics
 from trefoilpulley_node.direct.directory import Group
 from trefoilpulley_node.direct.exchange import Exchanger
 from trefoilpulley_node.direct.member_access import MemberAccess
@@ -155,7 +155,7 @@
         pool.in_flight_limit.update(pool.share.max_open)
         pool.in_flight_limit.on_busy(1, clock.now())
         context.access = MemberAccess(pool)
-        context.exchanger = Exchanger(clock, ProxyMetrics())
+        context.exchanger = Exchanger(clock, DirectMetrics())
 
     @staticmethod
     @when(
@@ -362,7 +362,7 @@
             pool = MemberPool(health, _RefusingDialer(), clock)
             group.accesses[name] = MemberAccess(pool)
         group.state.evidence.record(clock.now() - 1.0, Position(1, 5))
-        context.exchanger = Exchanger(clock, ProxyMetrics())
+        context.exchanger = Exchanger(clock, DirectMetrics())
 
     @staticmethod
     @then('a read is refused at once as not run')
@@ -393,7 +393,7 @@
     def _check_read(context: Any, freshness: ReadFreshness) -> None:
         clock = context.clock
         runner = StatementRunner(
-            'a', context.exchanger, PrimaryWait(clock), clock, ProxyMetrics()
+            'a', context.exchanger, PrimaryWait(clock), clock, DirectMetrics()
         )
         request = RefusingGroupSteps._make_request(context, freshness)
         RefusingGroupSteps._check_not_run(lambda: runner.read(request))
--- a/features/steps/proxy_relay_steps.py
+++ b/features/steps/proxy_relay_steps.py
@@ -38,7 +38,7 @@
 from trefoilpulley_core.peer import PooledFailure
 from trefoilpulley_emulator.deployment import EmulatedDeployment
 from trefoilpulley_node.clock import BoottimeClock
-from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
+from trefoilpulley_node.direct.direct_metrics import DirectMetrics
 from trefoilpulley_node.direct.directory import Group
 from trefoilpulley_node.direct.exchange import Exchanger
 from trefoilpulley_node.direct.member_access import MemberAccess
@@ -343,7 +343,7 @@
         context.group.accesses['m'] = MemberAccess(context.pool)
         context.relay_server = RelayServer(
             {'ledger': context.group},
-            Exchanger(clock, ProxyMetrics()),
+            Exchanger(clock, DirectMetrics()),
             clock,
         )
 
--- a/packages/node/src/trefoilpulley_node/direct/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/direct/caller_session.py
@@ -35,7 +35,7 @@
     from trefoilpulley_core.direct.commands import Command
     from trefoilpulley_core.direct.routes import Route
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
+    from trefoilpulley_node.direct.direct_metrics import DirectMetrics
     from trefoilpulley_node.direct.directory import ProxyDirectory
     from trefoilpulley_node.direct.exchange import Exchanger
     from trefoilpulley_node.direct.primary_wait import PrimaryWait
@@ -71,7 +71,7 @@
         Waits until a new primary is known.
     clock : Clock
         Monotonic time.
-    metrics : ProxyMetrics
+    metrics : DirectMetrics
         Counts requests.
     """
 
@@ -83,7 +83,7 @@
         exchanger: Exchanger,
         primary_wait: PrimaryWait,
         clock: Clock,
-        metrics: ProxyMetrics,
+        metrics: DirectMetrics,
     ) -> None:
         self.metrics = metrics
         self.zone = zone
--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -53,7 +53,7 @@
     from trefoilpulley_core.direct.upstream_session import UpstreamDialer
     from trefoilpulley_core.membership.live_hosts import LiveHosts
     from trefoilpulley_core.platform import Platform
-    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
+    from trefoilpulley_node.direct.direct_metrics import DirectMetrics
     from trefoilpulley_node.direct.direct_settings import DirectSettings
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.member_access import MemberAccess
@@ -79,7 +79,7 @@
         Orders promotions from the platform.
     clock : Clock
         Monotonic time that continues while the machine is suspended.
-    metrics : ProxyMetrics
+    metrics : DirectMetrics
         Counters, histograms and gauges of the host.
     """
 
@@ -91,7 +91,7 @@
         dialer: UpstreamDialer,
         promotions: PromotionService,
         clock: Clock,
-        metrics: ProxyMetrics,
+        metrics: DirectMetrics,
     ) -> None:
         self.metrics = metrics
         """Counters, histograms and gauges of the host."""
--- a/packages/node/src/trefoilpulley_node/direct/direct_metrics.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_metrics.py
@@ -75,7 +75,7 @@
 """Help text of each gauge."""
 
 
-class ProxyMetrics:
+class DirectMetrics:
     """Counters, histograms and gauges of one host."""
 
     def __init__(self) -> None:
--- a/packages/node/src/trefoilpulley_node/direct/exchange.py
+++ b/packages/node/src/trefoilpulley_node/direct/exchange.py
@@ -24,7 +24,7 @@
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.position import Position
-    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
+    from trefoilpulley_node.direct.direct_metrics import DirectMetrics
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.member_access import MemberAccess
     from trefoilpulley_node.direct.member_session import MemberSession
@@ -38,11 +38,11 @@
     ----------
     clock : Clock
         Monotonic time.
-    metrics : ProxyMetrics
+    metrics : DirectMetrics
         Counts the outcomes of statements sent to members.
     """
 
-    def __init__(self, clock: Clock, metrics: ProxyMetrics) -> None:
+    def __init__(self, clock: Clock, metrics: DirectMetrics) -> None:
         self._clock = clock
         self._metrics = metrics
 
--- a/packages/node/src/trefoilpulley_node/direct/primary_changer.py
+++ b/packages/node/src/trefoilpulley_node/direct/primary_changer.py
@@ -28,7 +28,7 @@
     from trefoilpulley_core.direct.promotion_service import PromotionService
     from trefoilpulley_core.direct.upstream_session import LogStatus
     from trefoilpulley_node.direct.claim_store import ClaimStore
-    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
+    from trefoilpulley_node.direct.direct_metrics import DirectMetrics
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.host_vote import HostVote
     from trefoilpulley_node.direct.member_prober import MemberProber
@@ -103,7 +103,7 @@
         number is known.
     clock : Clock
         Monotonic time.
-    metrics : ProxyMetrics
+    metrics : DirectMetrics
         Counts primary changes.
     """
 
@@ -119,7 +119,7 @@
         groups: Mapping[str, Group],
         holder_id: Callable[[], int | None],
         clock: Clock,
-        metrics: ProxyMetrics,
+        metrics: DirectMetrics,
     ) -> None:
         self._metrics = metrics
         self._host = host
--- a/packages/node/src/trefoilpulley_node/direct/primary_watch.py
+++ b/packages/node/src/trefoilpulley_node/direct/primary_watch.py
@@ -15,7 +15,7 @@
 
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.direct.group_state import MemberHealth
-    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
+    from trefoilpulley_node.direct.direct_metrics import DirectMetrics
     from trefoilpulley_node.direct.directory import Group
     from trefoilpulley_node.direct.evidence_exchange import EvidenceExchange
     from trefoilpulley_node.direct.host_vote import HostVote
@@ -104,7 +104,7 @@
         Requests proved positions from other hosts.
     clock : Clock
         Monotonic time.
-    metrics : ProxyMetrics
+    metrics : DirectMetrics
         Records how long the group had no primary.
     """
 
@@ -116,7 +116,7 @@
         changer: PrimaryChanger,
         evidence: EvidenceExchange,
         clock: Clock,
-        metrics: ProxyMetrics,
+        metrics: DirectMetrics,
     ) -> None:
         self._metrics = metrics
         self._group = group
--- a/packages/node/src/trefoilpulley_node/direct/statement_runner.py
+++ b/packages/node/src/trefoilpulley_node/direct/statement_runner.py
@@ -34,7 +34,7 @@
     from trefoilpulley_core.direct.placement import Placement
     from trefoilpulley_core.direct.upstream_session import Reply
     from trefoilpulley_core.failure import Failure
-    from trefoilpulley_node.direct.direct_metrics import ProxyMetrics
+    from trefoilpulley_node.direct.direct_metrics import DirectMetrics
     from trefoilpulley_node.direct.exchange import Exchanger
     from trefoilpulley_node.direct.member_session import MemberSession
     from trefoilpulley_node.direct.primary_wait import PrimaryWait
@@ -95,7 +95,7 @@
         Waits until a new primary is known.
     clock : Clock
         Monotonic time.
-    metrics : ProxyMetrics
+    metrics : DirectMetrics
         Records the floor ages of reads at replicas.
     """
 
@@ -105,7 +105,7 @@
         exchanger: Exchanger,
         primary_wait: PrimaryWait,
         clock: Clock,
-        metrics: ProxyMetrics,
+        metrics: DirectMetrics,
     ) -> None:
         self._metrics = metrics
         self._zone = zone
