--- a/packages/node/src/trefoilpulley_node/direct/caller_session.py
+++ b/packages/node/src/trefoilpulley_node/direct/caller_session.py
@@ -36,7 +36,7 @@
     from trefoilpulley_core.direct.routes import Route
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_node.direct.direct_metrics import DirectMetrics
-    from trefoilpulley_node.direct.directory import ProxyDirectory
+    from trefoilpulley_node.direct.directory import GroupDirectory
     from trefoilpulley_node.direct.exchange import Exchanger
     from trefoilpulley_node.direct.primary_wait import PrimaryWait
     from trefoilpulley_node.direct.statement_runner import StatementRunner
@@ -61,7 +61,7 @@
     ----------
     zone : str
         Availability zone of this host.
-    directory : ProxyDirectory
+    directory : GroupDirectory
         Routes and groups.
     runner : StatementRunner
         Runs statements outside of transactions.
@@ -78,7 +78,7 @@
     def __init__(
         self,
         zone: str,
-        directory: ProxyDirectory,
+        directory: GroupDirectory,
         runner: StatementRunner,
         exchanger: Exchanger,
         primary_wait: PrimaryWait,
--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -23,7 +23,7 @@
 from trefoilpulley_node.direct.claim_store import ClaimStore
 from trefoilpulley_node.direct.direct_state import make_state
 from trefoilpulley_node.direct.direct_state import ProxyState
-from trefoilpulley_node.direct.directory import ProxyDirectory
+from trefoilpulley_node.direct.directory import GroupDirectory
 from trefoilpulley_node.direct.evidence_exchange import EvidenceExchange
 from trefoilpulley_node.direct.exchange import Exchanger
 from trefoilpulley_node.direct.host_registration import HostRegistration
@@ -175,9 +175,9 @@
         return self._isolation.duration_s(self._clock.now()) == 0
 
     @cached_property
-    def directory(self) -> ProxyDirectory:
+    def directory(self) -> GroupDirectory:
         """Routes, groups and member accesses."""
-        return ProxyDirectory(
+        return GroupDirectory(
             self._cfg.host,
             self._cfg.zone,
             self._dialer,
--- a/packages/node/src/trefoilpulley_node/direct/direct_state.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_state.py
@@ -11,7 +11,7 @@
 
     from trefoilpulley_node.direct.direct_settings import DirectSettings
     from trefoilpulley_node.direct.directory import Group
-    from trefoilpulley_node.direct.directory import ProxyDirectory
+    from trefoilpulley_node.direct.directory import GroupDirectory
     from trefoilpulley_node.direct.member_access import MemberAccess
 
 
@@ -110,7 +110,7 @@
 
 def make_state(
     cfg: DirectSettings,
-    directory: ProxyDirectory,
+    directory: GroupDirectory,
     sessions: int,
     live: Iterable[str],
     registered: Mapping[str, str],
--- a/packages/node/src/trefoilpulley_node/direct/directory.py
+++ b/packages/node/src/trefoilpulley_node/direct/directory.py
@@ -63,7 +63,7 @@
         return self.accesses.get(member)
 
 
-class ProxyDirectory:
+class GroupDirectory:
     """Holds the routes and member entries that are in force.
 
     Parameters
--- a/packages/node/src/trefoilpulley_node/direct/platform_follower.py
+++ b/packages/node/src/trefoilpulley_node/direct/platform_follower.py
@@ -28,7 +28,7 @@
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.platform import Platform
     from trefoilpulley_core.platform import Watch
-    from trefoilpulley_node.direct.directory import ProxyDirectory
+    from trefoilpulley_node.direct.directory import GroupDirectory
 
 REMOVAL_GRACE_S = 3.0
 """Time for which a member without an entry is kept, in seconds.
@@ -59,7 +59,7 @@
         The platform's service.
     documents : PlatformDocuments
         Format of the platform's routes and member entries.
-    directory : ProxyDirectory
+    directory : GroupDirectory
         Receives routes and members.
     on_hosts : Callable[[tuple[HostEntry, ...]], None]
         Called with the hosts that hold a lease.
@@ -73,7 +73,7 @@
         self,
         platform: Platform,
         documents: PlatformDocuments,
-        directory: ProxyDirectory,
+        directory: GroupDirectory,
         on_hosts: Callable[[tuple[HostEntry, ...]], None],
         on_claim: Callable[[str, Claim, int], None],
         clock: Clock,
