--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -1,4 +1,4 @@
-"""Composition root that creates the components of an entry host."""
+"""Composition root of an entry host in the pooled mode."""
 
 from __future__ import annotations
 
--- a/packages/node/src/trefoilpulley_node/direct/direct_composition.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_composition.py
@@ -1,4 +1,4 @@
-"""Composition root of a proxy host."""
+"""Composition root of a host in the direct mode."""
 
 from __future__ import annotations
 
--- a/packages/node/src/trefoilpulley_node/direct/direct_metrics.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a proxy host.
+"""Metrics of a host in the direct mode.
 
 The values are kept in plain counters, so that a host starts without the
 Prometheus library; `render` passes the values to that library. No label holds
--- a/packages/node/src/trefoilpulley_node/direct/direct_settings.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a proxy host."""
+"""Settings of a host in the direct mode."""
 
 from __future__ import annotations
 
--- a/packages/node/src/trefoilpulley_node/direct/direct_state.py
+++ b/packages/node/src/trefoilpulley_node/direct/direct_state.py
@@ -1,4 +1,4 @@
-"""State dump of a proxy host."""
+"""State dump of a host in the direct mode."""
 
 from __future__ import annotations
 
