--- a/features/fakes/configuration_schedule.py
+++ b/features/fakes/configuration_schedule.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from trefoilpulley_core.configuration.holder import ConfigurationStore
+    from trefoilpulley_core.configuration.store import ConfigurationStore
     from trefoilpulley_core.membership.membership import Membership
 
 
--- a/features/fakes/configuration_trace.py
+++ b/features/fakes/configuration_trace.py
@@ -9,10 +9,10 @@
 from features.fakes.trace_replay import TraceReplay
 from trefoilpulley_core.configuration.document import encode_configuration
 from trefoilpulley_core.configuration.document import encode_databases
-from trefoilpulley_core.configuration.holder import ConfigurationStore
 from trefoilpulley_core.configuration.messages import Document
 from trefoilpulley_core.configuration.messages import DocumentKind
 from trefoilpulley_core.configuration.messages import make_document
+from trefoilpulley_core.configuration.store import ConfigurationStore
 from trefoilpulley_core.declarations import Configuration
 from trefoilpulley_core.declarations import Declarations
 from trefoilpulley_standins.document_fleet import DocumentFleet
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -30,8 +30,8 @@
 from trefoilpulley_core.configuration.change import read_configuration
 from trefoilpulley_core.configuration.change import submit_change
 from trefoilpulley_core.configuration.document import encode_configuration
-from trefoilpulley_core.configuration.holder import ConfigurationStore
 from trefoilpulley_core.configuration.messages import DocumentKind
+from trefoilpulley_core.configuration.store import ConfigurationStore
 from trefoilpulley_core.declarations import Configuration
 from trefoilpulley_core.declarations import Declarations
 from trefoilpulley_core.keys import CONFIGURATION_KEY
--- a/packages/core/src/trefoilpulley_core/configuration/spread.py
+++ b/packages/core/src/trefoilpulley_core/configuration/spread.py
@@ -17,8 +17,8 @@
     from returns.result import Result
 
     from trefoilpulley_core.configuration.commands import Command
-    from trefoilpulley_core.configuration.holder import ConfigurationStore
     from trefoilpulley_core.configuration.messages import Document
+    from trefoilpulley_core.configuration.store import ConfigurationStore
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.membership.live_hosts import LiveHosts
     from trefoilpulley_core.membership.messages import Versions
--- a/packages/node/src/trefoilpulley_node/configuration_runner.py
+++ b/packages/node/src/trefoilpulley_node/configuration_runner.py
@@ -31,8 +31,8 @@
     from trefoilpulley_core.catalog import Catalog
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.configuration.commands import Command
-    from trefoilpulley_core.configuration.holder import ConfigurationStore
     from trefoilpulley_core.configuration.spread import DocumentDissemination
+    from trefoilpulley_core.configuration.store import ConfigurationStore
     from trefoilpulley_core.declarations import Configuration
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.membership.live_hosts import LiveHosts
--- a/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
@@ -283,7 +283,7 @@
                 has_base=False,
             ),
         ),
-        'trefoilpulley_core.configuration.holder',
+        'trefoilpulley_core.configuration.store',
         CPU_BUDGET_PERCENT,
     ),
     Row(
@@ -294,7 +294,7 @@
             SlopeTerm('hosts-memory', sizing.HOSTS, 'hosts'),
             SlopeTerm('databases-memory', sizing.DATABASES, 'databases'),
         ),
-        'trefoilpulley_core.configuration.holder',
+        'trefoilpulley_core.configuration.store',
         MEMORY_BUDGET_KIB,
     ),
     Row(
