--- a/packages/node/src/trefoilpulley_node/configuration_runner.py
+++ b/packages/node/src/trefoilpulley_node/configuration_runner.py
@@ -31,7 +31,9 @@
     from trefoilpulley_core.catalog import Catalog
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.configuration.commands import Command
-    from trefoilpulley_core.configuration.spread import DocumentDissemination
+    from trefoilpulley_core.configuration.dissemination import (
+        DocumentDissemination,
+    )
     from trefoilpulley_core.configuration.store import ConfigurationStore
     from trefoilpulley_core.declarations import Configuration
     from trefoilpulley_core.failure import Failure
--- a/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
@@ -259,7 +259,7 @@
                 has_base=False,
             ),
         ),
-        'trefoilpulley_core.configuration.spread',
+        'trefoilpulley_core.configuration.dissemination',
         16.0,
     ),
     Row(
