--- a/packages/core/src/trefoilpulley_core/coordination/database.py
+++ b/packages/core/src/trefoilpulley_core/coordination/database.py
@@ -16,7 +16,6 @@
 from trefoilpulley_core.coordination.edits import EndHandover
 from trefoilpulley_core.coordination.edits import RecordPrimary
 from trefoilpulley_core.coordination.edits import ResetRelapses
-from trefoilpulley_core.coordination.follower_care import ReplicaRedirector
 from trefoilpulley_core.coordination.handover import Handover
 from trefoilpulley_core.coordination.handover import HandoverStage
 from trefoilpulley_core.coordination.handover_policy import HandoverPolicy
@@ -24,6 +23,7 @@
 from trefoilpulley_core.coordination.probe_schedule import ProbeSchedule
 from trefoilpulley_core.coordination.promotion import Promotion
 from trefoilpulley_core.coordination.promotion import PromotionStage
+from trefoilpulley_core.coordination.redirector import ReplicaRedirector
 from trefoilpulley_core.coordination.shard import HandoverRecord
 from trefoilpulley_core.coordination.terms import has_grants
 from trefoilpulley_core.coordination.terms import usable_term
