--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -9,9 +9,7 @@
 
 from trefoilpulley_core.admission import Admission
 from trefoilpulley_core.catalog import HostEntry
-from trefoilpulley_core.configuration.dissemination import (
-    DocumentDissemination,
-)
+from trefoilpulley_core.configuration.distribution import DocumentDissemination
 from trefoilpulley_core.configuration.store import ConfigurationStore
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
--- a/packages/node/src/trefoilpulley_node/configuration_runner.py
+++ b/packages/node/src/trefoilpulley_node/configuration_runner.py
@@ -31,7 +31,7 @@
     from trefoilpulley_core.catalog import Catalog
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.configuration.commands import Command
-    from trefoilpulley_core.configuration.dissemination import (
+    from trefoilpulley_core.configuration.distribution import (
         DocumentDissemination,
     )
     from trefoilpulley_core.configuration.store import ConfigurationStore
--- a/packages/standins/src/trefoilpulley_standins/document_fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/document_fleet.py
@@ -12,9 +12,7 @@
 from trefoilpulley_core.configuration.commands import Push
 from trefoilpulley_core.configuration.commands import ReadService
 from trefoilpulley_core.configuration.commands import SetWatch
-from trefoilpulley_core.configuration.dissemination import (
-    DocumentDissemination,
-)
+from trefoilpulley_core.configuration.distribution import DocumentDissemination
 from trefoilpulley_core.configuration.messages import Document
 from trefoilpulley_core.configuration.messages import DocumentKind
 from trefoilpulley_core.configuration.messages import FetchDocument
--- a/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
@@ -259,7 +259,7 @@
                 has_base=False,
             ),
         ),
-        'trefoilpulley_core.configuration.dissemination',
+        'trefoilpulley_core.configuration.distribution',
         16.0,
     ),
     Row(
