--- a/features/fakes/small_host.py
+++ b/features/fakes/small_host.py
@@ -10,9 +10,9 @@
 
 from trefoilpulley_core.catalog import Endpoint
 from trefoilpulley_core.catalog import HostEntry
-from trefoilpulley_core.configuration.distribution import DocumentDissemination
 from trefoilpulley_core.configuration.messages import DocumentKind
 from trefoilpulley_core.configuration.store import ConfigurationStore
+from trefoilpulley_core.configuration.sync import DocumentDissemination
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_node.clock import MonotonicClock
--- a/packages/node/src/trefoilpulley_node/composition.py
+++ b/packages/node/src/trefoilpulley_node/composition.py
@@ -9,8 +9,8 @@
 
 from trefoilpulley_core.admission import Admission
 from trefoilpulley_core.catalog import HostEntry
-from trefoilpulley_core.configuration.distribution import DocumentDissemination
 from trefoilpulley_core.configuration.store import ConfigurationStore
+from trefoilpulley_core.configuration.sync import DocumentDissemination
 from trefoilpulley_core.membership.membership import Membership
 from trefoilpulley_core.peer import PeerHello
 from trefoilpulley_core.retry_budget import RetryBudget
--- a/packages/node/src/trefoilpulley_node/configuration_runner.py
+++ b/packages/node/src/trefoilpulley_node/configuration_runner.py
@@ -31,10 +31,8 @@
     from trefoilpulley_core.catalog import Catalog
     from trefoilpulley_core.clock import Clock
     from trefoilpulley_core.configuration.commands import Command
-    from trefoilpulley_core.configuration.distribution import (
-        DocumentDissemination,
-    )
     from trefoilpulley_core.configuration.store import ConfigurationStore
+    from trefoilpulley_core.configuration.sync import DocumentDissemination
     from trefoilpulley_core.declarations import Configuration
     from trefoilpulley_core.failure import Failure
     from trefoilpulley_core.membership.live_hosts import LiveHosts
--- a/packages/standins/src/trefoilpulley_standins/document_fleet.py
+++ b/packages/standins/src/trefoilpulley_standins/document_fleet.py
@@ -12,11 +12,11 @@
 from trefoilpulley_core.configuration.commands import Push
 from trefoilpulley_core.configuration.commands import ReadService
 from trefoilpulley_core.configuration.commands import SetWatch
-from trefoilpulley_core.configuration.distribution import DocumentDissemination
 from trefoilpulley_core.configuration.messages import Document
 from trefoilpulley_core.configuration.messages import DocumentKind
 from trefoilpulley_core.configuration.messages import FetchDocument
 from trefoilpulley_core.configuration.store import ConfigurationStore
+from trefoilpulley_core.configuration.sync import DocumentDissemination
 from trefoilpulley_core.membership.commands import Call
 from trefoilpulley_core.membership.commands import CompareVersions
 from trefoilpulley_standins.membership_fleet import Fleet
--- a/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/host_rows.py
@@ -259,7 +259,7 @@
                 has_base=False,
             ),
         ),
-        'trefoilpulley_core.configuration.distribution',
+        'trefoilpulley_core.configuration.sync',
         16.0,
     ),
     Row(
--- a/packages/standins/src/trefoilpulley_standins/measure/rows.py
+++ b/packages/standins/src/trefoilpulley_standins/measure/rows.py
@@ -40,7 +40,7 @@
         'watches that wait, one call each',
         'calls',
         (ConstantTerm(2 * sizing.ZONES, '2 prefixes × 26 watchers'),),
-        'trefoilpulley_core.configuration.distribution',
+        'trefoilpulley_core.configuration.sync',
         READS_PER_S_BUDGET,
     ),
     Row(
